--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -107,13 +107,17 @@
     return sorted(turns), cpu_s
 
 
+def quantile_ratios(turns: list[float], other: list[float]) -> str:
+    """How many times as long a turn takes, in the middle and at the slow end; both lists are sorted."""
+    rows = [(part, turns[int(part * len(turns))], other[int(part * len(other))]) for part in (0.5, 0.99)]
+    return ", ".join(f"a turn at {part:.0%} {late / early:.2f} times" for part, early, late in rows)
+
+
 def main() -> None:
     turns, cpu_s = live(20, None)
     for name, sync in (("recording", False), ("recording, waiting for the disk", True)):
         other, other_s = live(20, sync)
-        print(f"live, {name}: CPU {other_s / cpu_s:.2f} times, " + ", ".join(
-            f"a turn at {part:.0%} {other[int(part * len(other))] / turns[int(part * len(turns))]:.2f} times"
-            for part in (0.5, 0.99)))
+        print(f"live, {name}: CPU {other_s / cpu_s:.2f} times, {quantile_ratios(turns, other)}")
     place = folder() / "day"
     plain, recorded = [], []
     off = [day(2, None, plain)[0] for _ in range(3)]
