--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -57,9 +57,11 @@
         assert bare_write()[13:] == rows and shared() == data
         one, two, three = rate(read), rate(lambda: codec.write(sent, 7)), rate(shared)  # noqa: B023
         four, five = rate(bare_read), rate(bare_write)
-        print(f"{lines:4} lines: read {one:9.0f} (struct {four:9.0f}, {four / one:4.1f} times), "
-              f"write {two:9.0f} (struct {five:9.0f}, {five / two:4.1f} times), "
-              f"write with shared entries {three:9.0f} ({five / three:4.2f} times)")
+        print(
+            f"{lines:4} lines: read {one:9.0f} (struct {four:9.0f}, {four / one:4.1f} times), "
+            f"write {two:9.0f} (struct {five:9.0f}, {five / two:4.1f} times), "
+            f"write with shared entries {three:9.0f} ({five / three:4.2f} times)"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -25,8 +25,11 @@
 
 def main() -> None:
     director, places, _ = start_director(
-        folder(), proxies={"count": 1}, rules={"warm_after": "1s"},
-        channel={"lines_per_s": 1e9, "pending_lines": 1_000_000})  # the pacing of the settings is off
+        folder(),
+        proxies={"count": 1},
+        rules={"warm_after": "1s"},
+        channel={"lines_per_s": 1e9, "pending_lines": 1_000_000},
+    )  # the pacing of the settings is off
     try:
         wait_for(places["sasp"])
         fleet = member_stream(places["sasp"], range(9000, 9000 + SERVERS))
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -27,9 +27,11 @@
         took, calls = run(servers, 3 * servers, 10.0 * servers, 10)
         cost = took / calls * 1e6
         base = base or cost
-        print(f"{servers} servers, {3 * servers} proxies, {10 * servers} calls a second: "
-              f"{10 / took:.2f} times real, {calls / took:.0f} calls a second on a core, "
-              f"{cost:.0f} us a call, {cost / base:.2f} times that at 30")
+        print(
+            f"{servers} servers, {3 * servers} proxies, {10 * servers} calls a second: "
+            f"{10 / took:.2f} times real, {calls / took:.0f} calls a second on a core, "
+            f"{cost:.0f} us a call, {cost / base:.2f} times that at 30"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -56,32 +56,47 @@
     ended.set()
     steady = [row for row in samples if row[0] > samples[0][0] + 10][:-3]
     cpu = (steady[-1][1] - steady[0][1]) / (steady[-1][0] - steady[0][0])
-    print(f"director: {cpu:.2f} of a core, {max(row[2] for row in steady):.0f} MB resident, "
-          f"{max(row[3] for row in steady)} threads")
+    print(
+        f"director: {cpu:.2f} of a core, {max(row[2] for row in steady):.0f} MB resident, "
+        f"{max(row[3] for row in steady)} threads"
+    )
     inbox = last["inbox"]
     mean_ms = inbox["sum_us"] / max(1, inbox["count"]) / 1e3
-    print(f"events for the core: {inbox['count']}, mean wait {mean_ms:.2f} ms, "
-          f"longest {inbox['most_us'] / 1e3:.1f} ms")
+    print(
+        f"events for the core: {inbox['count']}, mean wait {mean_ms:.2f} ms, "
+        f"longest {inbox['most_us'] / 1e3:.1f} ms"
+    )
     print(f"reports: {last['reports']}")
     logs = read_logs(day.folder)
-    drained = {(event["s"], event["t"]) for event in logs
-               if event["k"] == "said" and event["what"] == "draining"}
+    drained = {
+        (event["s"], event["t"]) for event in logs if event["k"] == "said" and event["what"] == "draining"
+    }
     reads, stops, shares = [], [], []
     for server, told in sorted(drained, key=lambda pair: pair[1]):
-        read = [event["t"] for event in logs if event["k"] == "weights" and event["t"] >= told
-                for name, weight, _ in event["m"] if name == server and not weight]
-        tries = [event["t"] for event in logs
-                 if event["k"] == "try" and event["s"] == server and event["t"] > told]
+        read = [
+            event["t"]
+            for event in logs
+            if event["k"] == "weights" and event["t"] >= told
+            for name, weight, _ in event["m"]
+            if name == server and not weight
+        ]
+        tries = [
+            event["t"] for event in logs if event["k"] == "try" and event["s"] == server and event["t"] > told
+        ]
         reads += [(moment - told) / 1e3 for moment in read]
         shares.append((max(read) - told) / 1e3)
         stops.append((max(tries, default=told) - told) / 1e3)
     print(row("drain told until a proxy has read it", reads, "ms"))
     print(row("drain told until its last proxy has read it", shares, "ms"))
     print(row("drain told until its last call began", stops, "ms"))
-    print(f"proxies a drain: {len(reads) / len(drained):.0f}; pace of the settings for them: "
-          f"{len(reads) / len(drained) * 7 / 2500 * 1e3:.0f} ms")
-    print(f"service {verdict.share():.4f}; rules kept: {verdict.kept}; "
-          + ", ".join(f"{rule.name} {rule.nearest:.0%}" for rule in verdict.rules))
+    print(
+        f"proxies a drain: {len(reads) / len(drained):.0f}; pace of the settings for them: "
+        f"{len(reads) / len(drained) * 7 / 2500 * 1e3:.0f} ms"
+    )
+    print(
+        f"service {verdict.share():.4f}; rules kept: {verdict.kept}; "
+        + ", ".join(f"{rule.name} {rule.nearest:.0%}" for rule in verdict.rules)
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -26,18 +26,23 @@
 def start_director(folder: Path, **parts) -> tuple[subprocess.Popen, dict[str, tuple[str, int]], Path]:
     """A director in a process of its own: the process, where it listens, its settings file."""
     ports = dict(zip(("sasp", "otlp", "status"), free_ports(3), strict=True))
-    plain = {"director": {"settle": "200ms"},
-             "listen": {name: f"127.0.0.1:{port}" for name, port in ports.items()},
-             "routes": [{"name": "lookup", "slo_time": "500ms", "time_limit": "2s"}],
-             "log": {"level": "warning"}, **parts}
+    plain = {
+        "director": {"settle": "200ms"},
+        "listen": {name: f"127.0.0.1:{port}" for name, port in ports.items()},
+        "routes": [{"name": "lookup", "slo_time": "500ms", "time_limit": "2s"}],
+        "log": {"level": "warning"},
+        **parts,
+    }
     config = folder / "director.json5"
     config.write_text(json.dumps(plain))
     return launch(config), {name: ("127.0.0.1", port) for name, port in ports.items()}, config
 
 
 def launch(config: Path) -> subprocess.Popen:
-    return subprocess.Popen([sys.executable, "-m", "rainpick", "run", "--config", str(config)],
-                            env={**os.environ, "PYTHONPATH": os.getcwd()})
+    return subprocess.Popen(
+        [sys.executable, "-m", "rainpick", "run", "--config", str(config)],
+        env={**os.environ, "PYTHONPATH": os.getcwd()},
+    )
 
 
 def wait_for(place: tuple[str, int], limit_s: float = 20.0) -> None:
@@ -66,8 +71,10 @@
         for uid in self.uids:
             sock = socket.create_connection(self.place, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.sendall(codec.write(SetLbState(uid), 1)
-                         + codec.write(Registration((Members(Group(uid, "servers"), self.held),), True), 2))
+            sock.sendall(
+                codec.write(SetLbState(uid), 1)
+                + codec.write(Registration((Members(Group(uid, "servers"), self.held),), True), 2)
+            )
             self.streams[sock] = codec.Framer(1 << 22)
             self.selector.register(sock, selectors.EVENT_READ)
 
@@ -95,10 +102,10 @@
         framer.held += data
         seen = False
         while len(framer.held) >= 15:
-            length, = struct.unpack_from(">I", framer.held, 5)
+            (length,) = struct.unpack_from(">I", framer.held, 5)
             if len(framer.held) < length:
                 break
-            kind, = struct.unpack_from(">H", framer.held, 13)
+            (kind,) = struct.unpack_from(">H", framer.held, 13)
             seen = seen or kind == codec.SEND_WEIGHTS
             del framer.held[:length]
         return seen
@@ -165,7 +172,7 @@
 def member_stream(place: tuple[str, int], ports: range, label: str = "age=1000;boot=1") -> SaspClient:
     client = SaspClient(place)
     for begin in range(ports.start, ports.stop, 500):
-        members = tuple(Member.at("127.0.0.1", port, label) for port in ports[begin - ports.start:][:500])
+        members = tuple(Member.at("127.0.0.1", port, label) for port in ports[begin - ports.start :][:500])
         assert client.ask(Registration((Members(FLEET, members),))).code == codec.SUCCESS
     return client
 
@@ -178,5 +185,7 @@
     """Median, 99th percentile, least and most."""
     ordered = sorted(values)
     p99 = ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))]
-    return (f"{name:<44} median {statistics.median(ordered):9.3f}  99% {p99:9.3f}  "
-            f"min {ordered[0]:9.3f}  max {ordered[-1]:9.3f} {unit}")
+    return (
+        f"{name:<44} median {statistics.median(ordered):9.3f}  99% {p99:9.3f}  "
+        f"min {ordered[0]:9.3f}  max {ordered[-1]:9.3f} {unit}"
+    )
--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -44,8 +44,13 @@
             sock = socket.create_connection(place, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             topics = (payloads.orders_topic(uid), 1), (f"{payloads.ROOT}/table/+", 1)
-            sock.sendall(mqtt.write(mqtt.Connect(uid)) + mqtt.write(mqtt.Subscribe(1, topics)) + mqtt.write(
-                mqtt.Publish(payloads.up_topic(uid, "presence"), payloads.encode(Presence("here")), 1, 2)))
+            sock.sendall(
+                mqtt.write(mqtt.Connect(uid))
+                + mqtt.write(mqtt.Subscribe(1, topics))
+                + mqtt.write(
+                    mqtt.Publish(payloads.up_topic(uid, "presence"), payloads.encode(Presence("here")), 1, 2)
+                )
+            )
             self.framers[sock] = mqtt.Framer(1 << 24)
             self.selector.register(sock, selectors.EVENT_READ)
 
@@ -106,10 +111,13 @@
 
 
 def begin(**parts):
-    port, = free_ports(1)
+    (port,) = free_ports(1)
     director, places, config = start_director(
-        folder(), proxies={"count": 1}, rules={"warm_after": "4s"},
-        channel={"lines_per_s": 1e9, "pending_lines": 10_000_000})
+        folder(),
+        proxies={"count": 1},
+        rules={"warm_after": "4s"},
+        channel={"lines_per_s": 1e9, "pending_lines": 10_000_000},
+    )
     director.kill()
     director.wait()
     plain = json.loads(config.read_text())
@@ -123,9 +131,11 @@
 
 def newest(places):
     """The digest of the table as it is now; None before there is one."""
+
     def ask():
         tables = status(places["status"]).get("tables")
         return tables[0]["digest"] if tables else None
+
     return ask
 
 
@@ -151,14 +161,29 @@
             del proxies.framers[sock], proxies.digests[sock]
         proxies.until(newest(places))
         after = status(places["status"])["subscribers"]
-        whole = len(payloads.encode(payloads.Whole("0-0000000000000", 0, 99, "0" * 16, tuple(
-            Line(f"127.0.0.1:{9000 + port}", 4096) for port in range(SERVERS)))))
-        found = {"messages": proxies.messages, "bytes": after["bytes"] - before["bytes"],
-                 "as_wholes": proxies.messages * whole, "cpu_s": usage(director.pid)[0] - cpu,
-                 "memory_mb": usage(director.pid)[1], "wholes": after["wholes"] - before["wholes"]}
+        whole = len(
+            payloads.encode(
+                payloads.Whole(
+                    "0-0000000000000",
+                    0,
+                    99,
+                    "0" * 16,
+                    tuple(Line(f"127.0.0.1:{9000 + port}", 4096) for port in range(SERVERS)),
+                )
+            )
+        )
+        found = {
+            "messages": proxies.messages,
+            "bytes": after["bytes"] - before["bytes"],
+            "as_wholes": proxies.messages * whole,
+            "cpu_s": usage(director.pid)[0] - cpu,
+            "memory_mb": usage(director.pid)[1],
+            "wholes": after["wholes"] - before["wholes"],
+        }
         found["let_go"] = status(places["status"])["streams"]["let_go"]
         found["drains"], found["floor"] = (
-            drains(places, fleet, proxies, many) if many == 300 and not silent else ([], []))
+            drains(places, fleet, proxies, many) if many == 300 and not silent else ([], [])
+        )
         proxies.close()
         return found
     finally:
@@ -227,8 +252,12 @@
         deploy(fleet, turn)
         turn(7.0)
         after = status(places["status"])["engine"]
-        return {"messages": after["messages"] - before["messages"], "cpu_s": usage(director.pid)[0] - cpu,
-                "lines": after["lines"] - before["lines"], "memory_mb": usage(director.pid)[1]}
+        return {
+            "messages": after["messages"] - before["messages"],
+            "cpu_s": usage(director.pid)[0] - cpu,
+            "lines": after["lines"] - before["lines"],
+            "memory_mb": usage(director.pid)[1],
+        }
     finally:
         director.terminate()
         director.wait(10)
@@ -238,16 +267,22 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (20_000, 20_000))
     rows = {many: over_mqtt(many) for many in (100, 300, 1000)}
     for many, found in rows.items():
-        print(f"{many} proxies: {found['messages']} messages, {found['bytes'] / 1e6:.2f} MB "
-              f"({found['wholes']} wholes), wholes alone would be {found['as_wholes'] / 1e6:.2f} MB: "
-              f"{found['bytes'] / found['as_wholes']:.3f}; CPU {found['cpu_s']:.2f} s, "
-              f"{found['cpu_s'] / many * 1e3:.2f} ms a proxy; {found['memory_mb']:.0f} MB resident")
+        print(
+            f"{many} proxies: {found['messages']} messages, {found['bytes'] / 1e6:.2f} MB "
+            f"({found['wholes']} wholes), wholes alone would be {found['as_wholes'] / 1e6:.2f} MB: "
+            f"{found['bytes'] / found['as_wholes']:.3f}; CPU {found['cpu_s']:.2f} s, "
+            f"{found['cpu_s'] / many * 1e3:.2f} ms a proxy; {found['memory_mb']:.0f} MB resident"
+        )
     silent = over_mqtt(300, 30)
-    print(f"300 proxies, 30 read nothing: {silent['memory_mb']:.0f} MB resident, {silent['let_go']} let go; "
-          f"with all reading {rows[300]['memory_mb']:.0f} MB")
+    print(
+        f"300 proxies, 30 read nothing: {silent['memory_mb']:.0f} MB resident, {silent['let_go']} let go; "
+        f"with all reading {rows[300]['memory_mb']:.0f} MB"
+    )
     sasp = over_sasp(300)
-    print(f"the same day over SASP, 300 proxies: {sasp['messages']} messages, CPU {sasp['cpu_s']:.2f} s, "
-          f"MQTT {rows[300]['cpu_s'] / sasp['cpu_s']:.2f} times; {sasp['memory_mb']:.0f} MB resident")
+    print(
+        f"the same day over SASP, 300 proxies: {sasp['messages']} messages, CPU {sasp['cpu_s']:.2f} s, "
+        f"MQTT {rows[300]['cpu_s'] / sasp['cpu_s']:.2f} times; {sasp['memory_mb']:.0f} MB resident"
+    )
     print(row("a drain until the last of 300 has the change", rows[300]["drains"], "ms"))
     print(row("floor: the same bytes", rows[300]["floor"], "ms"))
     ours, theirs = (statistics.median(rows[300][which]) for which in ("drains", "floor"))
--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -91,8 +91,9 @@
         if passed >= report:
             report += 1
             hosts = [("10.0.0.1", 9000 + chance.randrange(SERVERS)) for _ in range(80)]
-            engine.met([api.ServerMet(host, 0, chance.randint(4, 12), 0, 50_000, 1_000_000, ())
-                        for host in hosts])
+            engine.met(
+                [api.ServerMet(host, 0, chance.randint(4, 12), 0, 50_000, 1_000_000, ()) for host in hosts]
+            )
         now, due = 1_000_000 + int(passed * 1e6), engine.due_us()
         if not engine.events and (due is None or due > now):
             time.sleep(0.001)
@@ -134,12 +135,16 @@
         on.append(day(2, slowly, recorded)[0])
         recorder.close()
         lost += recorder.lost
-    print(f"core seconds for two minutes: off {min(off):.3f}, recording {min(on):.3f}: "
-          f"{min(on) / min(off):.3f} times; {lost} steps lost")
+    print(
+        f"core seconds for two minutes: off {min(off):.3f}, recording {min(on):.3f}: "
+        f"{min(on) / min(off):.3f} times; {lost} steps lost"
+    )
     for part in (0.5, 0.99, 0.999):
         without, with_it = (sorted(rows)[int(part * len(rows))] * 1e6 for rows in (plain, recorded))
-        print(f"a turn of the core at {part:.1%}: off {without:.0f} us, recording {with_it:.0f} us, "
-              f"{with_it / without:.2f} times")
+        print(
+            f"a turn of the core at {part:.1%}: off {without:.0f} us, recording {with_it:.0f} us, "
+            f"{with_it / without:.2f} times"
+        )
     life = Life(0, "bench", "", 1_000_000, 1_000_000, {})
     recorder = Recorder(place, life, 64 << 20, 0, 0, False)
 
@@ -151,16 +156,20 @@
     core_s, steps, events = day(MINUTES, step)
     recorder.close()
     size = sum(path.stat().st_size for path in place.iterdir())
-    print(f"{MINUTES} minutes: {steps} steps, {events} events, {size / 1e6:.2f} MB, "
-          f"{size / events:.1f} bytes an event, {size * 144 / 1e9 * 10 / MINUTES:.2f} GB a day")
+    print(
+        f"{MINUTES} minutes: {steps} steps, {events} events, {size / 1e6:.2f} MB, "
+        f"{size / events:.1f} bytes an event, {size * 144 / 1e9 * 10 / MINUTES:.2f} GB a day"
+    )
     begin = time.perf_counter()
-    one, = [play(life, rows) for life, rows in lives(read(place))]
+    (one,) = [play(life, rows) for life, rows in lives(read(place))]
     took = time.perf_counter() - begin
-    print(f"replay: {took:.2f} s for {MINUTES} minutes, a day of 24 h in "
-          f"{took * 144 * 10 / MINUTES / 60:.1f} min; {one.differing} steps differ; "
-          f"{took / core_s:.2f} times the engine's own time")
+    print(
+        f"replay: {took:.2f} s for {MINUTES} minutes, a day of 24 h in "
+        f"{took * 144 * 10 / MINUTES / 60:.1f} min; {one.differing} steps differ; "
+        f"{took / core_s:.2f} times the engine's own time"
+    )
     begin = time.perf_counter()
-    one, = [play(life, rows, compare=True) for life, rows in lives(read(place))]
+    (one,) = [play(life, rows, compare=True) for life, rows in lives(read(place))]
     told = time.perf_counter() - begin
     rows = sum(len(pair[0]) + len(pair[1]) for pair in one.compared.series.values())
     print(f"the same, told in users' terms: {told / took:.2f} times that; {rows} points kept")
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -13,23 +13,29 @@
 
 def frames() -> list[bytes]:
     flags = codec.CONTACT | codec.SELF_REGISTERED | codec.CONFIDENT
-    entries = b"".join(codec.write_entry(codec.Weight(Member.at("127.0.0.1", 9000 + port), 4096, flags))
-                       for port in range(SERVERS))
+    entries = b"".join(
+        codec.write_entry(codec.Weight(Member.at("127.0.0.1", 9000 + port), 4096, flags))
+        for port in range(SERVERS)
+    )
     groups = (codec.write_group(Group(f"edge-{number}", "servers")) for number in range(MANY))
     return [codec.send_weights_frame(7, group, SERVERS, entries) for group in groups]
 
 
 def hello() -> int:
     """Bytes of the two requests of the proxy with the shortest UID: all of them have come by then."""
-    return len(codec.write(codec.SetLbState("edge-0"))) + len(codec.write(
-        codec.Registration((codec.Members(Group("edge-0", "servers")),), True)))
+    return len(codec.write(codec.SetLbState("edge-0"))) + len(
+        codec.write(codec.Registration((codec.Members(Group("edge-0", "servers")),), True))
+    )
 
 
 def main() -> None:
     place = folder()
     director, places, config = start_director(
-        place, proxies={"count": 1}, director={"settle": "200ms", "list_cache": str(place / "list.json")},
-        channel={"lines_per_s": 1e9, "pending_lines": 10_000_000})
+        place,
+        proxies={"count": 1},
+        director={"settle": "200ms", "list_cache": str(place / "list.json")},
+        channel={"lines_per_s": 1e9, "pending_lines": 10_000_000},
+    )
     ours, dialled, theirs = [], [], []
     try:
         wait_for(places["sasp"])
--- a/rainpick/balance.py
+++ b/rainpick/balance.py
@@ -65,7 +65,7 @@
 
 
 def step_down(part, ratio):
-    return max(EASE_LEAST, part * max(EASE_MOST, ratio ** EASE_POWER))
+    return max(EASE_LEAST, part * max(EASE_MOST, ratio**EASE_POWER))
 
 
 def even(wants, limit):
@@ -258,8 +258,11 @@
             proxy.place.proxies.pop(event.proxy)
 
     def unbound(self):
-        return [proxy for place in (self.loose, *(table.loose for table in self.tables))
-                for proxy in place.proxies.values()]
+        return [
+            proxy
+            for place in (self.loose, *(table.loose for table in self.tables))
+            for proxy in place.proxies.values()
+        ]
 
     def reach(self, held):
         """Who is not bound yet and may hold the server: what a former director laid, or anything."""
@@ -305,9 +308,16 @@
             self.slices[event.slice][event.server] = event.weight
 
     HEAR = {
-        api.Listed: listed, api.TimerDue: timer, api.ProxyJoined: joined, api.ProxyLeft: left,
-        api.Applied: applied, api.Repeated: repeated, api.ServerMet: met, api.ProxyMet: called,
-        api.SliceGiven: slice_given, api.SliceLine: slice_line,
+        api.Listed: listed,
+        api.TimerDue: timer,
+        api.ProxyJoined: joined,
+        api.ProxyLeft: left,
+        api.Applied: applied,
+        api.Repeated: repeated,
+        api.ServerMet: met,
+        api.ProxyMet: called,
+        api.SliceGiven: slice_given,
+        api.SliceLine: slice_line,
     }
 
     # Desired state
@@ -404,14 +414,22 @@
                 rows[held.entry.zone].append((tries, lost))
         sums = {zone: [sum(column) for column in zip(*rows[zone], strict=True)] for zone in rows}
         for zone, (tries, lost) in sums.items():
-            others, theirs = (sum(column) - own for column, own in
-                              zip(zip(*sums.values(), strict=True), (tries, lost), strict=True))
+            others, theirs = (
+                sum(column) - own
+                for column, own in zip(zip(*sums.values(), strict=True), (tries, lost), strict=True)
+            )
             usual = theirs / max(1, others)
             failing = sum(lost > EJECT_SHARE * tries for tries, lost in rows[zone])
             sure = lost - usual * tries > SURE * (tries * usual * (1 - usual) + 1) ** 0.5
-            if (sure and lost >= 2 * EJECT_DROPS and lost - usual * tries > EJECT_SHARE * tries
-                    and 2 * failing > len(rows[zone]) and failing >= CUT_SERVERS and others > tries
-                    and usual < 1 - CALM):
+            if (
+                sure
+                and lost >= 2 * EJECT_DROPS
+                and lost - usual * tries > EJECT_SHARE * tries
+                and 2 * failing > len(rows[zone])
+                and failing >= CUT_SERVERS
+                and others > tries
+                and usual < 1 - CALM
+            ):
                 return zone
         return None
 
@@ -420,8 +438,9 @@
 
         That is the slower to let go of what is truly lost, so what is met at one of them counts for all.
         """
-        missing = {held: held.drops.sums(self.bucket)[:2]
-                   for held in self.servers.values() if held.state == MISSING}
+        missing = {
+            held: held.drops.sums(self.bucket)[:2] for held in self.servers.values() if held.state == MISSING
+        }
         worse = max(0.5, 1 - self.answering + EJECT_SHARE)  # in a jam those that answer drop, too
         tries, dropped = (sum(column) for column in zip((TRIAL_TRIES, 0), *missing.values(), strict=True))
         lost = dropped > tries * worse
@@ -436,18 +455,23 @@
         is judged once most of its servers have been heard of: the first reports come from those most used.
         """
         cost, chance, kinds = {}, {}, {}
-        able = [held for held in self.servers.values()
-                if self.warm(held) and not held.eject_until and held.back_us is None]
+        able = [
+            held
+            for held in self.servers.values()
+            if self.warm(held) and not held.eject_until and held.back_us is None
+        ]
         for held in able:
             tries, dropped, took = held.times.sums(self.now // self.ease_us)
             if tries >= OVERRUN_TRIES:
                 cost[held] = (took + dropped * self.slo_us * 2) / tries
-                chance[held] = 1 + OVERRUN_SURE * tries ** -0.5
+                chance[held] = 1 + OVERRUN_SURE * tries**-0.5
                 kinds.setdefault(held.entry.machine, []).append((cost[held], tries))
         many = Counter(held.entry.machine for held in able)
-        kinds = {kind: median(took for took, _ in rows) for kind, rows in kinds.items()
-                 if len(rows) > max(1, KIND_HEARD * many[kind])
-                 and sum(tries for _, tries in rows) >= KIND_TRIES}
+        kinds = {
+            kind: median(took for took, _ in rows)
+            for kind, rows in kinds.items()
+            if len(rows) > max(1, KIND_HEARD * many[kind]) and sum(tries for _, tries in rows) >= KIND_TRIES
+        }
         settle_us = max(SETTLE_TICKS * TICK_US, 2 * self.bucket_us)
         worst, best = max(kinds, key=kinds.get, default=None), min(kinds, key=kinds.get, default=None)
         if worst is not None and kinds[worst] > max(KIND_TIME * kinds[best], KIND_SLO * self.slo_us):
@@ -500,7 +524,7 @@
             self.high, self.limit_us = self.limit / max(self.warm_now, 1e-9), self.now + 2 * TICK_US
             self.limit = max(THROTTLE_LEAST * self.least, THROTTLE_PART * self.limit)
         elif not pressed:
-            rise = THROTTLE_RISE if self.load > THROTTLE / 2 else THROTTLE_RISE ** 3
+            rise = THROTTLE_RISE if self.load > THROTTLE / 2 else THROTTLE_RISE**3
             self.limit *= rise if self.limit < self.high * self.warm_now else THROTTLE_NEAR
         levels, left = {}, self.limit * usual
         for route in sorted(self.routes, key=lambda route: -self.get(f"routes.{route}.importance", 1)):
@@ -582,8 +606,9 @@
         usual = rate * max(1, self.expected / max(1, len(self.proxies))) / usable
         for held in self.servers.values():
             if held.part and not held.warm:
-                brought = sum(rates[table] * self.weight(held, table) / (laid[table] or 1.0)
-                              for table in held.tables)
+                brought = sum(
+                    rates[table] * self.weight(held, table) / (laid[table] or 1.0) for table in held.tables
+                )
                 fair = usual * held.laid()
                 held.crowd = fair / brought if brought > fair else 1.0
 
@@ -605,7 +630,7 @@
             for kind in ((held.entry.machine, False), (held.entry.machine, True)):
                 group = [table for table in self.tables if self.is_far(held, table) == kind[1]]
                 group.sort(key=lambda table: (weights[table, kind], self.draw(held, table.number)))
-                for table in group[:self.copies]:
+                for table in group[: self.copies]:
                     held.tables.append(table)
                     weights[table, kind] += held.entry.weight
                     weights[table] += self.weight(held, table)
@@ -646,8 +671,12 @@
         room = min(self.pending, QUEUE * self.grace_lines)
         bind = Claim(1, self.pending - (1 + ROOM) / 2 * room, 1.0)
         return Claims(
-            rule=Claim(1, 0, None), drain=Claim(1, 0, 1.0), bind=bind, ejection=bind._replace(messages=2),
-            ramp=Claim(3, self.pending - ROOM * room, ROOM))
+            rule=Claim(1, 0, None),
+            drain=Claim(1, 0, 1.0),
+            bind=bind,
+            ejection=bind._replace(messages=2),
+            ramp=Claim(3, self.pending - ROOM * room, ROOM),
+        )
 
     def update_tables(self):
         """Write what changed: first what the rules need, then what has a deadline, then ramp steps."""
@@ -663,8 +692,10 @@
         self.assign_servers()
         self.uncrowd()
         late = self.withdraw(claims)
-        served, heated = ({number for held in group if not held.shut for number in held.told}
-                          for group in (self.servers.values(), warm))
+        served, heated = (
+            {number for held in group if not held.shut for number in held.told}
+            for group in (self.servers.values(), warm)
+        )
         self.fill_bare_tables(served, claims.rule)
         self.tell_levels(claims.rule._replace(messages=2))
         self.bind_waiting(claims)  # before the rest, as what an unbound proxy holds may have drained
@@ -718,10 +749,16 @@
         """Cold servers must not wait for the tick to get much less, nor, on a table alone, for warm ones."""
         for held in [held for held in self.servers.values() if held.part]:
             # A table that nobody uses has nothing to be told of a server that is not to be readmitted.
-            cool = [table for table in held.tables if table.number not in heated
-                    and (table.used or held.shut)] if held in warm else ()
-            sinks = [table for table in held.tables if not held.shut
-                     and held.told.get(table.number, 0.0) > 1.5 * self.weight(held, table)]
+            cool = (
+                [table for table in held.tables if table.number not in heated and (table.used or held.shut)]
+                if held in warm
+                else ()
+            )
+            sinks = [
+                table
+                for table in held.tables
+                if not held.shut and held.told.get(table.number, 0.0) > 1.5 * self.weight(held, table)
+            ]
             # They may use what is kept for drains, all in one message, and each table as it can: half a zone
             # was back in a second, told in six pieces, and waited for all of its tables' proxies at once. So
             # may warm lines for a table of cold ones: it waited 3 s, and then the other zone was lost.
@@ -798,8 +835,16 @@
         since_us += [held.drained_us for group in drained.values() for held in group]
         used = (self.now - min(since_us, default=self.now)) / self.grace_us
         queue = self.queue
-        return ChannelState(queue.waiting, queue.backlog(), queue.limit, queue.span, len(unbound),
-                            len(drained), used, self.takeover)
+        return ChannelState(
+            queue.waiting,
+            queue.backlog(),
+            queue.limit,
+            queue.span,
+            len(unbound),
+            len(drained),
+            used,
+            self.takeover,
+        )
 
     def withdraw(self, claims):
         """Withdraw what drains or is ejected; returns the tables that still use one that drains.
@@ -820,8 +865,9 @@
         self.clean_tables(claims.drain)
         # Ejections, and what only a list that may be wrong calls gone, leave room and a message to drains:
         # a queue that they had filled let drains in one by one, each with the heads of its messages.
-        for held in sorted((held for held in closing if held.state == READY or held.doubted),
-                           key=lambda held: held.doubted):
+        for held in sorted(
+            (held for held in closing if held.state == READY or held.doubted), key=lambda held: held.doubted
+        ):
             self.withdraw_all(held, claims.ejection)
         return set(self.drained_lines())
 
--- a/rainpick/cli/main.py
+++ b/rainpick/cli/main.py
@@ -19,6 +19,7 @@
 
 def plain_errors(command: Callable) -> Callable:
     """Faults of files and places are told in a line each, without a traceback."""
+
     @wraps(command)
     def run(*words, **named):
         from rainpick.http1.client import ClientError
@@ -31,6 +32,7 @@
         except (OSError, ClientError) as flaw:
             click.echo(f"rainpick: {flaw}", err=True)
             sys.exit(1)
+
     return run
 
 
@@ -194,8 +196,9 @@
 @plain_errors
 def tables_diff(table: int, first: int, second: int, at: str) -> None:
     """What differs between two versions."""
-    old, new = (tables_of(at, "/tables/show", {"table": table, "version": one})["lines"]
-                for one in (first, second))
+    old, new = (
+        tables_of(at, "/tables/show", {"table": table, "version": one})["lines"] for one in (first, second)
+    )
     for server in sorted(old.keys() | new.keys()):
         if old.get(server) != new.get(server):
             click.echo(f"{server:<24} {old.get(server, '-')!s:>6} -> {new.get(server, '-')!s}")
@@ -304,11 +307,13 @@
 
 @record.command("show")
 @click.argument("folders", nargs=-1, required=True, type=click.Path(file_okay=False, exists=True))
-@click.option("--from", "begin", type=float, default=0.0, metavar="SECOND",
-              help="Seconds from the first step.")
+@click.option(
+    "--from", "begin", type=float, default=0.0, metavar="SECOND", help="Seconds from the first step."
+)
 @click.option("--until", "end", type=float, metavar="SECOND")
-@click.option("--reports-by-time", is_flag=True,
-              help="Reports by when what they tell of began; both places are told.")
+@click.option(
+    "--reports-by-time", is_flag=True, help="Reports by when what they tell of began; both places are told."
+)
 @plain_errors
 def record_show(folders: tuple[str, ...], begin: float, end: float | None, reports_by_time: bool) -> None:
     """What was heard and ordered, a line each; several records are shown on one clock."""
@@ -351,20 +356,44 @@
 
 @main.command()
 @click.argument("folders", nargs=-1, required=True, type=click.Path(file_okay=False, exists=True))
-@click.option("--set", "changes", multiple=True, metavar="NAME=VALUE",
-              help="Another setting for the decisions, by the module's name; may be given again.")
+@click.option(
+    "--set",
+    "changes",
+    multiple=True,
+    metavar="NAME=VALUE",
+    help="Another setting for the decisions, by the module's name; may be given again.",
+)
 @click.option("--settings", "file", type=CONFIG, help="Another settings file, in place of the recorded one.")
 @click.option("--module", "text", type=CONFIG, help="Another text of the module; it is run as it stands.")
-@click.option("--until", "end", type=float, metavar="SECOND",
-              help="With --inspect: seconds from the life's begin; of several records, from the first.")
+@click.option(
+    "--until",
+    "end",
+    type=float,
+    metavar="SECOND",
+    help="With --inspect: seconds from the life's begin; of several records, from the first.",
+)
 @click.option("--inspect", "what", metavar="WHAT", help="fleet, server=HOST:PORT, table=N or proxy=N.")
-@click.option("--life", "number", type=int, default=-1,
-              help="With --inspect of one record: which, from 0; else the last.")
+@click.option(
+    "--life",
+    "number",
+    type=int,
+    default=-1,
+    help="With --inspect of one record: which, from 0; else the last.",
+)
 @click.option("--html", type=click.Path(dir_okay=False), help="Write the report as a page with charts.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @plain_errors
-def replay(folders: tuple[str, ...], changes: tuple[str, ...], file: str | None, text: str | None,
-           end: float | None, what: str | None, number: int, html: str | None, as_json: bool) -> None:
+def replay(
+    folders: tuple[str, ...],
+    changes: tuple[str, ...],
+    file: str | None,
+    text: str | None,
+    end: float | None,
+    what: str | None,
+    number: int,
+    html: str | None,
+    as_json: bool,
+) -> None:
     """Feed recorded days to the decisions again: 0 if every order is the same, 1 if not.
 
     Several directors' records of a day are played side by side on the wall's clock.
--- a/rainpick/cli/show.py
+++ b/rainpick/cli/show.py
@@ -25,21 +25,33 @@
 
 
 def status(found: dict[str, Any]) -> None:
-    console.print(f"director {found['director']}: {found['phase']}, up {found['up_s']:.0f} s, "
-                  f"{found['threads']} threads, {found['streams']['open']} streams")
+    console.print(
+        f"director {found['director']}: {found['phase']}, up {found['up_s']:.0f} s, "
+        f"{found['threads']} threads, {found['streams']['open']} streams"
+    )
     if "channel" not in found:
         return
     channel, reports = found["channel"], found["reports"]
-    console.print(f"channel: {channel['lines']} lines wait, {channel['lines_most']} at most so far, "
-                  f"{channel['limit']} may; {channel['blocked']} proxies take nothing by themselves")
+    console.print(
+        f"channel: {channel['lines']} lines wait, {channel['lines_most']} at most so far, "
+        f"{channel['limit']} may; {channel['blocked']} proxies take nothing by themselves"
+    )
     console.print("reports: " + ", ".join(f"{many} {name}" for name, many in reports.items()))
     table = Table("server", "state", "listed", "zone", "machine", "pod", "age", "advice by table")
     for server in found["servers"]:
         advice = " ".join(f"{name}:{weight}" for name, weight in sorted(server["tables"].items()))
         age = "" if server["age_s"] is None else f"{server['age_s']:.0f} s"
         state = server["state"] + (" (withdrawn)" if server["withdrawn"] else "")
-        table.add_row(server["address"], state, f"{server['weight']:g}", server["zone"], server["machine"],
-                      str(server["pod"]), age, advice)
+        table.add_row(
+            server["address"],
+            state,
+            f"{server['weight']:g}",
+            server["zone"],
+            server["machine"],
+            str(server["pod"]),
+            age,
+            advice,
+        )
     console.print(table)
     table = Table("proxy", "number", "table", "calls a second", "how", "peer")
     for proxy in found["proxies"]:
@@ -61,8 +73,12 @@
 
 
 def flags(value: int) -> str:
-    names = {codec.CONTACT: "contact", codec.QUIESCE: "quiesce", codec.CONFIDENT: "confident",
-             codec.SELF_REGISTERED: "self-registered"}
+    names = {
+        codec.CONTACT: "contact",
+        codec.QUIESCE: "quiesce",
+        codec.CONFIDENT: "confident",
+        codec.SELF_REGISTERED: "self-registered",
+    }
     return " ".join(name for flag, name in names.items() if value & flag) or "-"
 
 
@@ -97,8 +113,14 @@
 def show_weights(groups: tuple[codec.Weights, ...], as_json: bool) -> None:
     rows = [(*entry.member.key(), entry.weight, entry.flags) for group in groups for entry in group.entries]
     if as_json:
-        click.echo(json.dumps([{"server": f"{host}:{port}", "weight": weight, "flags": flags(bits).split()}
-                               for host, port, weight, bits in rows]))
+        click.echo(
+            json.dumps(
+                [
+                    {"server": f"{host}:{port}", "weight": weight, "flags": flags(bits).split()}
+                    for host, port, weight, bits in rows
+                ]
+            )
+        )
         return
     for host, port, weight, bits in rows:
         click.echo(f"{host}:{port:<6} {weight:>6}  {flags(bits)}")
@@ -108,9 +130,11 @@
     """Says what happens as a day is played."""
     if quiet:
         return lambda *_: None
-    console.print(f"{scenario.name}: {scenario.servers} servers in {len(scenario.zones)} zones, "
-                  f"{scenario.proxies} proxies, {scenario.calls_per_s:g} calls a second, "
-                  f"{scenario.length / 1e6:g} s")
+    console.print(
+        f"{scenario.name}: {scenario.servers} servers in {len(scenario.zones)} zones, "
+        f"{scenario.proxies} proxies, {scenario.calls_per_s:g} calls a second, "
+        f"{scenario.length / 1e6:g} s"
+    )
     last = [-5.0]
 
     def say(second: float, text: str, looks: list) -> None:
@@ -123,11 +147,14 @@
                 if look and "channel" in look:
                     ready = sum(server["state"] == "ready" for server in look["servers"])
                     waiting, messages = look["channel"]["lines"], look["engine"]["messages"]
-                    parts.append(f"{ready} servers ready, {look['streams']['open']} streams, "
-                                 f"{messages} messages, {waiting} lines wait")
+                    parts.append(
+                        f"{ready} servers ready, {look['streams']['open']} streams, "
+                        f"{messages} messages, {waiting} lines wait"
+                    )
                 else:
                     parts.append("no director answers")
             console.print(f"{second:6.1f} s  " + "; ".join(parts))
+
     return say
 
 
@@ -138,14 +165,29 @@
 
 def verdict_json(verdict: Verdict, goal: float, good: bool) -> dict[str, Any]:
     return {
-        "good": good, "service": verdict.share(), "goal": goal,
-        "routes": {name: {"asked": row["asked"], "answered_in_time": row["good"],
-                          "median_ms": percentile(row["took"], 0.5) / 1e3,
-                          "p99_ms": percentile(row["took"], 0.99) / 1e3}
-                   for name, row in verdict.service.items()},
-        "rules": [{"name": rule.name, "checked": rule.checked, "breaches": len(rule.breaches),
-                   "nearest": rule.nearest, "nearest_who": rule.nearest_who,
-                   "first": vars(rule.breaches[0]) if rule.breaches else None} for rule in verdict.rules],
+        "good": good,
+        "service": verdict.share(),
+        "goal": goal,
+        "routes": {
+            name: {
+                "asked": row["asked"],
+                "answered_in_time": row["good"],
+                "median_ms": percentile(row["took"], 0.5) / 1e3,
+                "p99_ms": percentile(row["took"], 0.99) / 1e3,
+            }
+            for name, row in verdict.service.items()
+        },
+        "rules": [
+            {
+                "name": rule.name,
+                "checked": rule.checked,
+                "breaches": len(rule.breaches),
+                "nearest": rule.nearest,
+                "nearest_who": rule.nearest_who,
+                "first": vars(rule.breaches[0]) if rule.breaches else None,
+            }
+            for rule in verdict.rules
+        ],
         "repeats": verdict.repeats,
     }
 
@@ -155,9 +197,14 @@
     table = Table("route", "asked", "in SLO time", "share", "median", "99%", title="service")
     for name, row in found.service.items():
         share = row["good"] / row["asked"] if row["asked"] else 0.0
-        table.add_row(name, str(row["asked"]), str(row["good"]), f"{share:.4f}",
-                      f"{percentile(row['took'], 0.5) / 1e3:.0f} ms",
-                      f"{percentile(row['took'], 0.99) / 1e3:.0f} ms")
+        table.add_row(
+            name,
+            str(row["asked"]),
+            str(row["good"]),
+            f"{share:.4f}",
+            f"{percentile(row['took'], 0.5) / 1e3:.0f} ms",
+            f"{percentile(row['took'], 0.99) / 1e3:.0f} ms",
+        )
     console.print(table)
     advice(folder, found.span)
     table = Table("rule", "checked", "nearest to the limit", "breaches", title="the five rules")
@@ -171,8 +218,11 @@
             console.print(f"[red]{rule.name}: {second:.2f} s, {breach.who}: {breach.what}[/red]")
     if found.repeats:
         console.print("repeats: " + ", ".join(f"{many} {name}" for name, many in found.repeats.items()))
-    console.print(f"service {found.share():.4f}, goal {goal:g}; "
-                  + ("[green]good[/green]" if good else "[red]not good[/red]") + f"; logs in {folder}")
+    console.print(
+        f"service {found.share():.4f}, goal {goal:g}; "
+        + ("[green]good[/green]" if good else "[red]not good[/red]")
+        + f"; logs in {folder}"
+    )
 
 
 def advice(folder: Path, span: tuple[int, int], many: int = 6, columns: int = 48) -> None:
@@ -260,12 +310,15 @@
             for placed, heard, late in ordered(steps):
                 second = (late.began_us - life.now) / 1e6
                 after = (late.heard_us - late.began_us) / 1e6
-                click.echo(f"{second:10.3f} {life.director} {placed:>7} heard as {heard:>7}, {after:.3f} s "
-                           f"after its begin: {late.event}")
+                click.echo(
+                    f"{second:10.3f} {life.director} {placed:>7} heard as {heard:>7}, {after:.3f} s "
+                    f"after its begin: {late.event}"
+                )
 
 
-def inspect(folders: list[Path], what: str, end: float | None, number: int, module: Any,
-            as_json: bool) -> int:
+def inspect(
+    folders: list[Path], what: str, end: float | None, number: int, module: Any, as_json: bool
+) -> int:
     """What directors held at a moment. 0, or 2 if there is no such thing or moment."""
     from rainpick.record import inspect as look
     from rainpick.record.clock import reach_together
@@ -318,18 +371,41 @@
 def replay_json(one: Any) -> dict[str, Any]:
     told, begin = one.compared, one.life.now
     row: dict[str, Any] = {
-        "director": one.life.director, "epoch": one.life.epoch, "steps": one.steps, "orders": one.orders,
-        "differing": one.differing, "hole": one.hole and one.hole.why, "first": one.first and {
+        "director": one.life.director,
+        "epoch": one.life.epoch,
+        "steps": one.steps,
+        "orders": one.orders,
+        "differing": one.differing,
+        "hole": one.hole and one.hole.why,
+        "first": one.first
+        and {
             "second": (one.first.now - begin) / 1e6,
-            **{name: [repr(each) for each in rows[:8]] for name, rows in (
-                ("heard_before", one.first.before), ("heard", one.first.heard),
-                ("no_longer", one.first.recorded), ("instead", one.first.replayed))}}}
+            **{
+                name: [repr(each) for each in rows[:8]]
+                for name, rows in (
+                    ("heard_before", one.first.before),
+                    ("heard", one.first.heard),
+                    ("no_longer", one.first.recorded),
+                    ("instead", one.first.replayed),
+                )
+            },
+        },
+    }
     if told:
-        row |= {"counts": told.counts, "throttled_s": told.throttled_s, "tells_until_s": told.tells_until_s,
-                "parted": told.parted, "moved": [each._asdict() for each in told.moved],
-                "nearest": {name: [each and {"part": each.part, "second": (each.at_us - begin) / 1e6,
-                                             "who": each.who} for each in pair]
-                            for name, pair in told.nearest.items()}}
+        row |= {
+            "counts": told.counts,
+            "throttled_s": told.throttled_s,
+            "tells_until_s": told.tells_until_s,
+            "parted": told.parted,
+            "moved": [each._asdict() for each in told.moved],
+            "nearest": {
+                name: [
+                    each and {"part": each.part, "second": (each.at_us - begin) / 1e6, "who": each.who}
+                    for each in pair
+                ]
+                for name, pair in told.nearest.items()
+            },
+        }
     return row
 
 
@@ -337,9 +413,10 @@
     row, told = replay_json(one), one.compared
     many = one.differing
     same = f"[red]{many} steps differ[/red]" if many else "[green]the same[/green]"
-    console.print(f"director {one.life.director}, {one.life.epoch}: {one.steps} steps, "
-                  f"{one.orders} orders, {same}"
-                  + (f"; not to the end: {row['hole']}" if row["hole"] else ""))
+    console.print(
+        f"director {one.life.director}, {one.life.epoch}: {one.steps} steps, "
+        f"{one.orders} orders, {same}" + (f"; not to the end: {row['hole']}" if row["hole"] else "")
+    )
     if not one.first:
         return
     console.print(f"first at {row['first']['second']:.2f} s")
@@ -348,17 +425,24 @@
             console.print(f"  {name.replace('_', ' ')}: {each}", soft_wrap=True, markup=False)
     if told is None:
         return
-    tells = ("the recorded reports tell of both to the end" if told.tells_until_s is None else
-             f"[red]from {told.tells_until_s:.0f} s on the recorded reports answer other decisions too much "
-             "to tell how the day would have gone[/red]")
+    tells = (
+        "the recorded reports tell of both to the end"
+        if told.tells_until_s is None
+        else f"[red]from {told.tells_until_s:.0f} s on the recorded reports answer other decisions too much "
+        "to tell how the day would have gone[/red]"
+    )
     console.print(f"in the mean {told.parted:.1%} of the calls go to other servers; {tells}")
     table = Table("", "recorded", "replayed")
     for name, (old, new) in told.counts.items():
         table.add_row(name, str(old), str(new))
     table.add_row("seconds throttled", *(f"{each:.1f}" for each in told.throttled_s))
     for name, pair in told.nearest.items():
-        words = ("-" if each is None else
-                 f"{each.part:.0%} ({each.who}, {(each.at_us - one.life.now) / 1e6:.1f} s)" for each in pair)
+        words = (
+            "-"
+            if each is None
+            else f"{each.part:.0%} ({each.who}, {(each.at_us - one.life.now) / 1e6:.1f} s)"
+            for each in pair
+        )
         table.add_row(f"nearest: {name}", *words)
     console.print(table)
     table = Table("server", "share of calls recorded", "replayed", title="whose share moves most")
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -71,8 +71,13 @@
 class Core:
     """Turns what comes from sockets into events of the pure parts, and their orders into bytes."""
 
-    def __init__(self, settings: Settings, seed: int, module: Callable[[], Director] = Director,
-                 clock: Callable[[], int] = clock_us):
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        module: Callable[[], Director] = Director,
+        clock: Callable[[], int] = clock_us,
+    ):
         self.settings, self.seed, self.module, self.clock = settings, seed, module, clock
         self.log = structlog.get_logger(director=settings.director.number)
         now = clock()
@@ -82,8 +87,10 @@
         self.proxies = Proxies(settings)
         self.evidence = Evidence(
             Freshness(settings.otlp.late_after, settings.otlp.skew_most, settings.otlp.streams_most),
-            [route.name for route in settings.routes], settings.proxies.report_every,
-            settings.proxies.hears_per_s)
+            [route.name for route in settings.routes],
+            settings.proxies.report_every,
+            settings.proxies.hears_per_s,
+        )
         self.engine: Engine | None = None
         self.streams: dict[int, Stream] = {}
         self.unknown: dict[int, int] = {}  # streams that have not said what they are: until when they may
@@ -229,10 +236,17 @@
     def record(self, now: int) -> None:
         """Keep what the decisions are told and order, from the first step on."""
         words = self.settings.record
-        life = Life(self.settings.director.number, self.subscribers.epoch, module_digest(),
-                    time.time_ns() // 1000, now, self.settings.model_dump(mode="json"))
-        self.recorder = Recorder(Path(words.folder), life, words.segment_most, words.keep_most, words.keep,
-                                 words.sync)
+        life = Life(
+            self.settings.director.number,
+            self.subscribers.epoch,
+            module_digest(),
+            time.time_ns() // 1000,
+            now,
+            self.settings.model_dump(mode="json"),
+        )
+        self.recorder = Recorder(
+            Path(words.folder), life, words.segment_most, words.keep_most, words.keep, words.sync
+        )
         self.engine.stepper.watch = self.recorder.step
 
     def is_listed(self, server: tuple) -> bool:
@@ -330,9 +344,15 @@
                 which = self.member_says(stream, message)
                 stream.write(reply(which, asked.number, codec.SUCCESS))
         except RefusedMemberError as flaw:
-            which = next(number for build, number in (
-                (Registration, codec.REGISTRATION), (Deregistration, codec.DEREGISTRATION),
-                (SetMemberState, codec.SET_MEMBER_STATE)) if isinstance(message, build))
+            which = next(
+                number
+                for build, number in (
+                    (Registration, codec.REGISTRATION),
+                    (Deregistration, codec.DEREGISTRATION),
+                    (SetMemberState, codec.SET_MEMBER_STATE),
+                )
+                if isinstance(message, build)
+            )
             self.counts["refused"] += 1
             self.log.warning("refused", peer=stream.peer, why=str(flaw), code=flaw.code)
             stream.write(reply(which, asked.number, flaw.code))
@@ -348,15 +368,22 @@
                 self.membership.deregister(stream.number, group.group, group.members, now)
             else:
                 self.membership.set_state(stream.number, group.group, group.states)
-        return {Registration: codec.REGISTRATION, Deregistration: codec.DEREGISTRATION,
-                SetMemberState: codec.SET_MEMBER_STATE}[type(message)]
+        return {
+            Registration: codec.REGISTRATION,
+            Deregistration: codec.DEREGISTRATION,
+            SetMemberState: codec.SET_MEMBER_STATE,
+        }[type(message)]
 
     # Proxies
 
     def set_lb_state(self, stream: Stream, message: SetLbState) -> int:
         if not message.flags & codec.TRUST:
-            self.log.warning("refused", peer=stream.peer, proxy=message.uid,
-                             why="without the trust flag no server that registered itself may be named to it")
+            self.log.warning(
+                "refused",
+                peer=stream.peer,
+                proxy=message.uid,
+                why="without the trust flag no server that registered itself may be named to it",
+            )
             return codec.NOT_ACCEPTED
         if message.uid == self.settings.fleet.uid:
             return codec.NOT_ACCEPTED
@@ -408,8 +435,13 @@
         obeys = served.stream.number in self.subscribers.links
         self.engine.joined(served.number, True, rate, zone, served.standing, obeys, served.resumes)
         self.engine.blocked(served.number, not served.pushes)
-        self.log.info("proxy joined", proxy=served.uid, number=served.number, peer=served.stream.peer,
-                      holds=len(served.standing))
+        self.log.info(
+            "proxy joined",
+            proxy=served.uid,
+            number=served.number,
+            peer=served.stream.peer,
+            holds=len(served.standing),
+        )
 
     def get_weights(self, served: Served, number: int, message: GetWeights) -> None:
         interval = self.settings.sasp.poll_interval_s
@@ -540,8 +572,11 @@
     # The rest
 
     def on_points(self, batch: Batch, wall_ns: int, box: queue.SimpleQueue) -> None:
-        places = {served.uid: (served.number, self.proxies.place(served.uid)[0])
-                  for served in (self.by_uid.get(point.reporter) for point in batch.points) if served}
+        places = {
+            served.uid: (served.number, self.proxies.place(served.uid)[0])
+            for served in (self.by_uid.get(point.reporter) for point in batch.points)
+            if served
+        }
         known = self.engine.listed if self.engine is not None else {}
         box.put(self.weigh(batch.points, wall_ns, places, known))
 
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -53,23 +53,40 @@
                 core.put("remembered", kept)
         self.status_front = Server("status", settings.listen.status, handler(core), connections_most=64)
         otlp = settings.otlp
-        self.otlp_front = Server("otlp", settings.listen.otlp, receiver(core.report), otlp.body_most,
-                                 otlp.connections_most, otlp.idle / 1e6)
+        self.otlp_front = Server(
+            "otlp",
+            settings.listen.otlp,
+            receiver(core.report),
+            otlp.body_most,
+            otlp.connections_most,
+            otlp.idle / 1e6,
+        )
         numbers = count(1)
 
         def opener(end: Callable[[], DirectorEnd | PacketReader]) -> Callable[[socket.socket, str], None]:
             def opened(sock: socket.socket, peer: str) -> None:
-                core.put("opened", Stream(next(numbers), sock, peer, end(),
-                                          lambda stream, found: core.put("came", stream, found)))
+                core.put(
+                    "opened",
+                    Stream(
+                        next(numbers),
+                        sock,
+                        peer,
+                        end(),
+                        lambda stream, found: core.put("came", stream, found),
+                    ),
+                )
+
             return opened
 
         backlog = min(4096, settings.sasp.streams_most)
-        self.sasp_front = Listener(settings.listen.sasp, backlog,
-                                   opener(lambda: DirectorEnd(settings.sasp.frame_most)))
+        self.sasp_front = Listener(
+            settings.listen.sasp, backlog, opener(lambda: DirectorEnd(settings.sasp.frame_most))
+        )
         self.mqtt_front = self.mqtt = None
         if settings.listen.mqtt is not None:
-            self.mqtt_front = Listener(settings.listen.mqtt, backlog,
-                                       opener(lambda: PacketReader(settings.mqtt.packet_most)))
+            self.mqtt_front = Listener(
+                settings.listen.mqtt, backlog, opener(lambda: PacketReader(settings.mqtt.packet_most))
+            )
             self.mqtt = self.mqtt_front.address
         self.sasp, self.otlp = self.sasp_front.address, self.otlp_front.address
         self.status = self.status_front.address
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -56,8 +56,9 @@
     def __init__(self, settings: Settings, seed: int, now: int, module: Callable[[], Director] = Director):
         self.stepper, self.settings = Stepper(seed, plain_map(settings), module), settings
         channel = settings.channel
-        self.channel = Channel(channel.lines_per_s, channel.head_lines, channel.messages_most,
-                               channel.messages_over)
+        self.channel = Channel(
+            channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
+        )
         self.listed: dict[Hashable, api.Server] = {}
         self.tables = Tables(Scale(settings.fleet.weight_most), self.listed_weight)
         self.applied: list[api.Applied] = []
@@ -76,8 +77,16 @@
             self.listed[entry.address] = entry
         self.stepper.events.append(update)
 
-    def joined(self, proxy: int, fresh: bool, rate: float, zone: int, standing, obeys: bool = False,
-               holds: Snapshot | None = None) -> None:
+    def joined(
+        self,
+        proxy: int,
+        fresh: bool,
+        rate: float,
+        zone: int,
+        standing,
+        obeys: bool = False,
+        holds: Snapshot | None = None,
+    ) -> None:
         self.tables.join(proxy, standing, obeys, holds)
         self.channel.joined(proxy)
         self.unread[proxy] = Unread()
@@ -169,8 +178,11 @@
                 self.counts.withdrawn += kind is api.Withdraw and order.on
                 self.counts.readmitted += kind is api.Withdraw and not order.on
                 self.counts.bound += kind is api.Bind
-                done = (self.tables.admit(order, len(self.settings.routes)) if kind is api.Admit
-                        else self.tables.carry_out(order))
+                done = (
+                    self.tables.admit(order, len(self.settings.routes))
+                    if kind is api.Admit
+                    else self.tables.carry_out(order)
+                )
                 for proxy, lines in done.items():
                     reached[proxy] = reached.get(proxy, 0) + lines
                     if shuts:
--- a/rainpick/director/listing.py
+++ b/rainpick/director/listing.py
@@ -44,21 +44,34 @@
     """The whole file or, if anything in it is wrong, ``SettingsError``."""
     found, seen = [], set()
     for at, server in enumerate(load(path, ListFile).servers):
-        for what, name, names in (("zone", server.zone, settings.zones),
-                                  ("machine", server.machine, settings.machines)):
+        for what, name, names in (
+            ("zone", server.zone, settings.zones),
+            ("machine", server.machine, settings.machines),
+        ):
             if name is not None and name not in names:
                 raise SettingsError(f"{path}: servers.{at}.{what}: {name!r} is not one of {list(names)}")
         if server.weight > settings.fleet.weight_most:
-            raise SettingsError(f"{path}: servers.{at}.weight: {server.weight} is over fleet.weight_most "
-                                f"{settings.fleet.weight_most}")
+            raise SettingsError(
+                f"{path}: servers.{at}.weight: {server.weight} is over fleet.weight_most "
+                f"{settings.fleet.weight_most}"
+            )
         key = (server.address.host, server.address.port)
         if key in seen:
             raise SettingsError(f"{path}: servers.{at}.address: {server.address} is named twice")
         seen.add(key)
         machine = settings.machines.index(server.machine) if server.machine is not None else 0
         started_us = max(0, now - server.age) if server.age is not None else 0
-        found.append(Filed(key, server.weight, settings.zone_of(server.zone), machine, server.pod, started_us,
-                           server.state == "draining"))
+        found.append(
+            Filed(
+                key,
+                server.weight,
+                settings.zone_of(server.zone),
+                machine,
+                server.pod,
+                started_us,
+                server.state == "draining",
+            )
+        )
     return found
 
 
@@ -75,8 +88,17 @@
             if zone not in settings.zones or machine not in settings.machines:
                 raise ValueError(f"zone {zone!r} or machine {machine!r} is not known any more")
             started_us = max(0, now - (wall_us - started)) if started else 0
-            found.append(Filed((str(host), int(port)), float(weight), settings.zones.index(zone),
-                               settings.machines.index(machine), int(pod), started_us, bool(draining)))
+            found.append(
+                Filed(
+                    (str(host), int(port)),
+                    float(weight),
+                    settings.zones.index(zone),
+                    settings.machines.index(machine),
+                    int(pod),
+                    started_us,
+                    bool(draining),
+                )
+            )
         return found
     except (OSError, ValueError, KeyError, TypeError) as flaw:
         log.warning("the cached list is not used", file=path, why=f"{type(flaw).__name__}: {flaw}")
@@ -107,9 +129,18 @@
 
     def write(self, servers: tuple[api.Server, ...], now: int, wall_us: int) -> None:
         names = self.settings
-        rows = [[*one.address, one.weight, names.zones[one.zone], names.machines[one.machine], one.cell,
-                 wall_us - (now - one.started_us) if one.started_us else 0, one.state == api.DRAINING]
-                for one in servers]
+        rows = [
+            [
+                *one.address,
+                one.weight,
+                names.zones[one.zone],
+                names.machines[one.machine],
+                one.cell,
+                wall_us - (now - one.started_us) if one.started_us else 0,
+                one.state == api.DRAINING,
+            ]
+            for one in servers
+        ]
         fresh = f"{self.path}.new"
         try:
             with open(fresh, "w") as file:
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -89,8 +89,9 @@
         for piece in filter(None, member.label.split(";")):
             name, equals, value = piece.partition("=")
             if not equals or name not in LABEL_KEYS or name in said:
-                raise RefusedMemberError(codec.NOT_UNDERSTOOD,
-                                         f"label {piece!r}: known once each are {', '.join(LABEL_KEYS)}")
+                raise RefusedMemberError(
+                    codec.NOT_UNDERSTOOD, f"label {piece!r}: known once each are {', '.join(LABEL_KEYS)}"
+                )
             said[name] = value
         host = member.host()
         rule = next((rule for match, rule in self.rules if match.covers(host, member.port)), None)
@@ -98,14 +99,17 @@
             weight = rule.weight if rule and rule.weight is not None else float(said.get("weight", "1"))
             zone = self.place(self.settings.zones, rule.zone if rule else None, said.get("zone"), "zone")
             machine = self.place(
-                self.settings.machines, rule.machine if rule else None, said.get("machine"), "machine")
+                self.settings.machines, rule.machine if rule else None, said.get("machine"), "machine"
+            )
             pod = rule.pod if rule and rule.pod is not None else int(said.get("pod", "0"))
             age_us = int(float(said["age"]) * 1e6) if "age" in said else None
         except (ValueError, OverflowError) as flaw:
             raise RefusedMemberError(codec.NOT_ACCEPTED, f"label {member.label!r}: {flaw}") from None
         if not 0 < weight <= self.settings.fleet.weight_most:
-            raise RefusedMemberError(codec.NOT_ACCEPTED, f"weight {weight} is not over 0 and at most "
-                                                    f"{self.settings.fleet.weight_most}")
+            raise RefusedMemberError(
+                codec.NOT_ACCEPTED,
+                f"weight {weight} is not over 0 and at most {self.settings.fleet.weight_most}",
+            )
         if not 0 <= pod <= 65_535 or age_us is not None and age_us < 0:
             raise RefusedMemberError(codec.NOT_ACCEPTED, f"label {member.label!r}: pod or age out of range")
         return Described(weight, zone, machine, pod, said.get("boot"), age_us)
@@ -135,8 +139,9 @@
             raise RefusedMemberError(codec.NOT_ACCEPTED, f"{most} members are the most")
         for key, _ in described:
             if key in self.held and self.held[key].owner == stream:
-                raise RefusedMemberError(codec.ALREADY_REGISTERED,
-                                         f"{key[0]}:{key[1]} is registered on this stream")
+                raise RefusedMemberError(
+                    codec.ALREADY_REGISTERED, f"{key[0]}:{key[1]} is registered on this stream"
+                )
         for key, what in described:
             self.take(stream, key, what, now)
 
@@ -258,8 +263,15 @@
         draining = here and held.quiesced or held.filed is not None and held.filed.draining
         what = held.filed if held.filed is not None else held.described
         started_us = held.started_us if here else held.filed.started_us
-        return api.Server(what.weight, what.zone, started_us, what.machine, what.pod, held.key,
-                          api.DRAINING if draining else api.READY)
+        return api.Server(
+            what.weight,
+            what.zone,
+            started_us,
+            what.machine,
+            what.pod,
+            held.key,
+            api.DRAINING if draining else api.READY,
+        )
 
     def changes(self) -> api.Listed | None:
         """One update with all that changed since the last one; None if nothing did."""
--- a/rainpick/director/reports.py
+++ b/rainpick/director/reports.py
@@ -15,7 +15,13 @@
 
 Key = tuple[str, int]
 VERDICTS = FRESH, DOUBLED, OVERLAPPING, LATE, AHEAD, BACKWARDS = (
-    "fresh", "doubled", "overlapping", "late", "ahead", "backwards")
+    "fresh",
+    "doubled",
+    "overlapping",
+    "late",
+    "ahead",
+    "backwards",
+)
 PERIODS = 8  # of a stream, that are remembered
 CLOCKS = 64  # reports of a reporter by which its clock is judged
 
@@ -134,8 +140,13 @@
         self.told = 0
         self.rates: dict[str, float] = {}  # by reporter: calls a second, smoothed
 
-    def take(self, points: list[Point], wall_ns: int, places: dict[str, tuple[int, int]],
-             known: dict[Key, api.Server]) -> dict[str, int]:
+    def take(
+        self,
+        points: list[Point],
+        wall_ns: int,
+        places: dict[str, tuple[int, int]],
+        known: dict[Key, api.Server],
+    ) -> dict[str, int]:
         """Judge and sum the points of one report. ``places``: proxy number and zone by joined reporter."""
         verdicts: dict[str, int] = defaultdict(int)
         offsets: dict[str, int] = {}
@@ -181,8 +192,10 @@
         """``ServerMet`` and ``ProxyMet`` lines that may be told now."""
         if self.next_us is None:
             self.next_us = now + self.every_us
-        self.credit = min(self.lines_per_s * self.every_us / 1e6,
-                          self.credit + (now - self.credit_us) * self.lines_per_s / 1e6)
+        self.credit = min(
+            self.lines_per_s * self.every_us / 1e6,
+            self.credit + (now - self.credit_us) * self.lines_per_s / 1e6,
+        )
         self.credit_us = now
         if now >= self.next_us:
             waiting = set(self.due)
@@ -198,8 +211,15 @@
                 mean_us = total.took_us // total.answered if total.answered else 0
                 found.append(api.ServerMet(what, place, tries, total.dropped, mean_us, total.span_us(), ()))
             else:
-                found.append(api.ProxyMet(place, self.routes[what], total.answered + total.dropped,
-                                          total.dropped, total.span_us()))
+                found.append(
+                    api.ProxyMet(
+                        place,
+                        self.routes[what],
+                        total.answered + total.dropped,
+                        total.dropped,
+                        total.span_us(),
+                    )
+                )
         self.told += len(found)
         return found
 
--- a/rainpick/director/status.py
+++ b/rainpick/director/status.py
@@ -35,25 +35,50 @@
     for number, lines in tables.lines.items():
         for server, weight in lines.items():
             weights.setdefault(server, {})[str(number)] = (
-                0 if server in tables.withdrawn else tables.scale(weight))
+                0 if server in tables.withdrawn else tables.scale(weight)
+            )
     stepper = engine.stepper
-    found["engine"] = {"steps": stepper.steps, "events": stepper.heard, "orders": stepper.ordered,
-                       **vars(engine.counts)}
-    found["channel"] = {"lines": channel.lines, "lines_most": channel.lines_most,
-                        "limit": names.channel.pending_lines, "messages": len(channel.waiting),
-                        "blocked": len(channel.blocked), "held_back": channel.held_back}
+    found["engine"] = {
+        "steps": stepper.steps,
+        "events": stepper.heard,
+        "orders": stepper.ordered,
+        **vars(engine.counts),
+    }
+    found["channel"] = {
+        "lines": channel.lines,
+        "lines_most": channel.lines_most,
+        "limit": names.channel.pending_lines,
+        "messages": len(channel.waiting),
+        "blocked": len(channel.blocked),
+        "held_back": channel.held_back,
+    }
     found["servers"] = [
-        {"address": f"{entry.address[0]}:{entry.address[1]}", "state": STATES[entry.state],
-         "weight": entry.weight, "zone": names.zones[entry.zone], "machine": names.machines[entry.machine],
-         "pod": entry.cell, "age_s": round((now - entry.started_us) / 1e6, 1) if entry.started_us else None,
-         "withdrawn": entry.address in tables.withdrawn, "tables": weights.get(entry.address, {})}
-        for entry in core.membership.whole()]
+        {
+            "address": f"{entry.address[0]}:{entry.address[1]}",
+            "state": STATES[entry.state],
+            "weight": entry.weight,
+            "zone": names.zones[entry.zone],
+            "machine": names.machines[entry.machine],
+            "pod": entry.cell,
+            "age_s": round((now - entry.started_us) / 1e6, 1) if entry.started_us else None,
+            "withdrawn": entry.address in tables.withdrawn,
+            "tables": weights.get(entry.address, {}),
+        }
+        for entry in core.membership.whole()
+    ]
     found["proxies"] = [
-        {"uid": served.uid, "number": served.number, "joined": served.joined,
-         "table": tables.proxies[served.number].table if served.number in tables.proxies else None,
-         "push": served.pushes, "blocked": served.blocked_us is not None, "peer": served.stream.peer,
-         "rate": round(core.evidence.rates.get(served.uid, 0.0), 2)}
-        for _, served in sorted(core.by_uid.items())]
+        {
+            "uid": served.uid,
+            "number": served.number,
+            "joined": served.joined,
+            "table": tables.proxies[served.number].table if served.number in tables.proxies else None,
+            "push": served.pushes,
+            "blocked": served.blocked_us is not None,
+            "peer": served.stream.peer,
+            "rate": round(core.evidence.rates.get(served.uid, 0.0), 2),
+        }
+        for _, served in sorted(core.by_uid.items())
+    ]
     if core.recorder is not None:
         found["record"] = {"steps": core.recorder.steps, "lost": core.recorder.lost}
     found["notes"] = list(engine.notes)
@@ -65,12 +90,17 @@
 def table_row(core: Core, number: int) -> dict[str, Any]:
     tables, pin = core.engine.tables, core.pins.pins.get(number)
     newest = tables.current(number)
-    return {"table": number, "version": newest.version, "digest": newest.digest, "lines": len(newest.lines),
-            "open": sum(weight > 0 for weight, _ in newest.lines.values()),
-            "proxies": len(tables.bound.get(number, ())),
-            "kept": [one.version for one in tables.history.get(number, ())],
-            "pinned": pin and {"version": pin.version, "who": pin.who, "why": pin.why,
-                               "idle": number in core.pins.idle}}
+    return {
+        "table": number,
+        "version": newest.version,
+        "digest": newest.digest,
+        "lines": len(newest.lines),
+        "open": sum(weight > 0 for weight, _ in newest.lines.values()),
+        "proxies": len(tables.bound.get(number, ())),
+        "kept": [one.version for one in tables.history.get(number, ())],
+        "pinned": pin
+        and {"version": pin.version, "who": pin.who, "why": pin.why, "idle": number in core.pins.idle},
+    }
 
 
 def table_deed(core: Core, deed: str, words: dict[str, Any]) -> dict[str, Any]:
@@ -86,8 +116,12 @@
         one = tables.version(number, version)
         if one is None:
             raise PinError(f"version {version} of table {number} is not kept")
-        return {"table": number, "version": version, "digest": one.digest, "lines": {
-            f"{host}:{port}": weight for (host, port), (weight, _) in sorted(one.lines.items())}}
+        return {
+            "table": number,
+            "version": version,
+            "digest": one.digest,
+            "lines": {f"{host}:{port}": weight for (host, port), (weight, _) in sorted(one.lines.items())},
+        }
     who, why = str(words["who"]), str(words["why"])
     if deed == "release":
         pin = core.pins.release(number)
@@ -95,8 +129,13 @@
         wanted = words.get("version") or (newest.version if deed == "pin" else newest.version - 1)
         pin = core.pins.pin(number, tables.version(number, int(wanted)), who, why, core.clock())
     core.engine.reordered(number)
-    core.log.warning("table " + {"pin": "pinned", "rollback": "rolled back", "release": "released"}[deed],
-                     table=number, version=pin.version, who=who, why=why)
+    core.log.warning(
+        "table " + {"pin": "pinned", "rollback": "rolled back", "release": "released"}[deed],
+        table=number,
+        version=pin.version,
+        who=who,
+        why=why,
+    )
     return table_row(core, number)
 
 
@@ -123,6 +162,7 @@
 
 def handler(core: Core):
     """Answers on the status front."""
+
     def handle(asked: Asked) -> Answer:
         path = asked.path.partition("?")[0]
         if path.startswith("/tables/"):
@@ -135,4 +175,5 @@
         if found is None:
             return Answer(503, b'{"error": "the director is busy"}')
         return Answer(200, json.dumps(found).encode())
+
     return handle
--- a/rainpick/director/subscribers.py
+++ b/rainpick/director/subscribers.py
@@ -96,8 +96,11 @@
         elif isinstance(step, Wants):
             self.wants(link)
         elif isinstance(step, Unwants):
-            link.feeds = {table: feed for table, feed in link.feeds.items()
-                          if link.end.wanted(payloads.table_topic(table)) is not None}
+            link.feeds = {
+                table: feed
+                for table, feed in link.feeds.items()
+                if link.end.wanted(payloads.table_topic(table)) is not None
+            }
         elif isinstance(step, Said):
             step = self.said(link, step.publish)
         elif isinstance(step, Acked):
@@ -117,10 +120,19 @@
                 self.taken_over(other.stream)
                 self.core.end(other.stream, "another client has the same identifier")
         link.client = connect.client
-        link.end.accept({
-            "receive_maximum": self.settings.mqtt.receive_most, "maximum_qos": 1, "retain_available": 1,
-            "maximum_packet": self.settings.mqtt.packet_most, "topic_alias_maximum": 0, "wildcards": 1,
-            "subscription_ids": 0, "shared": 0, "session_expiry": 0})
+        link.end.accept(
+            {
+                "receive_maximum": self.settings.mqtt.receive_most,
+                "maximum_qos": 1,
+                "retain_available": 1,
+                "maximum_packet": self.settings.mqtt.packet_most,
+                "topic_alias_maximum": 0,
+                "wildcards": 1,
+                "subscription_ids": 0,
+                "shared": 0,
+                "session_expiry": 0,
+            }
+        )
         return None
 
     def taken_over(self, stream: Stream) -> None:
@@ -213,13 +225,23 @@
             good = row.outcome == "answered"
             counts = (row.count, 0) if good else (0, row.count)
             took_us = int(row.seconds * 1e6) if good else 0
-            found.append(Point(uid, met.start_ns, met.end_ns, *counts, took_us,
-                               server=payloads.key(row.server), outcomes=row.outcome))
+            found.append(
+                Point(
+                    uid,
+                    met.start_ns,
+                    met.end_ns,
+                    *counts,
+                    took_us,
+                    server=payloads.key(row.server),
+                    outcomes=row.outcome,
+                )
+            )
         for row in met.calls:
             good = row.outcome == "answered"
             counts = (row.count, 0) if good else (0, row.count)
-            found.append(Point(uid, met.start_ns, met.end_ns, *counts, 0, route=row.route,
-                               outcomes=row.outcome))
+            found.append(
+                Point(uid, met.start_ns, met.end_ns, *counts, 0, route=row.route, outcomes=row.outcome)
+            )
         return found
 
     # What they are told
@@ -238,8 +260,12 @@
             levels = write.orders or core.engine.tables.proxies[served.number].told
             lines, out = self.writer.loose(write.way) if table is None else ((), ())
             routes = self.settings.routes
-            rows = tuple([Level(routes[route].name, level, payloads.RETRIES[retry])
-                          for route, level, retry in levels[1]])
+            rows = tuple(
+                [
+                    Level(routes[route].name, level, payloads.RETRIES[retry])
+                    for route, level, retry in levels[1]
+                ]
+            )
             data = payloads.encode(Orders(self.epoch, table, rows, part, lines, out))
             topic = payloads.orders_topic(served.uid)
         if len(data) + len(topic) + 16 > link.end.send_most:
@@ -327,5 +353,8 @@
                     self.core.end(link.stream, "it does not read")
 
     def status(self) -> dict[str, Any]:
-        return {"connections": len(self.links), "observers": sum(map(self.observes, self.links.values())),
-                **self.counts}
+        return {
+            "connections": len(self.links),
+            "observers": sum(map(self.observes, self.links.values())),
+            **self.counts,
+        }
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -116,8 +116,9 @@
         known = self.ways.get(other)
         if known is None:
             shut = [Line(server, 0, OUT) for server in self.lines.keys() - other.lines.keys()]
-            rest = [Line(server, *held) for server, held in other.lines.items()
-                    if self.lines.get(server) != held]
+            rest = [
+                Line(server, *held) for server, held in other.lines.items() if self.lines.get(server) != held
+            ]
             shut += [line for line in rest if not line.weight]
             # Proxies far behind each other's times come from few snapshots; a handful of ways is enough.
             if len(self.ways) >= 8:
@@ -158,8 +159,9 @@
         self.levels: dict[int, dict[int, tuple[float, int]]] = {}
         self.overlay: Callable[[int, Lines], Lines] = lambda table, lines: lines
 
-    def join(self, number: int, standing: Iterable[Key], obeys: bool = False,
-             holds: Snapshot | None = None) -> None:
+    def join(
+        self, number: int, standing: Iterable[Key], obeys: bool = False, holds: Snapshot | None = None
+    ) -> None:
         """``holds``: the version of a table that it has shown to hold, in place of servers alone."""
         self.leave(number)
         standing = holds.lines if holds is not None else standing
@@ -170,8 +172,11 @@
     def orders(self, proxy: Proxy) -> tuple:
         """What a proxy that obeys levels is to be told beside the lines: its table, its levels by route."""
         routes = sorted({route for rows in self.levels.values() for route in rows})
-        return proxy.table, tuple((route, *self.level(proxy.table, route)) for route in routes
-                                  if self.level(proxy.table, route) is not None)
+        return proxy.table, tuple(
+            (route, *self.level(proxy.table, route))
+            for route in routes
+            if self.level(proxy.table, route) is not None
+        )
 
     def distrust(self, number: int) -> int:
         """A proxy does not hold what it was thought to: the whole table must follow. Its lines."""
@@ -240,8 +245,10 @@
         known = self.snapshots.get(table)
         if known is not None:
             return known
-        lines = {server: (0, SHUT) if server in self.withdrawn else (self.scale(weight), OPEN)
-                 for server, weight in self.lines.get(table, {}).items()}
+        lines = {
+            server: (0, SHUT) if server in self.withdrawn else (self.scale(weight), OPEN)
+            for server, weight in self.lines.get(table, {}).items()
+        }
         lines = self.overlay(table, lines)
         history = self.history.setdefault(table, deque(maxlen=HISTORY))
         if not history or history[-1].lines != lines:
@@ -293,10 +300,14 @@
     @staticmethod
     def loose_way(proxy: Proxy, target: Snapshot) -> Way:
         """Only what is withdrawn or readmitted: of the rest an unbound proxy knows more than is known."""
-        news = [Line(server, *held) for server, held in sorted(target.lines.items())
-                if held != proxy.holds.lines[server]]
-        return Way(tuple([line for line in news if not line.weight]),
-                   tuple([line for line in news if line.weight]))
+        news = [
+            Line(server, *held)
+            for server, held in sorted(target.lines.items())
+            if held != proxy.holds.lines[server]
+        ]
+        return Way(
+            tuple([line for line in news if not line.weight]), tuple([line for line in news if line.weight])
+        )
 
     def all_lines(self, number: int) -> tuple[Line, ...]:
         """Everything that a proxy holds, for one that wants the whole each time."""
--- a/rainpick/emulator/server.py
+++ b/rainpick/emulator/server.py
@@ -146,8 +146,9 @@
             wait = max(0.0, self.shared[0][0] - self.given) / rate
             # A cold server gets faster meanwhile: looked at again before long.
             cold = self.kind.warm_us and self.able() * self.slow < 1
-            self.ready = self.heap.after(min(max(1, round(wait)), 20_000) if cold else max(1, round(wait)),
-                                         self.look)
+            self.ready = self.heap.after(
+                min(max(1, round(wait)), 20_000) if cold else max(1, round(wait)), self.look
+            )
 
     def look(self) -> None:
         self.ready = None
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -55,8 +55,9 @@
 class World:
     """One run. ``module`` is the decision module's class; ``begin`` starts all, ``run`` lets time pass."""
 
-    def __init__(self, settings: Settings, shape: Shape, seed: int,
-                 module: Callable[[], Director] = Director):
+    def __init__(
+        self, settings: Settings, shape: Shape, seed: int, module: Callable[[], Director] = Director
+    ):
         self.settings, self.shape, self.heap = settings, shape, Heap(BEGIN_US)
         self.engine = Engine(settings, seed, BEGIN_US, module)
         self.zones = max(1, len(settings.zones))
@@ -68,8 +69,9 @@
             name = ("10.0.0.1", 1024 + number)
             self.servers[name] = Server(self.heap, name, shape.kinds[number % len(shape.kinds)])
             weight = shape.weights[number % len(shape.weights)]
-            self.entries[name] = api.Server(weight, number % self.zones, 0, number % len(shape.kinds), number,
-                                            name, api.READY)
+            self.entries[name] = api.Server(
+                weight, number % self.zones, 0, number % len(shape.kinds), number, name, api.READY
+            )
         self.proxies: dict[int, Proxy] = {}
         self.seed, self.pumped = seed, (-1, 0)  # when the engine is next looked at, and the ticket of that
         self.reports: deque[api.ServerMet | api.ProxyMet] = deque()
@@ -178,8 +180,9 @@
 
         ticket = self.heap.after(self.limit_us, over, "late")
         work = self.works.exponential(self.shape.work_us)
-        self.heap.after(link_us, self.servers[name].take, work,
-                        lambda how: self.heap.after(link_us, over, how))
+        self.heap.after(
+            link_us, self.servers[name].take, work, lambda how: self.heap.after(link_us, over, how)
+        )
         return None
 
     def ended(self, asked: Asked, how: str) -> None:
--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -27,15 +27,22 @@
     All but ``abort`` is for the one thread that calls. ``dial_s``: to connect, if not the time of a call.
     """
 
-    def __init__(self, host: str, port: int, timeout_s: float = 5.0, body_most: int = BODY_MOST,
-                 dial_s: float | None = None):
+    def __init__(
+        self,
+        host: str,
+        port: int,
+        timeout_s: float = 5.0,
+        body_most: int = BODY_MOST,
+        dial_s: float | None = None,
+    ):
         self.place, self.timeout_s, self.body_most, self.dial_s = (host, port), timeout_s, body_most, dial_s
         self.aborting, self.aborted = threading.Lock(), False
         self.sock: socket.socket | None = None
         self.machine: h11.Connection | None = None
 
-    def call(self, method: str, path: str, body: bytes = b"", headers: tuple = (),
-             timeout_s: float | None = None) -> tuple[int, dict[str, str], bytes]:
+    def call(
+        self, method: str, path: str, body: bytes = b"", headers: tuple = (), timeout_s: float | None = None
+    ) -> tuple[int, dict[str, str], bytes]:
         """Status, headers, body; ``ClientError`` if there is none in time."""
         sent, until = False, time.monotonic() + (timeout_s or self.timeout_s)
         try:
--- a/rainpick/http1/server.py
+++ b/rainpick/http1/server.py
@@ -74,8 +74,15 @@
 class Server:
     """Listens and answers until ``close``. ``address`` is where it really listens."""
 
-    def __init__(self, name: str, place: tuple[str, int], handler: Handler, body_most: int = PIECE,
-                 connections_most: int = 256, idle_s: float = 60.0):
+    def __init__(
+        self,
+        name: str,
+        place: tuple[str, int],
+        handler: Handler,
+        body_most: int = PIECE,
+        connections_most: int = 256,
+        idle_s: float = 60.0,
+    ):
         self.name, self.handler, self.body_most, self.idle_s = name, handler, body_most, idle_s
         self.log = structlog.get_logger(front=name)
         self.slots = threading.BoundedSemaphore(connections_most)
@@ -95,8 +102,11 @@
             if not self.slots.acquire(blocking=False):
                 self.log.warning("connection refused", peer=peer[0], why="too many are open")
                 with contextlib.suppress(OSError):
-                    sock.send(b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\n"
-                              b"content-length: 0\r\n\r\n", socket.MSG_DONTWAIT)
+                    sock.send(
+                        b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\n"
+                        b"content-length: 0\r\n\r\n",
+                        socket.MSG_DONTWAIT,
+                    )
                 sock.close()
                 continue
             with self.lock:
--- a/rainpick/mqtt/codec.py
+++ b/rainpick/mqtt/codec.py
@@ -35,15 +35,33 @@
 # Properties (section 2.2.2.2): identifier to name and form
 BYTE, SHORT, LONG, VARIABLE, TEXT, BINARY, PAIR = "B", "H", "I", "v", "s", "b", "p"
 PROPERTIES = {
-    0x01: ("payload_format", BYTE), 0x02: ("message_expiry", LONG), 0x03: ("content_type", TEXT),
-    0x08: ("response_topic", TEXT), 0x09: ("correlation", BINARY), 0x0B: ("subscription_id", VARIABLE),
-    0x11: ("session_expiry", LONG), 0x12: ("assigned_id", TEXT), 0x13: ("server_keep_alive", SHORT),
-    0x15: ("auth_method", TEXT), 0x16: ("auth_data", BINARY), 0x17: ("request_problem", BYTE),
-    0x18: ("will_delay", LONG), 0x19: ("request_response", BYTE), 0x1A: ("response_info", TEXT),
-    0x1C: ("server_reference", TEXT), 0x1F: ("reason", TEXT), 0x21: ("receive_maximum", SHORT),
-    0x22: ("topic_alias_maximum", SHORT), 0x23: ("topic_alias", SHORT), 0x24: ("maximum_qos", BYTE),
-    0x25: ("retain_available", BYTE), 0x26: ("user", PAIR), 0x27: ("maximum_packet", LONG),
-    0x28: ("wildcards", BYTE), 0x29: ("subscription_ids", BYTE), 0x2A: ("shared", BYTE),
+    0x01: ("payload_format", BYTE),
+    0x02: ("message_expiry", LONG),
+    0x03: ("content_type", TEXT),
+    0x08: ("response_topic", TEXT),
+    0x09: ("correlation", BINARY),
+    0x0B: ("subscription_id", VARIABLE),
+    0x11: ("session_expiry", LONG),
+    0x12: ("assigned_id", TEXT),
+    0x13: ("server_keep_alive", SHORT),
+    0x15: ("auth_method", TEXT),
+    0x16: ("auth_data", BINARY),
+    0x17: ("request_problem", BYTE),
+    0x18: ("will_delay", LONG),
+    0x19: ("request_response", BYTE),
+    0x1A: ("response_info", TEXT),
+    0x1C: ("server_reference", TEXT),
+    0x1F: ("reason", TEXT),
+    0x21: ("receive_maximum", SHORT),
+    0x22: ("topic_alias_maximum", SHORT),
+    0x23: ("topic_alias", SHORT),
+    0x24: ("maximum_qos", BYTE),
+    0x25: ("retain_available", BYTE),
+    0x26: ("user", PAIR),
+    0x27: ("maximum_packet", LONG),
+    0x28: ("wildcards", BYTE),
+    0x29: ("subscription_ids", BYTE),
+    0x2A: ("shared", BYTE),
 }
 IDENTIFIERS = {name: (number, form) for number, (name, form) in PROPERTIES.items()}
 REPEATED = frozenset({"user", "subscription_id"})
@@ -128,8 +146,9 @@
     props: Props = {}  # noqa: RUF012
 
 
-Packet = (Connect | Connack | Publish | Puback | Subscribe | Suback | Unsubscribe | Unsuback | Ping
-          | Disconnect)
+Packet = (
+    Connect | Connack | Publish | Puback | Subscribe | Suback | Unsubscribe | Unsuback | Ping | Disconnect
+)
 
 
 # Writing
@@ -197,11 +216,15 @@
         number = struct.pack(">H", one.number) if one.qos else b""
         return packet(PUBLISH, flags, text(one.topic) + number + write_properties(one.props) + one.payload)
     if kind is Puback:
-        return packet(PUBACK, 0, struct.pack(">HB", one.number, one.code) if one.code
-                      else struct.pack(">H", one.number))
+        return packet(
+            PUBACK, 0, struct.pack(">HB", one.number, one.code) if one.code else struct.pack(">H", one.number)
+        )
     if kind is Connect:
-        flags = (2 if one.clean else 0) | (128 if one.user is not None else 0) | (
-            64 if one.password is not None else 0)
+        flags = (
+            (2 if one.clean else 0)
+            | (128 if one.user is not None else 0)
+            | (64 if one.password is not None else 0)
+        )
         tail = text(one.client)
         if one.will is not None:
             flags |= 4 | one.will.qos << 3 | (32 if one.will.retain else 0)
@@ -259,7 +282,7 @@
         if self.at + size > len(self.data):
             raise MqttError("a field runs past the end of its packet")
         self.at += size
-        return self.data[self.at - size:self.at]
+        return self.data[self.at - size : self.at]
 
     def binary(self) -> bytes:
         return self.run(self.number("H"))
@@ -419,6 +442,6 @@
         head = place + 1
         if len(self.held) < head + size:
             return None
-        first, body = self.held[0], bytes(self.held[head:head + size])
-        del self.held[:head + size]
+        first, body = self.held[0], bytes(self.held[head : head + size])
+        del self.held[: head + size]
         return read(first >> 4, first & 15, body)
--- a/rainpick/mqtt/session.py
+++ b/rainpick/mqtt/session.py
@@ -50,7 +50,8 @@
     levels = pattern.split("/")
     return bool(pattern) and not any(
         "#" in level and (level != "#" or place != len(levels) - 1) or "+" in level and level != "+"
-        for place, level in enumerate(levels))
+        for place, level in enumerate(levels)
+    )
 
 
 class Joined(NamedTuple):
--- a/rainpick/net/streams.py
+++ b/rainpick/net/streams.py
@@ -35,8 +35,9 @@
     ``end`` cuts what comes into pieces within the reading thread; all else about them is the core's.
     """
 
-    def __init__(self, number: int, sock: socket.socket, peer: str, end: End,
-                 give: Callable[[Stream, object], None]):
+    def __init__(
+        self, number: int, sock: socket.socket, peer: str, end: End, give: Callable[[Stream, object], None]
+    ):
         self.number, self.sock, self.peer, self.give, self.end = number, sock, peer, give, end
         self.rest = bytearray()  # what the socket has not taken yet
         self.handed = 0  # bytes written in all, the rest included
@@ -85,7 +86,7 @@
             self.marks.append((self.handed, mark))
         if not self.rest and not self.closed:
             try:
-                data = data[self.sock.send(data, NOW):]
+                data = data[self.sock.send(data, NOW) :]
             except BlockingIOError:
                 pass
             except OSError:
--- a/rainpick/node/__main__.py
+++ b/rainpick/node/__main__.py
@@ -14,6 +14,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: os._exit(0))  # nothing is owed to anybody yet
     from rainpick.node.process import start
+
     start(signals)
 
 
--- a/rainpick/node/belief.py
+++ b/rainpick/node/belief.py
@@ -119,8 +119,9 @@
             return self.settle() if news.stream == self.current else []
         before = self.joined.get(event.proxy)
         if type(event) is api.Applied:
-            return [] if before is None else [
-                event._replace(number=mark) for mark in self.marks(event.number)]
+            return (
+                [] if before is None else [event._replace(number=mark) for mark in self.marks(event.number)]
+            )
         if news.stream != self.current:
             return [] if before is None or news.stream in self.overtaken else [before]
         if type(event) is api.ProxyLeft:
@@ -153,8 +154,7 @@
     def merged(self, told: Merged) -> None:
         """Calls went as one: a proxy that was reached by an earlier one alone answers the last one's mark."""
         self.earlier.pop(told.number, None)
-        self.earlier[told.number] = tuple(
-            mark for one in told.earlier for mark in self.marks(one))
+        self.earlier[told.number] = tuple(mark for one in told.earlier for mark in self.marks(one))
         while len(self.earlier) > MERGED_MOST:
             del self.earlier[next(iter(self.earlier))]
 
--- a/rainpick/node/clock.py
+++ b/rainpick/node/clock.py
@@ -46,7 +46,7 @@
         if abs(step) <= STEP_US:
             self.offsets[-1] = offset
             return None
-        self.offsets = [*self.offsets[1 - OFFSETS_MOST:], offset]
+        self.offsets = [*self.offsets[1 - OFFSETS_MOST :], offset]
         self.steps += 1
         return step
 
--- a/rainpick/node/codec.py
+++ b/rainpick/node/codec.py
@@ -45,8 +45,10 @@
 
 def load_json(data: bytes) -> object:
     """Strict JSON; ``ValueError`` for anything else, NaN, infinities and bottomless nesting included."""
+
     def refuse(text: str) -> None:
         raise ValueError(f"{text} is not JSON")
+
     try:
         return json.loads(data, parse_constant=refuse)
     except RecursionError:
@@ -55,8 +57,12 @@
 
 def number(message: dict, field: str, least: float, most: float) -> float:
     value = message.get(field)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not math.isfinite(value) \
-            or not least <= value <= most:
+    if (
+        not isinstance(value, int | float)
+        or isinstance(value, bool)
+        or not math.isfinite(value)
+        or not least <= value <= most
+    ):
         raise MalformedError(f"{field}: {str(value)[:40]!r} is not a number from {least:g} to {most:g}")
     return value
 
@@ -96,17 +102,25 @@
             number(load, word, 0, 1e9)
     whole_load = load is not None and all(word in load for word in names.loads)
     return api.ServerMet(
-        text(message, "endpoint"), index(message, "locality", names.zones), tries, dropped,
-        round(mean_ms * 1000), round(number(message, "interval", 1, INTERVAL_MOST_MS) * 1000),
-        tuple(float(load[word]) for word in names.loads) if whole_load else ())
+        text(message, "endpoint"),
+        index(message, "locality", names.zones),
+        tries,
+        dropped,
+        round(mean_ms * 1000),
+        round(number(message, "interval", 1, INTERVAL_MOST_MS) * 1000),
+        tuple(float(load[word]) for word in names.loads) if whole_load else (),
+    )
 
 
 def proxy_met(message: dict, names: Names) -> api.ProxyMet:
     """The calls of a route that came to a proxy: ``client_stats``."""
     return api.ProxyMet(
-        whole(message, "node", 0, names.proxies - 1), index(message, "route", names.routes),
-        whole(message, "total", 0, COUNT_MOST), whole(message, "errors", 0, COUNT_MOST),
-        round(number(message, "interval", 1, INTERVAL_MOST_MS) * 1000))
+        whole(message, "node", 0, names.proxies - 1),
+        index(message, "route", names.routes),
+        whole(message, "total", 0, COUNT_MOST),
+        whole(message, "errors", 0, COUNT_MOST),
+        round(number(message, "interval", 1, INTERVAL_MOST_MS) * 1000),
+    )
 
 
 def frame(message: dict) -> bytes:
@@ -138,8 +152,8 @@
             elif len(self.rest) < 4 + size:
                 break
             else:
-                body = bytes(self.rest[4:4 + size])
-                del self.rest[:4 + size]
+                body = bytes(self.rest[4 : 4 + size])
+                del self.rest[: 4 + size]
                 self.take(body, found)
         return found
 
@@ -208,18 +222,23 @@
     if method == "attach":
         if not isinstance(params.get("cold"), bool):
             raise MalformedError(f"cold: {params.get('cold')!r} is not true or false")
-        return api.ProxyJoined(proxy, params["cold"], float(number(params, "w", 0, 1e9)),
-                               index(params, "locality", names.zones))
+        return api.ProxyJoined(
+            proxy, params["cold"], float(number(params, "w", 0, 1e9)), index(params, "locality", names.zones)
+        )
     if method == "detach":
         return api.ProxyLeft(proxy)
     if method == "done":
-        return api.Applied(proxy, whole(params, "nonce", 0, 65535),
-                           round(number(params, "latency", 0, INTERVAL_MOST_MS) * 1000))
+        return api.Applied(
+            proxy,
+            whole(params, "nonce", 0, 65535),
+            round(number(params, "latency", 0, INTERVAL_MOST_MS) * 1000),
+        )
     raise MalformedError(f"method: {str(method)[:40]!r} is not known")
 
 
 def rendered(order: object, routes: list[str]) -> bytes:
     """One order as the relay reads it. ``routes``: their names by index."""
+
     def which(chosen: int) -> list[str]:
         return [name for at, name in enumerate(routes) if chosen == api.ALL_ROUTES or chosen >> at & 1]
 
@@ -233,8 +252,13 @@
         case api.Withdraw(server, on):
             words = {"verb": "withdraw" if on else "restore", "endpoint": server}
         case api.Admit(table, chosen, level, retry):
-            words = {"verb": "admit", "cluster": "*" if table == api.ALL_TABLES else table,
-                     "for": which(chosen), "gate": level, "again": retry}
+            words = {
+                "verb": "admit",
+                "cluster": "*" if table == api.ALL_TABLES else table,
+                "for": which(chosen),
+                "gate": level,
+                "again": retry,
+            }
         case api.Mark(stamp, everyone):
             words = {"verb": "mark", "stamp": stamp, "set": int(everyone)}
         case _:
@@ -257,7 +281,7 @@
         refused = taken < part.many()
         if marked and not taken:
             return Call(None, self.orders) if self.orders else None  # the mark went first
-        left = self.orders[taken - marked + refused:]
+        left = self.orders[taken - marked + refused :]
         return Call(self.mark, left) if left else None
 
     def part(self, routes: list[str], most: int | None = None) -> Call:
@@ -395,8 +419,11 @@
 
 def members(tree: object, names: Names) -> Members:
     """Discovery's list or changes to it; ``ValueError`` if it is nothing of the kind."""
-    if not isinstance(tree, dict) or not isinstance(tree.get("instances"), list) \
-            or not isinstance(tree.get("reset"), bool):
+    if (
+        not isinstance(tree, dict)
+        or not isinstance(tree.get("instances"), list)
+        or not isinstance(tree.get("reset"), bool)
+    ):
         raise ValueError("not a list of servers")
     try:
         version = whole(tree, "generation", 0, 1 << 63)
@@ -407,12 +434,17 @@
         try:
             if not isinstance(entry, dict):
                 raise MalformedError("an entry that is no object")
-            servers.append(api.Server(
-                float(number(entry, "weight", 0, 1e6)), index(entry, "zone", names.zones),
-                round(number(entry, "startedAtMs", 0, 1e14) * 1000),
-                index(entry, "machineType", names.machines),
-                whole(entry, "cell", 0, 1 << 31), text(entry, "instanceId"),
-                index(entry, "lifecycle", STATES)))
+            servers.append(
+                api.Server(
+                    float(number(entry, "weight", 0, 1e6)),
+                    index(entry, "zone", names.zones),
+                    round(number(entry, "startedAtMs", 0, 1e14) * 1000),
+                    index(entry, "machineType", names.machines),
+                    whole(entry, "cell", 0, 1 << 31),
+                    text(entry, "instanceId"),
+                    index(entry, "lifecycle", STATES),
+                )
+            )
         except MalformedError as error:
             errors.append(str(error))
             if isinstance(entry, dict) and isinstance(entry.get("instanceId"), str):
--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -10,7 +10,11 @@
 
 # The platform's words for the values of a load report, and the settings' words for the same.
 LOAD_WORDS = {
-    "inflight": "rif", "queue": "q", "util": "busy", "latency_ms": "lat_ms", "qps": "rate",
+    "inflight": "rif",
+    "queue": "q",
+    "util": "busy",
+    "latency_ms": "lat_ms",
+    "qps": "rate",
     "eps": "fail_rate",
 }
 
@@ -88,18 +92,27 @@
     wanted = (tree["settings"].get("stats") or {}).get("names") or []
     limits = [settings.get(f"routes.{number}.time_limit_us", 60_000_000) for number in range(len(routes))]
     names = Names(
-        named(path, tree, "settings.failureDomains"), {route["name"]: at for at, route in enumerate(routes)},
-        named(path, tree, "settings.machineTypes"), tuple(loads.get(word, word) for word in wanted),
-        int(within(path, tree, "settings.domain.proxyCount", (int, float))), 2 * max(limits) / 1000)
+        named(path, tree, "settings.failureDomains"),
+        {route["name"]: at for at, route in enumerate(routes)},
+        named(path, tree, "settings.machineTypes"),
+        tuple(loads.get(word, word) for word in wanted),
+        int(within(path, tree, "settings.domain.proxyCount", (int, float))),
+        2 * max(limits) / 1000,
+    )
     seed = within(path, tree, "seed", str)
     try:
         seed = int(seed, 16)
     except ValueError:
         raise ConfigurationError(f"{path}: seed: {seed!r} is not a number in hexadecimal digits") from None
     return Configuration(
-        within(path, tree, "name", str), place(path, "listen", tree.get("listen")),
+        within(path, tree, "name", str),
+        place(path, "listen", tree.get("listen")),
         place(path, "discovery", tree.get("discovery")),
-        place(path, "registry.address", within(path, tree, "registry.address", str)), seed,
+        place(path, "registry.address", within(path, tree, "registry.address", str)),
+        seed,
         float(within(path, tree, "limits.cores", (int, float))),
-        int(within(path, tree, "limits.sockets", (int, float))), within(path, tree, "known", dict),
-        settings, names)
+        int(within(path, tree, "limits.sockets", (int, float))),
+        within(path, tree, "known", dict),
+        settings,
+        names,
+    )
--- a/rainpick/node/core.py
+++ b/rainpick/node/core.py
@@ -30,8 +30,14 @@
 class Core:
     """``send`` is handed the calls of each step."""
 
-    def __init__(self, told: Configuration, known: Members, mailbox: Mailbox, send: Callable[[Call], None],
-                 module: Callable[[], Director] = Director):
+    def __init__(
+        self,
+        told: Configuration,
+        known: Members,
+        mailbox: Mailbox,
+        send: Callable[[Call], None],
+        module: Callable[[], Director] = Director,
+    ):
         self.mailbox, self.send, self.clock = mailbox, send, Clock()
         self.round_us = told.settings.get("round_us", 1_000)
         self.stepper = Stepper(told.seed, told.settings, module)
@@ -114,9 +120,15 @@
         """What the director believes and did, for the log."""
         stepper, listing = self.stepper, self.listing
         return {
-            "joined": len(self.roster.joined), "servers": len(listing.entries), "version": listing.version,
-            "steps": stepper.steps, "events": stepper.heard, "orders": stepper.ordered,
-            "shed": self.mailbox.shed, "unknown": self.unknown, "cpu_s": round(time.process_time(), 2),
+            "joined": len(self.roster.joined),
+            "servers": len(listing.entries),
+            "version": listing.version,
+            "steps": stepper.steps,
+            "events": stepper.heard,
+            "orders": stepper.ordered,
+            "shed": self.mailbox.shed,
+            "unknown": self.unknown,
+            "cpu_s": round(time.process_time(), 2),
             "channel": rounded(self.stepper.director.channel()),
             "channel_most": {name: round(most, 3) for name, most in self.most.items()},
             **self.status(),
--- a/rainpick/node/process.py
+++ b/rainpick/node/process.py
@@ -49,9 +49,13 @@
         self.readings = 0  # of the configuration that are still to be tried
 
     def figures(self) -> dict:
-        return {"listener": self.listener.status(), "calls": self.calls.counts,
-                "subscriptions": self.subscription.streams,
-                "list_failed": self.watch.failed, "threads": threading.active_count()}
+        return {
+            "listener": self.listener.status(),
+            "calls": self.calls.counts,
+            "subscriptions": self.subscription.streams,
+            "list_failed": self.watch.failed,
+            "threads": threading.active_count(),
+        }
 
     def run(self) -> None:
         # Handlers only queue: whatever lock they took could be held by the very thread that they interrupt.
@@ -60,8 +64,13 @@
         for part in (self.core, self.calls, self.subscription, self.watch):
             threading.Thread(target=loudly, args=(part.run,), name=type(part).__name__, daemon=True).start()
         self.listener.start()
-        log.info("serving", name=self.told.name, cores=self.told.cores,
-                 address="%s:%d" % self.listener.address, cpu_s=round(sum(os.times()[:2]), 2))
+        log.info(
+            "serving",
+            name=self.told.name,
+            cores=self.told.cores,
+            address="%s:%d" % self.listener.address,
+            cpu_s=round(sum(os.times()[:2]), 2),
+        )
         while True:
             try:
                 number = self.signals.get(timeout=SWEEP_S)
--- a/rainpick/node/relay.py
+++ b/rainpick/node/relay.py
@@ -158,8 +158,13 @@
             if len(part.orders) > 1:  # one of them must be at fault: the others are not to be lost with it
                 self.most = len(part.orders) // 2
                 return call
-            log.error("order left out", why=taken.code, orders=part.many(), mark=part.number(),
-                      order=str(part.orders[:1]))
+            log.error(
+                "order left out",
+                why=taken.code,
+                orders=part.many(),
+                mark=part.number(),
+                order=str(part.orders[:1]),
+            )
             taken = Taken(part.many())
             self.most = None
         self.refusals = 0
@@ -168,8 +173,13 @@
         self.counts["orders"] += taken.count
         if taken.count < part.many():
             self.counts["refused"] += 1
-            log.warning("order refused", place=taken.count, orders=part.many(), mark=part.number(),
-                        order=str(part.at(taken.count)))
+            log.warning(
+                "order refused",
+                place=taken.count,
+                orders=part.many(),
+                mark=part.number(),
+                order=str(part.at(taken.count)),
+            )
         return call.rest(taken.count, part)
 
     def send(self, call: Call) -> Taken | NotTaken:
--- a/rainpick/otlp/metrics.py
+++ b/rainpick/otlp/metrics.py
@@ -115,8 +115,16 @@
     if count > COUNT_MOST or not 0 <= took < 1e12:
         raise ValueError("count or sum is out of range")
     good = outcome == ANSWERED
-    return Point(reporter, start, end, count if good else 0, 0 if good else count,
-                 int(took * 1e6) if good else 0, server=(address, port), outcomes=outcome)
+    return Point(
+        reporter,
+        start,
+        end,
+        count if good else 0,
+        0 if good else count,
+        int(took * 1e6) if good else 0,
+        server=(address, port),
+        outcomes=outcome,
+    )
 
 
 def read_calls_point(reporter: str, point) -> Point:
@@ -128,12 +136,21 @@
     if not isinstance(route, str) or not 0 <= value < COUNT_MOST:
         raise ValueError("rainpick.route (text) and a count of 0 or more are wanted")
     good = outcome == ANSWERED
-    return Point(reporter, start, end, int(value) if good else 0, 0 if good else int(value), 0,
-                 route=route, outcomes=outcome)
-
-
-def write(reporter: str, start_ns: int, end_ns: int, servers: Iterable[tuple],
-          calls: Iterable[tuple]) -> bytes:
+    return Point(
+        reporter,
+        start,
+        end,
+        int(value) if good else 0,
+        0 if good else int(value),
+        0,
+        route=route,
+        outcomes=outcome,
+    )
+
+
+def write(
+    reporter: str, start_ns: int, end_ns: int, servers: Iterable[tuple], calls: Iterable[tuple]
+) -> bytes:
     """A report. ``servers``: (host, port, outcome, count, seconds); ``calls``: (route, outcome, count)."""
     request = ExportMetricsServiceRequest()
     resource = request.resource_metrics.add()
--- a/rainpick/otlp/receiver.py
+++ b/rainpick/otlp/receiver.py
@@ -45,4 +45,5 @@
                 rejected += verdicts[verdict]
                 why.append(f"{verdicts[verdict]} {verdict}")
         return Answer(200, metrics.answer(rejected, "; ".join(why)), PROTOBUF)
+
     return handle
--- a/rainpick/publish/follow.py
+++ b/rainpick/publish/follow.py
@@ -48,8 +48,9 @@
     def change(self, table: int, before: Snapshot, after: Snapshot) -> Change:
         way = before.to(after)
         gone = tuple([place(line.server) for line in way.shut if line.server not in after.lines])
-        lines = tuple([Line(place(line.server), line.weight)
-                       for line in way.lines if line.server in after.lines])
+        lines = tuple(
+            [Line(place(line.server), line.weight) for line in way.lines if line.server in after.lines]
+        )
         return Change(self.epoch, table, before.version, after.version, after.digest, lines, gone)
 
     def loose(self, way: Way) -> tuple[tuple[Line, ...], tuple[str, ...]]:
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -28,8 +28,12 @@
 class Pins:
     """All pins of a director. ``listed`` and ``warm`` ask about a server as it is now."""
 
-    def __init__(self, listed: Callable[[tuple], bool], withdrawn: Callable[[tuple], bool],
-                 warm: Callable[[tuple], bool]):
+    def __init__(
+        self,
+        listed: Callable[[tuple], bool],
+        withdrawn: Callable[[tuple], bool],
+        warm: Callable[[tuple], bool],
+    ):
         self.listed, self.withdrawn, self.warm = listed, withdrawn, warm
         self.pins: dict[int, Pin] = {}
         self.idle: set[int] = set()  # pinned, but nothing open was left of it
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -55,8 +55,9 @@
     return [under_way[key].played() for key in sorted(under_way)]
 
 
-def reach_together(folders: list[Path], second: float | None,
-                   module: Callable[[], Director] = Director) -> list[Playing]:
+def reach_together(
+    folders: list[Path], second: float | None, module: Callable[[], Director] = Director
+) -> list[Playing]:
     """The lives that were under way at one moment of the wall's clock, one for each record that had begun.
 
     ``second`` counts from the first step of all; None is the end.
@@ -80,8 +81,9 @@
     event: Any
 
 
-def reports_by_time(steps: Iterator[Step | Hole],
-                    window_us: int = 60_000_000) -> Iterator[tuple[int, int, Late]]:
+def reports_by_time(
+    steps: Iterator[Step | Hole], window_us: int = 60_000_000
+) -> Iterator[tuple[int, int, Late]]:
     """Reports by when what they tell of began: (their place by that, their place as heard, report).
 
     A report tells of a span that ended before it came, so what is heard later may be of earlier. Reports that
--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -48,8 +48,11 @@
 
     def points(self) -> list[tuple[float, float]]:
         """(second, mean) of the spans that hold something."""
-        return [(place * self.span_us / 1e6, total / many)
-                for place, (total, many) in enumerate(zip(self.sums, self.counts, strict=True)) if many]
+        return [
+            (place * self.span_us / 1e6, total / many)
+            for place, (total, many) in enumerate(zip(self.sums, self.counts, strict=True))
+            if many
+        ]
 
 
 class Moved(NamedTuple):
@@ -111,7 +114,7 @@
         apart = sum(abs(old.get(server, 0.0) - new.get(server, 0.0)) for server in every) / 2
         self.looks, self.apart = self.looks + 1, self.apart + apart
         self.parting.add(now, apart)
-        self.lately = [*self.lately[-OVER_S + 1:], apart]
+        self.lately = [*self.lately[-OVER_S + 1 :], apart]
         if self.tells_until_us is None and sum(self.lately) / OVER_S > PARTS:
             self.tells_until_us = now
         for server in every:
@@ -124,19 +127,33 @@
         """``most``: so many servers, those whose share moved most."""
         old, new = self.sides
         looks = max(1, self.looks)
-        moved = [Moved(named(server), self.means[0][server] / looks, self.means[1][server] / looks)
-                 for server in self.shares]
-        distance = {named(server): sum(abs(one[1] - two[1]) for one, two in zip(
-            *(each.points() for each in pair), strict=False)) for server, pair in self.shares.items()}
+        moved = [
+            Moved(named(server), self.means[0][server] / looks, self.means[1][server] / looks)
+            for server in self.shares
+        ]
+        distance = {
+            named(server): sum(
+                abs(one[1] - two[1]) for one, two in zip(*(each.points() for each in pair), strict=False)
+            )
+            for server, pair in self.shares.items()
+        }
         moved.sort(key=lambda row: (-distance[row.server], row.server))
         chosen = {row.server for row in moved[:most] if distance[row.server] > 1e-9}
         until = self.tells_until_us
         return Compared(
             {name: (old.counts[name], new.counts[name]) for name in sorted(old.counts | new.counts)},
             (old.throttled_us / 1e6, new.throttled_us / 1e6),
-            {name: (old.nearest.get(name), new.nearest.get(name))
-             for name in sorted(old.nearest.keys() | new.nearest.keys())},
+            {
+                name: (old.nearest.get(name), new.nearest.get(name))
+                for name in sorted(old.nearest.keys() | new.nearest.keys())
+            },
             None if until is None else (until - self.begin_us) / 1e6,
-            self.apart / looks, [row for row in moved if row.server in chosen], self.parting.points(),
-            {named(server): (pair[0].points(), pair[1].points())
-             for server, pair in self.shares.items() if named(server) in chosen})
+            self.apart / looks,
+            [row for row in moved if row.server in chosen],
+            self.parting.points(),
+            {
+                named(server): (pair[0].points(), pair[1].points())
+                for server, pair in self.shares.items()
+                if named(server) in chosen
+            },
+        )
--- a/rainpick/record/exchange.py
+++ b/rainpick/record/exchange.py
@@ -50,8 +50,10 @@
             yield json.encode({"t": one.time_us, "lost": int(one.payload)}) + b"\n"
         elif one.kind == STEP:
             step = reader.step(one.payload)
-            rows = {name: [[type(each).__name__, *each] for each in part]
-                    for name, part in (("events", step.events), ("orders", step.orders))}
+            rows = {
+                name: [[type(each).__name__, *each] for each in part]
+                for name, part in (("events", step.events), ("orders", step.orders))
+            }
             yield json.encode({"t": one.time_us, "now": step.now} | rows) + b"\n"
 
 
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -30,8 +30,9 @@
     times: float
 
 
-def reach(life: Life, steps: Iterable[Step | Hole], until_us: int,
-          module: Callable[[], Director] = Director) -> Director:
+def reach(
+    life: Life, steps: Iterable[Step | Hole], until_us: int, module: Callable[[], Director] = Director
+) -> Director:
     """The module as it was after the last step at or before ``until_us``, by the director's clock."""
     playing = Playing(life, module)
     for step in steps:
@@ -112,10 +113,16 @@
 
     found, before = [], 1.0
     free.state = READY
-    for cause, give in (("its state on the list", on_list), ("ejected on evidence", shut_out),
-                        ("the server is eased", eased), ("its machine type is eased", kind_eased),
-                        ("back from a drain or an ejection", back), ("it has just started", cold),
-                        ("cold, and the fleet is in a jam", jam), ("cold, and few are warm", few_warm)):
+    for cause, give in (
+        ("its state on the list", on_list),
+        ("ejected on evidence", shut_out),
+        ("the server is eased", eased),
+        ("its machine type is eased", kind_eased),
+        ("back from a drain or an ejection", back),
+        ("it has just started", cold),
+        ("cold, and the fleet is in a jam", jam),
+        ("cold, and few are warm", few_warm),
+    ):
         give()
         now = asked(bare, free)
         found.append(Factor(cause, now / before if before else 1.0))
@@ -141,18 +148,28 @@
     tables = {table.number: table for table in held.tables}
     tries, lost, took = held.drops.sums(director.bucket)
     return {
-        "server": words, "state": STATES.get(held.state, "dropped by a list that may be wrong"),
-        "listed_weight": entry.weight, "zone": entry.zone, "machine": entry.machine,
+        "server": words,
+        "state": STATES.get(held.state, "dropped by a list that may be wrong"),
+        "listed_weight": entry.weight,
+        "zone": entry.zone,
+        "machine": entry.machine,
         "age_s": (now - entry.started_us) / 1e6 if entry.started_us else None,
-        "percentage": asked(director, held), "because": factors(director, held),
+        "percentage": asked(director, held),
+        "because": factors(director, held),
         "shut": held.shut,
         "ejected_for_s": max(0.0, (held.eject_until - now) / 1e6) if held.eject_until else 0.0,
         "relapses": held.relapses,
         "heard_ago_s": (now - held.heard_us) / 1e6 if held.heard_us else None,
         "lately": {"tries": tries, "dropped": lost, "mean_ms": took / max(1, tries - lost) / 1e3},
-        "tables": {number: {"told": held.told.get(number, 0.0), "wants": director.weight(held, table),
-                            "because": by_table(director, held, table)}
-                   for number, table in sorted(tables.items())}}
+        "tables": {
+            number: {
+                "told": held.told.get(number, 0.0),
+                "wants": director.weight(held, table),
+                "because": by_table(director, held, table),
+            }
+            for number, table in sorted(tables.items())
+        },
+    }
 
 
 def table(director: Director, number: int) -> dict[str, Any]:
@@ -164,9 +181,18 @@
     members = {named(address): held for address, held in director.servers.items() if number in held.told}
     told = {name: held.told[number] for name, held in members.items()}
     shut = [name for name, held in members.items() if held.shut]
-    return {"table": number, "zone": one.zone, "used": one.used, "proxies": sorted(one.proxies),
-            "warm_weight": one.warm, "most_warm_weight": one.most, "left_to_the_cold": one.cold_part,
-            "levels": {str(route): level for route, level in one.said.items()}, "told": told, "shut": shut}
+    return {
+        "table": number,
+        "zone": one.zone,
+        "used": one.used,
+        "proxies": sorted(one.proxies),
+        "warm_weight": one.warm,
+        "most_warm_weight": one.most,
+        "left_to_the_cold": one.cold_part,
+        "levels": {str(route): level for route, level in one.said.items()},
+        "told": told,
+        "shut": shut,
+    }
 
 
 def proxy(director: Director, number: int) -> dict[str, Any]:
@@ -174,20 +200,33 @@
     if held is None:
         raise InspectError(f"proxy {number} has not joined; there are {some(sorted(director.proxies))}")
     tokens = director.tokens(copy.copy(held))
-    return {"proxy": number, "zone": held.zone, "table": held.place.number,
-            "home": director.home(held).number if director.tables else None,
-            "joined_ago_s": (director.now - held.joined_us) / 1e6, "usual_calls_per_s": held.rate,
-            "messages_left": None if director.get("proxies.pushes_allowed", 0) <= 1 else tokens,
-            "unread": [{"mark": mark, "lines": lines} for mark, lines in held.unread]}
+    return {
+        "proxy": number,
+        "zone": held.zone,
+        "table": held.place.number,
+        "home": director.home(held).number if director.tables else None,
+        "joined_ago_s": (director.now - held.joined_us) / 1e6,
+        "usual_calls_per_s": held.rate,
+        "messages_left": None if director.get("proxies.pushes_allowed", 0) <= 1 else tokens,
+        "unread": [{"mark": mark, "lines": lines} for mark, lines in held.unread],
+    }
 
 
 def fleet(director: Director) -> dict[str, Any]:
     states = [STATES.get(held.state, "missing") for held in director.servers.values()]
-    return {"proxies": len(director.proxies), "not_bound": len(director.unbound()),
-            "servers": {state: states.count(state) for state in sorted(set(states))},
-            "tables": sum(one.used for one in director.tables), "lines_waiting": director.queue.waiting,
-            "queue": director.pending, "answering": director.answering, "load_in_slo_times": director.load,
-            "warm_weight": director.warm_now, "most_warm_weight": director.warm_most,
-            "left_to_the_cold": director.cold_part, "limit_of_calls": director.limit,
-            "eased_types": {str(kind): part for kind, part in director.kinds.items() if part < 1},
-            "ejected": [named(address) for address, held in director.servers.items() if held.eject_until]}
+    return {
+        "proxies": len(director.proxies),
+        "not_bound": len(director.unbound()),
+        "servers": {state: states.count(state) for state in sorted(set(states))},
+        "tables": sum(one.used for one in director.tables),
+        "lines_waiting": director.queue.waiting,
+        "queue": director.pending,
+        "answering": director.answering,
+        "load_in_slo_times": director.load,
+        "warm_weight": director.warm_now,
+        "most_warm_weight": director.warm_most,
+        "left_to_the_cold": director.cold_part,
+        "limit_of_calls": director.limit,
+        "eased_types": {str(kind): part for kind, part in director.kinds.items() if part < 1},
+        "ejected": [named(address) for address, held in director.servers.items() if held.eject_until],
+    }
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -12,8 +12,12 @@
 
 from rainpick.record.replay import Played
 
-STYLE = Style(background="transparent", plot_background="transparent", font_family="sans-serif",
-              colors=("#7a7a7a", "#c0392b", "#2471a3", "#229954", "#b9770e", "#7d3c98"))
+STYLE = Style(
+    background="transparent",
+    plot_background="transparent",
+    font_family="sans-serif",
+    colors=("#7a7a7a", "#c0392b", "#2471a3", "#229954", "#b9770e", "#7d3c98"),
+)
 CHARTS = 8  # servers that get one
 TEMPLATES = jinja2.Environment(autoescape=True, trim_blocks=True, lstrip_blocks=True)
 PAGE = TEMPLATES.from_string("""<!doctype html>
@@ -67,16 +71,31 @@
 
 
 def chart(lines: list[tuple[str, list[tuple[float, float]]]], title_y: str, mark: float | None = None) -> str:
-    figure = pygal.XY(style=STYLE, show_dots=False, height=260, width=520, x_title="second", y_title=title_y,
-                      legend_at_bottom=True, js=(), explicit_size=False, no_data_text="nothing", range=None)
+    figure = pygal.XY(
+        style=STYLE,
+        show_dots=False,
+        height=260,
+        width=520,
+        x_title="second",
+        y_title=title_y,
+        legend_at_bottom=True,
+        js=(),
+        explicit_size=False,
+        no_data_text="nothing",
+        range=None,
+    )
     for name, points in lines:
         figure.add(name, points)
     if mark is not None:
         top = max((value for _, points in lines for _, value in points), default=1.0)
         figure.add("tells until", [(mark, 0), (mark, top)], stroke_style={"dasharray": "4, 4"})
     # The library writes its settings as a script, for tooltips that we do not load.
-    return re.sub(r"<script.*?</script>", "", figure.render(is_unicode=True, disable_xml_declaration=True),
-                  flags=re.DOTALL)
+    return re.sub(
+        r"<script.*?</script>",
+        "",
+        figure.render(is_unicode=True, disable_xml_declaration=True),
+        flags=re.DOTALL,
+    )
 
 
 def near(found: Any, begin: int) -> str:
@@ -85,28 +104,55 @@
 
 def one_life(one: Played) -> dict[str, Any]:
     begun = datetime.fromtimestamp(one.life.wall_us / 1e6, UTC).isoformat(sep=" ", timespec="seconds")
-    found: dict[str, Any] = {"life": one.life, "begun": begun, "steps": one.steps, "orders": one.orders,
-                             "differing": one.differing, "hole": one.hole and one.hole.why, "first": (),
-                             "told": one.compared}
+    found: dict[str, Any] = {
+        "life": one.life,
+        "begun": begun,
+        "steps": one.steps,
+        "orders": one.orders,
+        "differing": one.differing,
+        "hole": one.hole and one.hole.why,
+        "first": (),
+        "told": one.compared,
+    }
     if one.first:
         found["first_s"] = f"{(one.first.now - one.life.now) / 1e6:.2f}"
-        found["first"] = [(word, [repr(each) for each in rows[:8]]) for word, rows in (
-            ("heard before", one.first.before), ("heard", one.first.heard), ("no longer", one.first.recorded),
-            ("instead", one.first.replayed))]
+        found["first"] = [
+            (word, [repr(each) for each in rows[:8]])
+            for word, rows in (
+                ("heard before", one.first.before),
+                ("heard", one.first.heard),
+                ("no longer", one.first.recorded),
+                ("instead", one.first.replayed),
+            )
+        ]
     told = one.compared
     if told:
         until = told.tells_until_s
         found |= {
-            "parted": f"{told.parted:.1%}", "until": None if until is None else f"{until:.0f}",
-            "counts": [*((name, *pair) for name, pair in told.counts.items()),
-                       ("seconds throttled", *(f"{each:.1f}" for each in told.throttled_s))],
-            "nearest": [(name, *(near(each, one.life.now) for each in pair))
-                        for name, pair in told.nearest.items()],
-            "charts": [("Calls that would go elsewhere",
-                        chart([("part of calls", told.parting)], "part", until))]
-            + [(f"{row.server}: its share of the calls", chart(
-                [("recorded", told.series[row.server][0]), ("replayed", told.series[row.server][1])],
-                "share", until)) for row in told.moved[:CHARTS]]}
+            "parted": f"{told.parted:.1%}",
+            "until": None if until is None else f"{until:.0f}",
+            "counts": [
+                *((name, *pair) for name, pair in told.counts.items()),
+                ("seconds throttled", *(f"{each:.1f}" for each in told.throttled_s)),
+            ],
+            "nearest": [
+                (name, *(near(each, one.life.now) for each in pair)) for name, pair in told.nearest.items()
+            ],
+            "charts": [
+                ("Calls that would go elsewhere", chart([("part of calls", told.parting)], "part", until))
+            ]
+            + [
+                (
+                    f"{row.server}: its share of the calls",
+                    chart(
+                        [("recorded", told.series[row.server][0]), ("replayed", told.series[row.server][1])],
+                        "share",
+                        until,
+                    ),
+                )
+                for row in told.moved[:CHARTS]
+            ],
+        }
     return found
 
 
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -94,9 +94,14 @@
     ``compare`` the two streams of orders are told in users' terms.
     """
 
-    def __init__(self, life: Life, module: Callable[[], Director] = Director,
-                 changes: dict[str, Any] | None = None, replace: dict[str, Any] | None = None,
-                 compare: bool = False):
+    def __init__(
+        self,
+        life: Life,
+        module: Callable[[], Director] = Director,
+        changes: dict[str, Any] | None = None,
+        replace: dict[str, Any] | None = None,
+        compare: bool = False,
+    ):
         self.life, self.director, self.compare = life, module(), compare
         self.changes, self.replace = changes or {}, replace
         self.steps = self.orders = self.differing = 0
@@ -131,9 +136,16 @@
         self.last = one
 
     def played(self) -> Played:
-        return Played(self.life, self.steps, self.orders, self.differing, self.first,
-                      self.sides.result() if self.sides else None, self.hole,
-                      self.last.now if self.last else self.life.now)
+        return Played(
+            self.life,
+            self.steps,
+            self.orders,
+            self.differing,
+            self.first,
+            self.sides.result() if self.sides else None,
+            self.hole,
+            self.last.now if self.last else self.life.now,
+        )
 
 
 def play(life: Life, steps: Iterable[Step | Hole], *how: Any, **words: Any) -> Played:
--- a/rainpick/record/steps.py
+++ b/rainpick/record/steps.py
@@ -11,15 +11,40 @@
 
 LIFE, STEP, LOST = 1, 2, 3  # kinds of records
 TYPES = (  # their place is their number in records: new ones go to the end
-    api.Started, api.Listed, api.TimerDue, api.ProbeEnded, api.PeerSaid, api.ProxyJoined, api.ProxyLeft,
-    api.Applied, api.ServerMet, api.ProxyMet, api.SliceMet, api.SliceGiven, api.SliceLine, api.SetLine,
-    api.ClearTable, api.Withdraw, api.Mark, api.Bind, api.Admit, api.Probe, api.Tell, api.SetTimer,
-    api.Subscribe, api.FetchList, api.Note, api.Repeated)
+    api.Started,
+    api.Listed,
+    api.TimerDue,
+    api.ProbeEnded,
+    api.PeerSaid,
+    api.ProxyJoined,
+    api.ProxyLeft,
+    api.Applied,
+    api.ServerMet,
+    api.ProxyMet,
+    api.SliceMet,
+    api.SliceGiven,
+    api.SliceLine,
+    api.SetLine,
+    api.ClearTable,
+    api.Withdraw,
+    api.Mark,
+    api.Bind,
+    api.Admit,
+    api.Probe,
+    api.Tell,
+    api.SetTimer,
+    api.Subscribe,
+    api.FetchList,
+    api.Note,
+    api.Repeated,
+)
 CODES = {kind: place for place, kind in enumerate(TYPES)}
 # What a life says of the types in it: name and fields, by number; the last is an entry of a list.
 SAID = tuple((kind.__name__, *kind._fields) for kind in (*TYPES, api.Server))
 # Records of before the first of December 2026 do not say it: theirs were these.
-UNSAID = tuple(tuple(words.split()) for words in """
+UNSAID = tuple(
+    tuple(words.split())
+    for words in """
 Started seed settings|Listed kind servers version|TimerDue token|ProbeEnded server outcome took_us load
 PeerSaid peer data|ProxyJoined proxy fresh rate zone|ProxyLeft proxy|Applied proxy number took_us
 ServerMet server zone tries dropped mean_us span_us load|ProxyMet proxy route calls dropped span_us
@@ -27,7 +52,10 @@
 SetLine table server weight|ClearTable table|Withdraw server on|Mark number everyone|Bind table routes proxy
 Admit table routes level retry|Probe server|Tell peer data|SetTimer token delay_us|Subscribe on|FetchList
 Note text|Server weight zone started_us machine cell address state
-""".strip().replace("\n", "|").split("|"))
+""".strip()
+    .replace("\n", "|")
+    .split("|")
+)
 encoder = msgspec.msgpack.Encoder()
 
 
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -236,8 +236,11 @@
 
     def mix(self, table: int) -> dict[Any, float]:
         """By server its share of the calls of a table's proxies, by the weights that they hold."""
-        found = {server: held.lines[table] for server, held in self.servers.items()
-                 if table in held.lines and not held.shut}
+        found = {
+            server: held.lines[table]
+            for server, held in self.servers.items()
+            if table in held.lines and not held.shut
+        }
         total = sum(found.values()) or 1.0
         return {server: weight / total for server, weight in found.items()}
 
--- a/rainpick/rules/audit.py
+++ b/rainpick/rules/audit.py
@@ -171,11 +171,17 @@
     marks = {event["what"]: event["t"] for event in events if event["k"] == "mark"}
     first, last = events[0]["t"] if events else 0, events[-1]["t"] if events else 0
     span = marks.get("begin", first), marks.get("end", last)
-    rules = [never_bare(events, limits, heard, joins, lives, span[1]), no_effect_twice(events, limits, lives),
-             drains_kept(events, limits, heard, joins), no_cold_pushed(events, limits, lives),
-             short_queue(events, limits, joins)]
-    service: dict[str, dict] = {name: {"asked": 0, "good": 0, "importance": route["importance"], "took": []}
-                                for name, route in limits.routes.items()}
+    rules = [
+        never_bare(events, limits, heard, joins, lives, span[1]),
+        no_effect_twice(events, limits, lives),
+        drains_kept(events, limits, heard, joins),
+        no_cold_pushed(events, limits, lives),
+        short_queue(events, limits, joins),
+    ]
+    service: dict[str, dict] = {
+        name: {"asked": 0, "good": 0, "importance": route["importance"], "took": []}
+        for name, route in limits.routes.items()
+    }
     repeats: dict[str, int] = defaultdict(int)
     for event in events:
         if event["k"] == "asked" and span[0] <= event["t"] <= span[1]:
@@ -195,9 +201,12 @@
     for server, rows in lives.items():
         for life in rows:
             ready_us = life["born"] + limits.warm_after
-            closes = [at for each in heard.values() for at, state in
-                      zip(each.times[server], each.states[server], strict=True)
-                      if state != "ready" and at >= life["t"]]
+            closes = [
+                at
+                for each in heard.values()
+                for at, state in zip(each.times[server], each.states[server], strict=True)
+                if state != "ready" and at >= life["t"]
+            ]
             warm.append((ready_us, min([life.get("end", end), *closes], default=end)))
     holds: dict[str, dict] = defaultdict(dict)
     bare: dict[str, int] = {}
@@ -273,8 +282,12 @@
         state, since = heard[join.director].state(event["s"], event["t"])
         if state in ("draining", "gone") and (state == "draining" or limits.gone_binds):
             late = event["t"] - max(since, join.begin)
-            rule.near(late / limits.grace, event["p"], event["t"],
-                      f"sent to {event['s']} {late / 1e6:.2f} s after its director was told: {state}")
+            rule.near(
+                late / limits.grace,
+                event["p"],
+                event["t"],
+                f"sent to {event['s']} {late / 1e6:.2f} s after its director was told: {state}",
+            )
     return rule
 
 
@@ -307,8 +320,12 @@
     read: dict[str, deque] = defaultdict(deque)
     for event in events:
         if event["k"] == "status" and event.get("lines_most") is not None:
-            rule.near(event["lines_most"] / limits.pending, f"director {event['d']}", event["t"],
-                      f"{event['lines_most']} lines waited, {limits.pending} may")
+            rule.near(
+                event["lines_most"] / limits.pending,
+                f"director {event['d']}",
+                event["t"],
+                f"{event['lines_most']} lines waited, {limits.pending} may",
+            )
         elif event["k"] == "weights" and limits.messages_most:
             row, join = read[event["p"]], join_at(joins[event["p"]], event["t"])
             row.append(event["t"])
@@ -317,6 +334,10 @@
                 row.popleft()
                 if not row:
                     break
-            rule.near(len(row) / limits.messages_most, event["p"], event["t"],
-                      f"{len(row)} messages within the span, {limits.messages_most} may be")
+            rule.near(
+                len(row) / limits.messages_most,
+                event["p"],
+                event["t"],
+                f"{len(row)} messages within the span, {limits.messages_most} may be",
+            )
     return rule
--- a/rainpick/sasp/codec.py
+++ b/rainpick/sasp/codec.py
@@ -187,12 +187,23 @@
     groups: tuple[Weights, ...] = ()
 
 
-Message = (Registration | Deregistration | GetWeights | SendWeights | SetLbState | SetMemberState | Reply
-           | GetWeightsReply)
+Message = (
+    Registration
+    | Deregistration
+    | GetWeights
+    | SendWeights
+    | SetLbState
+    | SetMemberState
+    | Reply
+    | GetWeightsReply
+)
 
 REPLY_TO = {
-    REGISTRATION: REGISTRATION_REPLY, DEREGISTRATION: DEREGISTRATION_REPLY, GET_WEIGHTS: GET_WEIGHTS_REPLY,
-    SET_LB_STATE: SET_LB_STATE_REPLY, SET_MEMBER_STATE: SET_MEMBER_STATE_REPLY,
+    REGISTRATION: REGISTRATION_REPLY,
+    DEREGISTRATION: DEREGISTRATION_REPLY,
+    GET_WEIGHTS: GET_WEIGHTS_REPLY,
+    SET_LB_STATE: SET_LB_STATE_REPLY,
+    SET_MEMBER_STATE: SET_MEMBER_STATE_REPLY,
 }
 PLAIN_REPLIES = frozenset(REPLY_TO.values()) - {GET_WEIGHTS_REPLY}
 
@@ -229,8 +240,12 @@
 
 def write_member(member: Member) -> bytes:
     label = member.label.encode()
-    return MEMBER.pack(MEMBER_DATA, MEMBER.size + len(label), member.protocol, member.port, member.address,
-                       len(label)) + label
+    return (
+        MEMBER.pack(
+            MEMBER_DATA, MEMBER.size + len(label), member.protocol, member.port, member.address, len(label)
+        )
+        + label
+    )
 
 
 def write_group(group: Group) -> bytes:
@@ -239,13 +254,19 @@
 
 
 def write_entry(entry: Weight) -> bytes:
-    return (PIECE.pack(WEIGHT_ENTRY, PIECE.size + ENTRY_TAIL.size) + write_member(entry.member)
-            + ENTRY_TAIL.pack(entry.state, entry.flags, entry.weight))
+    return (
+        PIECE.pack(WEIGHT_ENTRY, PIECE.size + ENTRY_TAIL.size)
+        + write_member(entry.member)
+        + ENTRY_TAIL.pack(entry.state, entry.flags, entry.weight)
+    )
 
 
 def write_state(state: MemberState) -> bytes:
-    return (PIECE.pack(MEMBER_STATE, PIECE.size + STATE_TAIL.size) + write_member(state.member)
-            + STATE_TAIL.pack(state.state, QUIESCE_MEMBER if state.quiesce else 0))
+    return (
+        PIECE.pack(MEMBER_STATE, PIECE.size + STATE_TAIL.size)
+        + write_member(state.member)
+        + STATE_TAIL.pack(state.state, QUIESCE_MEMBER if state.quiesce else 0)
+    )
 
 
 def write_group_of(kind: int, group: Group, rows: list[bytes]) -> bytes:
@@ -271,26 +292,39 @@
 def send_weights_frame(number: int, group: bytes, count: int, rows: bytes) -> bytes:
     """Send Weights with one group; what does not differ between proxies is written already."""
     size = PUSH_HEAD.size + len(group) + len(rows)
-    return PUSH_HEAD.pack(HEADER, HEAD.size, VERSION, size, number, SEND_WEIGHTS, 6, 1, GROUP_OF_WEIGHTS, 6,
-                          count) + group + rows
+    return (
+        PUSH_HEAD.pack(
+            HEADER, HEAD.size, VERSION, size, number, SEND_WEIGHTS, 6, 1, GROUP_OF_WEIGHTS, 6, count
+        )
+        + group
+        + rows
+    )
 
 
 def write(message: Message, number: int = 0) -> bytes:
     """The bytes of one message with its message id."""
     flag = BYTE.pack(FROM_LB if getattr(message, "from_lb", False) else 0)
     if isinstance(message, Registration | Deregistration):
-        groups = [write_group_of(GROUP_OF_MEMBERS, group.group, [write_member(one) for one in group.members])
-                  for group in message.groups]
+        groups = [
+            write_group_of(GROUP_OF_MEMBERS, group.group, [write_member(one) for one in group.members])
+            for group in message.groups
+        ]
         if isinstance(message, Deregistration):
             flag += BYTE.pack(message.reason)
         kind = REGISTRATION if isinstance(message, Registration) else DEREGISTRATION
         return frame(number, kind, flag + SHORT.pack(len(groups)), b"".join(groups))
     if isinstance(message, GetWeights):
-        return frame(number, GET_WEIGHTS, SHORT.pack(len(message.groups)),
-                     b"".join(write_group(group) for group in message.groups))
+        return frame(
+            number,
+            GET_WEIGHTS,
+            SHORT.pack(len(message.groups)),
+            b"".join(write_group(group) for group in message.groups),
+        )
     if isinstance(message, SendWeights | GetWeightsReply):
-        groups = [write_group_of(GROUP_OF_WEIGHTS, group.group, [write_entry(one) for one in group.entries])
-                  for group in message.groups]
+        groups = [
+            write_group_of(GROUP_OF_WEIGHTS, group.group, [write_entry(one) for one in group.entries])
+            for group in message.groups
+        ]
         if isinstance(message, SendWeights):
             return frame(number, SEND_WEIGHTS, SHORT.pack(len(groups)), b"".join(groups))
         fixed = BYTE.pack(message.code) + SHORT.pack(message.interval) + SHORT.pack(len(groups))
@@ -299,8 +333,10 @@
         fixed = text(message.uid, UID_MOST) + BYTE.pack(message.health) + BYTE.pack(message.flags)
         return frame(number, SET_LB_STATE, fixed)
     if isinstance(message, SetMemberState):
-        groups = [write_group_of(GROUP_OF_STATES, group.group, [write_state(one) for one in group.states])
-                  for group in message.groups]
+        groups = [
+            write_group_of(GROUP_OF_STATES, group.group, [write_state(one) for one in group.states])
+            for group in message.groups
+        ]
         return frame(number, SET_MEMBER_STATE, flag + SHORT.pack(len(groups)), b"".join(groups))
     return frame(number, message.kind, BYTE.pack(message.code))
 
@@ -323,14 +359,14 @@
         return fields
 
     def text(self, least: int, most: int, code: int, what: str) -> str:
-        length, = self.take(BYTE)
+        (length,) = self.take(BYTE)
         if not least <= length <= most:
             raise SaspError(f"{what} of {length} bytes, {least} to {most} are allowed", code)
         if self.at + length > len(self.data):
             raise SaspError(f"{what} runs past the end of its message")
         self.at += length
         try:
-            return bytes(self.data[self.at - length:self.at]).decode()
+            return bytes(self.data[self.at - length : self.at]).decode()
         except UnicodeDecodeError:
             raise SaspError(f"{what} is not UTF-8") from None
 
@@ -348,7 +384,7 @@
 
     def count(self, smallest: int) -> int:
         """How many components follow: never more than the bytes that are left could hold."""
-        count, = self.take(SHORT)
+        (count,) = self.take(SHORT)
         if count * smallest > len(self.data) - self.at:
             raise SaspError(f"{count} components are announced in {len(self.data) - self.at} bytes")
         return count
@@ -397,6 +433,7 @@
         cursor.end(limit, "a group of components")
         group = read_group(cursor)
         return build(group, tuple([row(cursor) for _ in range(count)]))
+
     return read_group_of
 
 
@@ -420,15 +457,15 @@
             return Registration(many(read_members), from_lb)
         if kind == SET_MEMBER_STATE:
             return SetMemberState(many(read_states), from_lb)
-        reason, = cursor.take(BYTE)
+        (reason,) = cursor.take(BYTE)
         return Deregistration(many(read_members), from_lb, reason)
     if kind == GET_WEIGHTS:
         return GetWeights(many(read_group, PIECE.size + 2))
     if kind == SEND_WEIGHTS:
         return SendWeights(many(read_weights))
     if kind == GET_WEIGHTS_REPLY:
-        code, = cursor.take(BYTE)
-        interval, = cursor.take(SHORT)
+        (code,) = cursor.take(BYTE)
+        (interval,) = cursor.take(SHORT)
         return GetWeightsReply(code, interval, many(read_weights))
     if kind == SET_LB_STATE:
         uid = cursor.text(1, UID_MOST, INVALID_LB_UID, "an LB UID")
@@ -436,7 +473,7 @@
         cursor.end(limit, "a message")
         return SetLbState(uid, health, flags)
     if kind in PLAIN_REPLIES:
-        code, = cursor.take(BYTE)
+        (code,) = cursor.take(BYTE)
         cursor.end(limit, "a message")
         return Reply(kind, code)
     raise SaspError(f"no message has the type {kind:#06x}")
@@ -470,7 +507,7 @@
             return None
         whole = bytes(self.held[:length])
         del self.held[:length]
-        body, = SHORT.unpack_from(whole, HEAD.size)
+        (body,) = SHORT.unpack_from(whole, HEAD.size)
         cursor = Cursor(whole, HEAD.size)
         try:
             message = read_body(body, cursor)
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -24,8 +24,11 @@
 )
 
 REQUESTS = {
-    Registration: codec.REGISTRATION, Deregistration: codec.DEREGISTRATION, GetWeights: codec.GET_WEIGHTS,
-    SetLbState: codec.SET_LB_STATE, SetMemberState: codec.SET_MEMBER_STATE,
+    Registration: codec.REGISTRATION,
+    Deregistration: codec.DEREGISTRATION,
+    GetWeights: codec.GET_WEIGHTS,
+    SetLbState: codec.SET_LB_STATE,
+    SetMemberState: codec.SET_MEMBER_STATE,
 }
 
 
--- a/rainpick/settings/fleet.py
+++ b/rainpick/settings/fleet.py
@@ -24,8 +24,9 @@
             first, _, last = ports.partition("-")
             self.ports = range(int(first), int(last or first) + 1) if colon else range(65536)
         except ValueError:
-            raise ValueError(f"fleet.servers: {pattern!r} is not HOST, HOST:PORT, HOST:FIRST-LAST or "
-                             "NETWORK/BITS") from None
+            raise ValueError(
+                f"fleet.servers: {pattern!r} is not HOST, HOST:PORT, HOST:FIRST-LAST or NETWORK/BITS"
+            ) from None
         if not self.ports:
             raise ValueError(f"fleet.servers: {pattern!r} has a port range that ends before it begins")
 
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -89,7 +89,8 @@
     zone: str | None = Field(None, description="zone of a proxy that no rule knows")
     rate: float = Field(1.0, gt=0, description="calls a second of a proxy that no rule knows")
     admit: Literal["silent", "ratio", "rate"] = Field(
-        "silent", description="levels that proxies obey: a part, calls a second, none. SASP carries none")
+        "silent", description="levels that proxies obey: a part, calls a second, none. SASP carries none"
+    )
     ejects_after: int = Field(0, ge=0, description="drops in a row after which proxies shun a server")
 
 
@@ -191,11 +192,15 @@
                 raise ValueError(f"{where}.zone: {zone!r} is not one of zones {list(self.zones)}")
         for at, rule in enumerate(self.fleet.servers):
             if rule.machine is not None and rule.machine not in self.machines:
-                raise ValueError(f"fleet.servers.{at}.machine: {rule.machine!r} is not one of machines "
-                                 f"{list(self.machines)}")
+                raise ValueError(
+                    f"fleet.servers.{at}.machine: {rule.machine!r} is not one of machines "
+                    f"{list(self.machines)}"
+                )
             if rule.weight is not None and rule.weight > self.fleet.weight_most:
-                raise ValueError(f"fleet.servers.{at}.weight: {rule.weight} is over fleet.weight_most "
-                                 f"{self.fleet.weight_most}")
+                raise ValueError(
+                    f"fleet.servers.{at}.weight: {rule.weight} is over fleet.weight_most "
+                    f"{self.fleet.weight_most}"
+                )
             Match(rule.match)
         if len({route.name for route in self.routes}) < len(self.routes):
             raise ValueError("routes: two of them have the same name")
--- a/rainpick/settings/units.py
+++ b/rainpick/settings/units.py
@@ -48,7 +48,19 @@
     return Endpoint(host, int(port))
 
 
-Duration = Annotated[int, BeforeValidator(duration_us), WithJsonSchema(
-    {"type": "string", "pattern": DURATION.pattern, "description": "a number and a unit: us, ms, s, min, h"})]
-Address = Annotated[Endpoint, BeforeValidator(endpoint), WithJsonSchema(
-    {"type": "string", "description": "HOST:PORT; port 0 lets the system choose"})]
+Duration = Annotated[
+    int,
+    BeforeValidator(duration_us),
+    WithJsonSchema(
+        {
+            "type": "string",
+            "pattern": DURATION.pattern,
+            "description": "a number and a unit: us, ms, s, min, h",
+        }
+    ),
+]
+Address = Annotated[
+    Endpoint,
+    BeforeValidator(endpoint),
+    WithJsonSchema({"type": "string", "description": "HOST:PORT; port 0 lets the system choose"}),
+]
--- a/rainpick/simhost/wire.py
+++ b/rainpick/simhost/wire.py
@@ -12,6 +12,7 @@
 COUNT = struct.Struct(">I")
 MOST_FRAME = 1 << 30
 
+
 class MalformedError(Exception):
     """The input is not what the wire allows."""
 
@@ -34,10 +35,10 @@
         if self.at + length > len(self.body):
             raise MalformedError(f"a field of {length} bytes runs past the end of its frame")
         self.at += length
-        return self.body[self.at - length:self.at]
+        return self.body[self.at - length : self.at]
 
     def load(self):
-        count, = self.take(BYTE)
+        (count,) = self.take(BYTE)
         return self.take(FLOATS[count])
 
 
@@ -123,7 +124,7 @@
 def records(frame, lists):
     """Give out (instance, event) in order; None for an event: it is killed. ``lists`` outlives the frame."""
     for _ in range(frame.records):
-        code, = frame.take(CODE)
+        (code,) = frame.take(CODE)
         if code == DIRECTORY_CODE:
             number, count = frame.take(DIRECTORY)
             lists[number] = tuple(map(entry, ENTRY.iter_unpack(frame.run(count * ENTRY.size))))
@@ -151,6 +152,7 @@
     def write(who, order):
         data = content(order).encode()[:65535]
         return form.pack(code, who, len(data)) + data
+
     return write
 
 
--- a/rainpick/standins/blocking.py
+++ b/rainpick/standins/blocking.py
@@ -7,8 +7,9 @@
 PIECE = 65_536
 
 
-def receive(sock: socket.socket, timeout_s: float | None, take: Callable[[bytes], list],
-            malformed: type[Exception]) -> list:
+def receive(
+    sock: socket.socket, timeout_s: float | None, take: Callable[[bytes], list], malformed: type[Exception]
+) -> list:
     """What came within the time, nothing if it ran out; ``OSError`` when the director ended or spoils it."""
     sock.settimeout(timeout_s)
     try:
--- a/rainpick/standins/day.py
+++ b/rainpick/standins/day.py
@@ -51,19 +51,40 @@
 
 def director_settings(scenario: Scenario, number: int, ports: list[int], folder: Path) -> dict[str, Any]:
     """The settings file of one director, as a plain value; the scenario's own settings come on top."""
-    routes = [{"name": route.name, "slo_time": f"{route.slo_time}us", "time_limit": f"{route.time_limit}us",
-               "importance": route.importance, "effect": route.effect,
-               "repeat_window": f"{route.repeat_window}us"} for route in scenario.routes]
+    routes = [
+        {
+            "name": route.name,
+            "slo_time": f"{route.slo_time}us",
+            "time_limit": f"{route.time_limit}us",
+            "importance": route.importance,
+            "effect": route.effect,
+            "repeat_window": f"{route.repeat_window}us",
+        }
+        for route in scenario.routes
+    ]
     found: dict[str, Any] = {
-        "director": {"number": number, "of": scenario.directors, "seed": scenario.seed + number + 1,
-                     "list_cache": str(folder / f"list-{number}.json"), "settle": "500ms"},
-        "listen": {"sasp": f"127.0.0.1:{ports[0]}", "otlp": f"127.0.0.1:{ports[1]}",
-                   "status": f"127.0.0.1:{ports[2]}", "mqtt": f"127.0.0.1:{ports[3]}"},
-        "zones": list(scenario.zones), "machines": [machine.name for machine in scenario.machines],
+        "director": {
+            "number": number,
+            "of": scenario.directors,
+            "seed": scenario.seed + number + 1,
+            "list_cache": str(folder / f"list-{number}.json"),
+            "settle": "500ms",
+        },
+        "listen": {
+            "sasp": f"127.0.0.1:{ports[0]}",
+            "otlp": f"127.0.0.1:{ports[1]}",
+            "status": f"127.0.0.1:{ports[2]}",
+            "mqtt": f"127.0.0.1:{ports[3]}",
+        },
+        "zones": list(scenario.zones),
+        "machines": [machine.name for machine in scenario.machines],
         "routes": routes,
-        "proxies": {"count": scenario.proxies, "standing_lines": scenario.standing,
-                    "report_every": f"{scenario.report_every}us",
-                    "known": [{"match": "edge-*", "rate": scenario.calls_per_s / scenario.proxies}]},
+        "proxies": {
+            "count": scenario.proxies,
+            "standing_lines": scenario.standing,
+            "report_every": f"{scenario.report_every}us",
+            "known": [{"match": "edge-*", "rate": scenario.calls_per_s / scenario.proxies}],
+        },
         "record": {"folder": str(folder / f"record-{number}"), "sync": False},
     }
     for part, values in scenario.settings.items():
@@ -105,8 +126,9 @@
 
     def __init__(self, what: str, day: dict, words: list, log: Path):
         command = [sys.executable, "-m", "rainpick.standins", what, json.dumps(words), str(log)]
-        self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
-                                        env=environment())
+        self.process = subprocess.Popen(
+            command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True, env=environment()
+        )
         self.process.stdin.write(json.dumps(day) + "\n")
         self.process.stdin.flush()
         self.said = json.loads(self.process.stdout.readline() or "null")
@@ -145,8 +167,13 @@
 class Day:
     """One day under way. ``launch`` makes a director from settings and folder; tests hand in doubles."""
 
-    def __init__(self, scenario: Scenario, folder: Path,
-                 launch: Callable[[dict, Path], Any] = DirectorProcess, part: type = Remote):
+    def __init__(
+        self,
+        scenario: Scenario,
+        folder: Path,
+        launch: Callable[[dict, Path], Any] = DirectorProcess,
+        part: type = Remote,
+    ):
         folder.mkdir(parents=True, exist_ok=True)
         for old in folder.glob("*.json*"):
             old.unlink()
@@ -162,12 +189,30 @@
     def limits(self) -> Limits:
         settings, scenario = self.settings[0], self.scenario
         rules, channel = settings.rules, settings.channel
-        routes = {route.name: {"importance": route.importance, "effect": route.effect,
-                               "window": route.repeat_window} for route in scenario.routes}
-        return Limits(rules.bare, rules.drain_grace, rules.warm_after, rules.start_capacity,
-                      rules.fall_multiple, rules.fall, channel.pending_lines, channel.lines_per_s,
-                      channel.head_lines, channel.messages_most, channel.messages_over,
-                      settings.fleet.member_grace, not rules.gone_does_not_bind, routes)
+        routes = {
+            route.name: {
+                "importance": route.importance,
+                "effect": route.effect,
+                "window": route.repeat_window,
+            }
+            for route in scenario.routes
+        }
+        return Limits(
+            rules.bare,
+            rules.drain_grace,
+            rules.warm_after,
+            rules.start_capacity,
+            rules.fall_multiple,
+            rules.fall,
+            channel.pending_lines,
+            channel.lines_per_s,
+            channel.head_lines,
+            channel.messages_most,
+            channel.messages_over,
+            settings.fleet.member_grace,
+            not rules.gone_does_not_bind,
+            routes,
+        )
 
     def status(self, number: int) -> dict | None:
         host, port = self.settings[number].listen.status
@@ -198,8 +243,12 @@
         self.plain = self.for_standins()
         (self.folder / "limits.json").write_text(json.dumps(asdict(self.limits())))
         self.fleet = self.part("fleet", self.plain, [], self.folder / "fleet.jsonl")
-        self.wait_for("all servers listed", lambda _, found: [
-            server["state"] for server in found.get("servers", ())] == ["ready"] * scenario.servers)
+        self.wait_for(
+            "all servers listed",
+            lambda _, found: (
+                [server["state"] for server in found.get("servers", ())] == ["ready"] * scenario.servers
+            ),
+        )
         self.plain["listed"] = self.fleet.said
         for process in range(scenario.edge_processes):
             numbers = list(range(process, scenario.proxies, scenario.edge_processes))
@@ -217,19 +266,39 @@
     def for_standins(self) -> dict[str, Any]:
         scenario, rules = self.scenario, self.settings[0].rules
         return {
-            "seed": scenario.seed, "zones": scenario.zones, "servers": scenario.servers,
-            "uid": self.settings[0].fleet.uid, "group": self.settings[0].fleet.group,
+            "seed": scenario.seed,
+            "zones": scenario.zones,
+            "servers": scenario.servers,
+            "uid": self.settings[0].fleet.uid,
+            "group": self.settings[0].fleet.group,
             "machines": [machine.model_dump() for machine in scenario.machines],
-            "routes": [{"name": route.name, "share": route.share, "work": route.work, "slo": route.slo_time,
-                        "limit": route.time_limit, "effect": route.effect, "window": route.repeat_window}
-                       for route in scenario.routes],
-            "rules": rules.model_dump(), "directors": [settings.listen.sasp for settings in self.settings],
-            "mqtt": [settings.listen.mqtt for settings in self.settings], "fronts": scenario.fronts,
-            "otlp": [settings.listen.otlp for settings in self.settings], "proxies": scenario.proxies,
-            "calls_per_s": scenario.calls_per_s, "pick": scenario.pick, "standing": scenario.standing,
-            "repeat": scenario.repeat, "client_repeats": scenario.client_repeats,
-            "client_wait_s": scenario.client_wait / 1e6, "try_share": scenario.try_share,
-            "report_s": scenario.report_every / 1e6, "redial_s": [one / 1e6 for one in scenario.redial],
+            "routes": [
+                {
+                    "name": route.name,
+                    "share": route.share,
+                    "work": route.work,
+                    "slo": route.slo_time,
+                    "limit": route.time_limit,
+                    "effect": route.effect,
+                    "window": route.repeat_window,
+                }
+                for route in scenario.routes
+            ],
+            "rules": rules.model_dump(),
+            "directors": [settings.listen.sasp for settings in self.settings],
+            "mqtt": [settings.listen.mqtt for settings in self.settings],
+            "fronts": scenario.fronts,
+            "otlp": [settings.listen.otlp for settings in self.settings],
+            "proxies": scenario.proxies,
+            "calls_per_s": scenario.calls_per_s,
+            "pick": scenario.pick,
+            "standing": scenario.standing,
+            "repeat": scenario.repeat,
+            "client_repeats": scenario.client_repeats,
+            "client_wait_s": scenario.client_wait / 1e6,
+            "try_share": scenario.try_share,
+            "report_s": scenario.report_every / 1e6,
+            "redial_s": [one / 1e6 for one in scenario.redial],
         }
 
     def deeds(self) -> list[tuple[int, int, str, Callable[[], None]]]:
@@ -269,10 +338,16 @@
                     text = f"deploy: {len(servers)} servers" if not place else ""
                     add(at + place * event.stagger, text, server_deed("replace", [number], **words))
             elif event.do == "kill_director":
-                add(at, f"director {event.director} is killed",
-                    lambda number=event.director: self.kill(number))
-                add(end or at + 1_000_000, f"director {event.director} starts again",
-                    lambda number=event.director: self.revive(number))
+                add(
+                    at,
+                    f"director {event.director} is killed",
+                    lambda number=event.director: self.kill(number),
+                )
+                add(
+                    end or at + 1_000_000,
+                    f"director {event.director} starts again",
+                    lambda number=event.director: self.revive(number),
+                )
             elif event.do == "break_streams":
                 add(at, f"streams of {len(proxies)} proxies break", proxy_deed("break_streams"))
             elif event.do == "stop_reading":
--- a/rainpick/standins/edges.py
+++ b/rainpick/standins/edges.py
@@ -90,8 +90,11 @@
         """What it holds now, from a table that was checked."""
         fresh = {key(server): weight for server, weight in lines.items()}
         with self.lock:
-            news = [["%s:%d" % server, weight, 0] for server, weight in fresh.items()
-                    if self.weights.get(server) != weight]
+            news = [
+                ["%s:%d" % server, weight, 0]
+                for server, weight in fresh.items()
+                if self.weights.get(server) != weight
+            ]
             news += [["%s:%d" % server, 0, 0] for server in self.weights if server not in fresh]
             for server in [server for server in self.weights if server not in fresh]:
                 for client in self.idle.pop(server, ()):
@@ -105,8 +108,11 @@
             raise ConnectionAbortedError(f"refused: {reply.code:#04x}")
 
     def apply(self, message: codec.SendWeights) -> None:
-        news = [[*entry.member.key(), entry.weight, entry.flags]
-                for group in message.groups for entry in group.entries]
+        news = [
+            [*entry.member.key(), entry.weight, entry.flags]
+            for group in message.groups
+            for entry in group.entries
+        ]
         with self.lock:
             for host, port, weight, _ in news:
                 if weight:
@@ -144,8 +150,15 @@
             if server is None or now_us() >= until_us:
                 break
             if tried:
-                self.log("again", p=self.uid, id=call, r=route["name"], s="%s:%d" % server,
-                         after=["%s:%d" % tried[0]], first=first_us)
+                self.log(
+                    "again",
+                    p=self.uid,
+                    id=call,
+                    r=route["name"],
+                    s="%s:%d" % server,
+                    after=["%s:%d" % tried[0]],
+                    first=first_us,
+                )
             outcome = self.send(route, call, server, until_us)
             tried.append(server)
             if outcome == "answered" or repeat == "never" or len(tried) > 1:
@@ -190,9 +203,12 @@
                 met, self.met = self.met, defaultdict(lambda: [0, 0.0])
                 calls, self.calls = self.calls, defaultdict(int)
             body = metrics.write(
-                self.uid, start, self.period_ns,
+                self.uid,
+                start,
+                self.period_ns,
                 [(*server, outcome, *row) for (server, outcome), row in met.items()],
-                [(route, outcome, many) for (route, outcome), many in calls.items()])
+                [(route, outcome, many) for (route, outcome), many in calls.items()],
+            )
             bodies = [body, body] if self.report_how == "double" else [body]
             if self.report_how == "late":  # what was kept back goes out much later
                 kept, bodies = kept or (body, now_us() + 10_000_000), []
--- a/rainpick/standins/mqtt_client.py
+++ b/rainpick/standins/mqtt_client.py
@@ -65,8 +65,9 @@
         self.follower = before or Follower(held)
         self.subscribe(payloads.orders_topic(self.uid), f"{payloads.ROOT}/table/+")
         old = self.follower
-        code = self.say("presence", Presence("here", old.epoch, old.table, old.version, old.digest,
-                                             tuple(old.lines)))
+        code = self.say(
+            "presence", Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.lines))
+        )
         if code != codec.SUCCESS:
             raise ConnectionAbortedError(f"presence refused: {code:#04x}")
         return self.follower
--- a/rainpick/standins/scenario.py
+++ b/rainpick/standins/scenario.py
@@ -44,8 +44,21 @@
     """Something that happens. ``for`` undoes it after that time."""
 
     at: Duration
-    do: Literal["slow", "drop", "hang", "die", "drain", "deploy", "lose_zone", "kill_director",
-                "break_streams", "break_member_streams", "stop_reading", "double_reports", "late_reports"]
+    do: Literal[
+        "slow",
+        "drop",
+        "hang",
+        "die",
+        "drain",
+        "deploy",
+        "lose_zone",
+        "kill_director",
+        "break_streams",
+        "break_member_streams",
+        "stop_reading",
+        "double_reports",
+        "late_reports",
+    ]
     servers: Selector = ()
     proxies: Literal["all"] | Every | tuple[int, ...] = "all"
     zone: str | None = None
@@ -72,13 +85,15 @@
     routes: tuple[Route, ...] = (Route(name="lookup"),)
     proxies: int = Field(6, ge=1, le=512)
     fronts: tuple[Literal["sasp", "mqtt"], ...] = Field(
-        ("sasp",), min_length=1, max_length=8, description="by which front proxies are told, in turn")
+        ("sasp",), min_length=1, max_length=8, description="by which front proxies are told, in turn"
+    )
     edge_processes: int = Field(1, ge=1, le=8)
     calls_per_s: float = Field(40.0, gt=0, le=2_000)
     pick: Literal["lottery", "wheel", "pair"] = "wheel"
     standing: int = Field(4, ge=1, description="servers that a starting proxy knows")
     repeat: Literal["never", "same_pod", "anywhere"] = Field(
-        "never", description="what proxies do with a call that got no answer; SASP carries no orders for it")
+        "never", description="what proxies do with a call that got no answer; SASP carries no orders for it"
+    )
     client_repeats: int = Field(1, ge=0, le=5)
     client_wait: Duration = "50ms"
     try_share: float = Field(0.6, gt=0, le=1, description="part of the time limit that a try may take")
@@ -111,11 +126,11 @@
             place = self.zones.index(zone)
             return [number for number in numbers if number % len(self.zones) == place]
         if isinstance(event.servers, Every):
-            return list(numbers[event.servers.first::event.servers.every])
+            return list(numbers[event.servers.first :: event.servers.every])
         return list(numbers) if event.servers == "all" else list(event.servers)
 
     def chosen_proxies(self, event: Event) -> list[int]:
         numbers = range(self.proxies)
         if isinstance(event.proxies, Every):
-            return list(numbers[event.proxies.first::event.proxies.every])
+            return list(numbers[event.proxies.first :: event.proxies.every])
         return list(numbers) if event.proxies == "all" else list(event.proxies)
--- a/rainpick/standins/servers.py
+++ b/rainpick/standins/servers.py
@@ -43,8 +43,10 @@
         machine = day["machines"][number % len(day["machines"])]
         self.number, self.day, self.pod, self.log = number, day, pod, log
         self.slots, self.speed, self.weight = machine["slots"], machine["speed"], machine["weight"]
-        self.label = f"weight={self.weight};zone={day['zones'][number % len(day['zones'])]};" \
-                     f"machine={machine['name']};pod={self.pod_number()}"
+        self.label = (
+            f"weight={self.weight};zone={day['zones'][number % len(day['zones'])]};"
+            f"machine={machine['name']};pod={self.pod_number()}"
+        )
         self.group = Group(day["uid"], day["group"])
         self.routes = {route["name"]: route for route in day["routes"]}
         self.chance = random.Random(f"{day['seed']} server {number}")
@@ -55,8 +57,9 @@
         self.streams: dict[int, SaspClient] = {}
 
     def pod_number(self) -> int:
-        return self.number // (len(self.day["zones"]) * 2) * len(self.day["zones"]) \
-            + self.number % len(self.day["zones"])
+        return self.number // (len(self.day["zones"]) * 2) * len(self.day["zones"]) + self.number % len(
+            self.day["zones"]
+        )
 
     def name(self) -> str:
         return "%s:%d" % self.place
@@ -122,8 +125,14 @@
         self.front = Server("server", self.place, self.serve, connections_most=512)
         self.place = self.front.address
         self.running.set()
-        self.log("start", s=self.name(), n=self.number, born=self.started_us, pod=self.pod_number(),
-                 capacity=self.slots * self.speed)
+        self.log(
+            "start",
+            s=self.name(),
+            n=self.number,
+            born=self.started_us,
+            pod=self.pod_number(),
+            capacity=self.slots * self.speed,
+        )
         for director, place in enumerate(self.day["directors"]):
             words = director, tuple(place), self.boots
             threading.Thread(target=self.speak, args=words, daemon=True).start()
@@ -216,8 +225,9 @@
             elif what == "drain":
                 server.drain()
             elif what == "replace":
-                threading.Thread(target=self.replace, args=(server, words["notice_s"], words["down_s"]),
-                                 daemon=True).start()
+                threading.Thread(
+                    target=self.replace, args=(server, words["notice_s"], words["down_s"]), daemon=True
+                ).start()
 
     @staticmethod
     def replace(server: StandInServer, notice_s: float, down_s: float) -> None:
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -72,8 +72,9 @@
         raise StoreError(f"segment {number} has format {form}; this program reads {FORMAT}")
 
 
-def blocks_of(folder: Path, number: int, from_us: int = 0,
-              until_us: int | None = None) -> Iterator[tuple[int, list] | Damage | Torn]:
+def blocks_of(
+    folder: Path, number: int, from_us: int = 0, until_us: int | None = None
+) -> Iterator[tuple[int, list] | Damage | Torn]:
     """(offset, records) block by block; damage where it is; a torn end if nothing whole comes after it.
 
     Heads are the index by time: a block wholly out of the range asked for is passed over, unchecked.
@@ -90,13 +91,14 @@
         yield Damage(number, 0, at, str(flaw))
     while at < len(data):
         try:
-            head = blocks.read_head(data[at:at + BLOCK.size])
+            head = blocks.read_head(data[at : at + BLOCK.size])
             end = at + BLOCK.size + head.stored
-            if end <= len(data) and (head.last_us < from_us
-                                     or until_us is not None and head.first_us > until_us):
+            if end <= len(data) and (
+                head.last_us < from_us or until_us is not None and head.first_us > until_us
+            ):
                 at = end
                 continue
-            rows = blocks.read_block(head, data[at + BLOCK.size:end])
+            rows = blocks.read_block(head, data[at + BLOCK.size : end])
         except BlockError as flaw:
             later = next_whole(data, at + 1)
             if later is None:
@@ -113,16 +115,17 @@
     """Where the next block stands that is whole to the last bit."""
     while (at := data.find(blocks.BLOCK_MAGIC, at)) >= 0:
         try:
-            head = blocks.read_head(data[at:at + BLOCK.size])
-            blocks.read_block(head, data[at + BLOCK.size:at + BLOCK.size + head.stored])
+            head = blocks.read_head(data[at : at + BLOCK.size])
+            blocks.read_block(head, data[at + BLOCK.size : at + BLOCK.size + head.stored])
             return at
         except BlockError:
             at += 1
     return None
 
 
-def read(folder: Path, from_us: int = 0,
-         until_us: int | None = None) -> Iterator[Record | Damage | Torn | Gap]:
+def read(
+    folder: Path, from_us: int = 0, until_us: int | None = None
+) -> Iterator[Record | Damage | Torn | Gap]:
     """All records in the order in which they were written; what is missing or damaged, where it is."""
     last = None
     for number in segments(folder):
@@ -144,8 +147,14 @@
     Opening looks at the last segment alone and cuts its torn end; ``torn`` says what was cut.
     """
 
-    def __init__(self, folder: Path, segment_most: int = 64 << 20, keep_most: int = 0, keep_us: int = 0,
-                 sync: bool = True):
+    def __init__(
+        self,
+        folder: Path,
+        segment_most: int = 64 << 20,
+        keep_most: int = 0,
+        keep_us: int = 0,
+        sync: bool = True,
+    ):
         self.folder, self.segment_most = folder, segment_most
         self.keep_most, self.keep_us, self.sync = keep_most, keep_us, sync
         self.waiting: list[tuple[int, int, bytes]] = []
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -121,7 +121,8 @@
 
 
 ACTIONS = st.sampled_from(
-    ["drain", "ready", "gone", "new", "join", "left", "block", "unblock", "deaf", "poll"])
+    ["drain", "ready", "gone", "new", "join", "left", "block", "unblock", "deaf", "poll"]
+)
 
 
 @given(st.lists(st.tuples(ACTIONS, st.integers(0, 5), st.integers(0, 1500)), max_size=60))
--- a/tests/director/test_membership.py
+++ b/tests/director/test_membership.py
@@ -42,11 +42,20 @@
     assert (second.weight, second.zone) == (9.0, 0)
 
 
-@pytest.mark.parametrize("label, code", [
-    ("weight=17", codec.NOT_ACCEPTED), ("weight=0", codec.NOT_ACCEPTED), ("weight=nan", codec.NOT_ACCEPTED),
-    ("zone=q", codec.NOT_ACCEPTED), ("pod=70000", codec.NOT_ACCEPTED), ("age=-1", codec.NOT_ACCEPTED),
-    ("age=1e400", codec.NOT_ACCEPTED), ("colour=red", codec.NOT_UNDERSTOOD),
-    ("pod=1;pod=2", codec.NOT_UNDERSTOOD)])
+@pytest.mark.parametrize(
+    "label, code",
+    [
+        ("weight=17", codec.NOT_ACCEPTED),
+        ("weight=0", codec.NOT_ACCEPTED),
+        ("weight=nan", codec.NOT_ACCEPTED),
+        ("zone=q", codec.NOT_ACCEPTED),
+        ("pod=70000", codec.NOT_ACCEPTED),
+        ("age=-1", codec.NOT_ACCEPTED),
+        ("age=1e400", codec.NOT_ACCEPTED),
+        ("colour=red", codec.NOT_UNDERSTOOD),
+        ("pod=1;pod=2", codec.NOT_UNDERSTOOD),
+    ],
+)
 def test_a_label_that_makes_no_sense_is_refused_and_nothing_of_it_taken(list_, label, code):
     with pytest.raises(RefusedMemberError) as flaw:
         list_.register(1, FLEET, (member(8000), member(8001, label)), 5)
@@ -97,7 +106,7 @@
     assert list_.changes().servers[0].started_us == 100 * S
     list_.stream_broke(1, 201 * S)
     list_.register(2, FLEET, (member(9001, "boot=2"),), 202 * S)
-    entry, = list_.changes().servers
+    (entry,) = list_.changes().servers
     assert (entry.started_us, entry.state) == (202 * S, api.READY)
 
 
@@ -110,7 +119,7 @@
     told(list_)
     list_.deregister(1, FLEET, (member(9001),), S)
     list_.register(1, FLEET, (member(9001),), 7 * S)
-    entry, = list_.changes().servers
+    (entry,) = list_.changes().servers
     assert (entry.state, entry.started_us) == (api.READY, 7 * S)
 
 
--- a/tests/director/test_reports.py
+++ b/tests/director/test_reports.py
@@ -16,8 +16,17 @@
 
 
 def point(end, reporter="edge-1", server=A, route=None, answered=4, dropped=1, span=S, **words):
-    return Point(reporter, WALL + end - span, WALL + end, answered, dropped, 200_000 * answered,
-                 server=None if route else server, route=route, **words)
+    return Point(
+        reporter,
+        WALL + end - span,
+        WALL + end,
+        answered,
+        dropped,
+        200_000 * answered,
+        server=None if route else server,
+        route=route,
+        **words,
+    )
 
 
 @pytest.fixture
@@ -39,8 +48,10 @@
     take(evidence, 2 * S, point(2 * S, "edge-2"))
     assert lines(evidence, 0, 500_000) == []
     assert lines(evidence, 1_000_000) == [
-        api.ServerMet(A, 0, 11, 1, 200_000, 1_000_000, ()), api.ProxyMet(1, 0, 5, 1, 1_000_000),
-        api.ServerMet(A, 1, 5, 1, 200_000, 1_000_000, ())]
+        api.ServerMet(A, 0, 11, 1, 200_000, 1_000_000, ()),
+        api.ProxyMet(1, 0, 5, 1, 1_000_000),
+        api.ServerMet(A, 1, 5, 1, 200_000, 1_000_000, ()),
+    ]
     assert lines(evidence, 2_000_000) == []
 
 
@@ -83,13 +94,15 @@
 
 def test_backwards_and_unknown_are_told_apart(evidence):
     assert take(evidence, 2 * S, point(2 * S, span=-S)) == {reports.BACKWARDS: 1}
-    assert take(evidence, 2 * S, point(2 * S, "nobody"), point(2 * S, server=("x", 1)),
-                point(2 * S, route="no such")) == {"unknown": 3}
+    assert take(
+        evidence, 2 * S, point(2 * S, "nobody"), point(2 * S, server=("x", 1)), point(2 * S, route="no such")
+    ) == {"unknown": 3}
 
 
 def test_counts_of_different_outcomes_are_different_streams(evidence):
     assert take(evidence, 2 * S, point(2 * S, outcomes="answered"), point(2 * S, outcomes="dropped")) == {
-        reports.FRESH: 2}
+        reports.FRESH: 2
+    }
 
 
 def test_lines_are_told_at_their_pace_the_oldest_first_and_add_up():
--- a/tests/emulator/test_server.py
+++ b/tests/emulator/test_server.py
@@ -25,13 +25,13 @@
     come(calls)
     heap.run(1 << 50)
     assert len(found) == calls + 1
-    return mean(found[calls // 10:])
+    return mean(found[calls // 10 :])
 
 
 def within(kind, load, expected, seeds=10):
     """The closed form lies in the 99% interval of the mean over seeds (Student, 9 degrees: 3.25)."""
     means = [times(kind, load, seed) for seed in range(seeds)]
-    half = 3.25 * stdev(means) / seeds ** 0.5
+    half = 3.25 * stdev(means) / seeds**0.5
     assert abs(mean(means) - expected) < half, (mean(means), half, expected)
     assert half < 0.2 * expected  # or the check would say nothing
 
@@ -39,8 +39,8 @@
 def erlang_c(cores, load):
     """The chance that a call has to wait in M/M/c (Kleinrock, Queueing Systems, vol. 1, 3.5)."""
     offered = cores * load
-    last = offered ** cores / factorial(cores) / (1 - load)
-    return last / (sum(offered ** one / factorial(one) for one in range(cores)) + last)
+    last = offered**cores / factorial(cores) / (1 - load)
+    return last / (sum(offered**one / factorial(one) for one in range(cores)) + last)
 
 
 @pytest.mark.parametrize("cores, load", [(1, 0.5), (1, 0.8), (4, 0.7), (8, 0.8)])
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -41,8 +41,16 @@
 
 
 def test_the_same_seed_is_the_same_run_in_another_process_with_another_hash_seed():
-    found = {subprocess.run([sys.executable, "-c", SEED_RUN], text=True, capture_output=True, check=True,
-                            env={**os.environ, "PYTHONHASHSEED": seed}).stdout for seed in ("1", "2", "3")}
+    found = {
+        subprocess.run(
+            [sys.executable, "-c", SEED_RUN],
+            text=True,
+            capture_output=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in ("1", "2", "3")
+    }
     assert len(found) == 1 and "answered" in found.pop()
 
 
@@ -64,8 +72,13 @@
     """A director that never withdraws: the check on drains must find it."""
 
     def step(self, now, events):
-        return [order for order in super().step(now, events) if not (
-            type(order) is api.Withdraw and order.on or type(order) is api.SetLine and not order.weight)]
+        return [
+            order
+            for order in super().step(now, events)
+            if not (
+                type(order) is api.Withdraw and order.on or type(order) is api.SetLine and not order.weight
+            )
+        ]
 
 
 def test_a_director_that_withdraws_nothing_goes_on_sending():
--- a/tests/loopback/help.py
+++ b/tests/loopback/help.py
@@ -73,8 +73,9 @@
 class ProxyEnd(SaspClient):
     """A proxy's stream and what it holds."""
 
-    def __init__(self, daemon, uid, *standing, flags=codec.PUSH | codec.TRUST | codec.NO_CHANGE, held=None,
-                 buffer=None):
+    def __init__(
+        self, daemon, uid, *standing, flags=codec.PUSH | codec.TRUST | codec.NO_CHANGE, held=None, buffer=None
+    ):
         super().__init__(daemon.sasp, buffer=buffer)
         KEPT.append(self)
         self.uid, self.group = uid, Group(uid, "servers")
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -30,7 +30,7 @@
         assert fleet.quiesce(9002) == codec.SUCCESS
         for proxy in proxies:
             proxy.until(lambda held: set(held) == {9001, 9003})
-            entry, = proxy.messages[-1].groups[0].entries
+            (entry,) = proxy.messages[-1].groups[0].entries
             assert entry.flags & codec.QUIESCE and entry.flags & codec.CONTACT
         assert fleet.quiesce(9002, on=False) == codec.SUCCESS
         proxies[0].until(lambda held: held.get(9002) == FULL // 4, "the first step of the ramp")
@@ -90,12 +90,20 @@
     """The director dies by SIGKILL when a part of a push has been read, in mid-ramp; a new one heals it."""
     ports = free_ports(3)
     config = tmp_path / "one.json5"
-    config.write_text(json.dumps({
-        "director": {"settle": "100ms", "list_cache": str(tmp_path / "list.json")},
-        "listen": dict(zip(("sasp", "otlp", "status"), (f"127.0.0.1:{port}" for port in ports), strict=True)),
-        "routes": [{"name": "lookup", "slo_time": "500ms", "time_limit": "2s"}],
-        "rules": {"warm_after": "8s"}, "proxies": {"count": 1},
-        "channel": {"lines_per_s": 1e6, "pending_lines": 100_000}}))
+    config.write_text(
+        json.dumps(
+            {
+                "director": {"settle": "100ms", "list_cache": str(tmp_path / "list.json")},
+                "listen": dict(
+                    zip(("sasp", "otlp", "status"), (f"127.0.0.1:{port}" for port in ports), strict=True)
+                ),
+                "routes": [{"name": "lookup", "slo_time": "500ms", "time_limit": "2s"}],
+                "rules": {"warm_after": "8s"},
+                "proxies": {"count": 1},
+                "channel": {"lines_per_s": 1e6, "pending_lines": 100_000},
+            }
+        )
+    )
 
     def start():
         command = [sys.executable, "-m", "rainpick", "run", "--config", str(config)]
@@ -106,6 +114,7 @@
                 return socket.create_connection(("127.0.0.1", ports[0]), 0.2)
             except OSError:
                 return None
+
         until(answers, "the director").close()
         return process
 
@@ -212,12 +221,18 @@
         brief.sock.sendall(
             end.ask(codec.Registration((codec.Members(FLEET, one),)))
             + end.ask(codec.SetMemberState((codec.States(FLEET, (codec.MemberState(one[0], 0, True),)),)))
-            + end.ask(codec.Deregistration((codec.Members(FLEET, one),))))
+            + end.ask(codec.Deregistration((codec.Members(FLEET, one),)))
+        )
         MemberEnd(daemon, 9006)
         proxy.until(lambda held: 9006 in held)
         assert 9005 not in proxy.held
-        assert all(entry.weight == 0 for message in proxy.messages for group in message.groups
-                   for entry in group.entries if entry.member.port == 9005)
+        assert all(
+            entry.weight == 0
+            for message in proxy.messages
+            for group in message.groups
+            for entry in group.entries
+            if entry.member.port == 9005
+        )
 
 
 def test_a_broken_member_stream_is_a_gone_server_after_the_grace_and_not_before():
@@ -232,10 +247,16 @@
         assert time.monotonic() - begin >= 0.4
 
 
-@pytest.mark.parametrize("data, reply", [
-    (b"GET / HTTP/1.1\r\n\r\n", b""), (codec.HEAD.pack(codec.HEADER, 13, 2, 20, 7) + bytes(7), b"\x10"),
-    (codec.HEAD.pack(codec.HEADER, 13, 1, 1 << 30, 7), b"\x10"),
-    (codec.write(codec.SendWeights(()), 7), b"")], ids=["not SASP", "version", "oversized", "not for it"])
+@pytest.mark.parametrize(
+    "data, reply",
+    [
+        (b"GET / HTTP/1.1\r\n\r\n", b""),
+        (codec.HEAD.pack(codec.HEADER, 13, 2, 20, 7) + bytes(7), b"\x10"),
+        (codec.HEAD.pack(codec.HEADER, 13, 1, 1 << 30, 7), b"\x10"),
+        (codec.write(codec.SendWeights(()), 7), b""),
+    ],
+    ids=["not SASP", "version", "oversized", "not for it"],
+)
 def test_what_is_not_sasp_ends_that_stream_alone(data, reply):
     with running() as daemon:
         fleet = MemberEnd(daemon, 9001)
@@ -275,8 +296,9 @@
 
 def test_a_list_file_is_a_second_source_and_a_bad_one_is_refused_whole(tmp_path):
     path = tmp_path / "list.json5"
-    path.write_text('{servers: [{address: "127.0.0.1:9501"}, {address: "127.0.0.1:9502", pod: 1, '
-                    'state: "draining"}]}')
+    path.write_text(
+        '{servers: [{address: "127.0.0.1:9501"}, {address: "127.0.0.1:9502", pod: 1, state: "draining"}]}'
+    )
     with running(f'fleet: {{list_file: "{path}"}}') as daemon:
         proxy = ProxyEnd(daemon, "edge-1")
         proxy.until(lambda held: held == {9501: FULL})
@@ -289,8 +311,13 @@
 
 
 def held_never_lost(proxy, port):
-    return not any(entry.weight == 0 for message in proxy.messages for group in message.groups
-                   for entry in group.entries if entry.member.port == port)
+    return not any(
+        entry.weight == 0
+        for message in proxy.messages
+        for group in message.groups
+        for entry in group.entries
+        if entry.member.port == port
+    )
 
 
 def test_a_bad_list_file_ends_the_start(tmp_path):
@@ -301,9 +328,16 @@
         pass
 
 
-@pytest.mark.parametrize("text", ["", "{", '{"format": 9, "servers": []}',
-                                  '{"format": 1, "servers": [["h"]]}',
-                                  '{"format": 1, "servers": [["h", 1, 1, "q", "any", 0, 0, false]]}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "{",
+        '{"format": 9, "servers": []}',
+        '{"format": 1, "servers": [["h"]]}',
+        '{"format": 1, "servers": [["h", 1, 1, "q", "any", 0, 0, false]]}',
+    ],
+)
 def test_a_damaged_cached_list_is_not_used(tmp_path, text):
     path = tmp_path / "cache.json"
     path.write_text(text)
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -46,12 +46,20 @@
     day = Day(scenario, tmp_path / "day", lambda plain, folder: InProcess(module, plain, folder), Local)
     verdict = day.play()
     broken = {rule.name: rule.breaches[:2] for rule in verdict.rules if rule.breaches}
-    return verdict, broken, [json.loads(line) for path in sorted((tmp_path / "day").glob("*.jsonl"))
-                             for line in path.read_text().splitlines()]
-
-
-DEPLOY = ('events: [{at: "1s", do: "deploy", servers: {every: 3}, stagger: "300ms", notice: "1.7s", '
-          'down: "200ms"}]')
+    return (
+        verdict,
+        broken,
+        [
+            json.loads(line)
+            for path in sorted((tmp_path / "day").glob("*.jsonl"))
+            for line in path.read_text().splitlines()
+        ],
+    )
+
+
+DEPLOY = (
+    'events: [{at: "1s", do: "deploy", servers: {every: 3}, stagger: "300ms", notice: "1.7s", down: "200ms"}]'
+)
 LATE_DRAIN = 'events: [{at: "1s", do: "drain", servers: [0]}]'
 
 
@@ -63,8 +71,11 @@
 
 class NoWithdrawals(Director):
     def step(self, now, events):
-        return [order for order in super().step(now, events) if not (
-            type(order) is api.Withdraw or type(order) is api.SetLine and not order.weight)]
+        return [
+            order
+            for order in super().step(now, events)
+            if not (type(order) is api.Withdraw or type(order) is api.SetLine and not order.weight)
+        ]
 
 
 def test_a_director_that_withdraws_nothing_breaks_the_rule_on_drains(tmp_path):
@@ -97,8 +108,10 @@
 
 
 def test_a_director_that_trusts_the_cold_breaks_the_rule_on_cold_servers(tmp_path):
-    rest = (DEPLOY.replace("{every: 3}", "[0]")
-            + ', machines: [{name: "one", slots: 1, speed: 0.6, weight: 1}], pick: "lottery"')
+    rest = (
+        DEPLOY.replace("{every: 3}", "[0]")
+        + ', machines: [{name: "one", slots: 1, speed: 0.6, weight: 1}], pick: "lottery"'
+    )
     broken = play(tmp_path, "fleet: {weight_most: 64}", rest, TrustsTheCold)[1]
     assert "no cold server pushed over" in broken
 
@@ -120,8 +133,10 @@
 
 def test_commits_repeated_in_their_pod_are_dropped_there_and_counted(tmp_path):
     """Slow servers make proxies repeat in the same pod while the first try still runs."""
-    rest = ('repeat: "same_pod", client_repeats: 0, try_share: 0.25, '
-            'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]')
+    rest = (
+        'repeat: "same_pod", client_repeats: 0, try_share: 0.25, '
+        'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
+    )
     verdict, broken, events = play(tmp_path, rest=rest)
     assert not broken and verdict.repeats["dropped by servers"] > 0
     again = {event["id"] for event in events if event["k"] == "again" and event["r"] == "commit"}
@@ -130,28 +145,40 @@
 
 
 def test_commits_repeated_anywhere_are_found_out(tmp_path):
-    rest = ('repeat: "anywhere", client_repeats: 0, try_share: 0.25, '
-            'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]')
+    rest = (
+        'repeat: "anywhere", client_repeats: 0, try_share: 0.25, '
+        'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
+    )
     assert set(play(tmp_path, rest=rest)[1]) == {"no effect twice"}
 
 
 def advice(events, server):
     """The weights that proxies read for a server, with the second from the day's beginning."""
     begin = next(event["t"] for event in events if event["k"] == "mark")
-    return [((event["t"] - begin) / 1e6, weight) for event in sorted(events, key=lambda one: one["t"])
-            if event["k"] == "weights" for name, weight, _ in event["m"] if name == server]
+    return [
+        ((event["t"] - begin) / 1e6, weight)
+        for event in sorted(events, key=lambda one: one["t"])
+        if event["k"] == "weights"
+        for name, weight, _ in event["m"]
+        if name == server
+    ]
 
 
 def test_weight_advice_end_to_end(tmp_path):
     """A server slows down before a deadline: its weight falls in what SASP clients read, and rises again."""
-    rest = ('length: "34s", repeat: "same_pod", try_share: 0.4, events: '
-            '[{at: "2s", do: "slow", servers: [1], factor: 14, for: "7s"}]')
-    text = (SMALL % ('proxies: {ejects_after: 0}', rest)).replace('length: "6s",', "")
+    rest = (
+        'length: "34s", repeat: "same_pod", try_share: 0.4, events: '
+        '[{at: "2s", do: "slow", servers: [1], factor: 14, for: "7s"}]'
+    )
+    text = (SMALL % ("proxies: {ejects_after: 0}", rest)).replace('length: "6s",', "")
     scenario = parse(text, "day", Scenario)
     day = Day(scenario, tmp_path / "day", lambda plain, folder: InProcess(Director, plain, folder), Local)
     verdict = day.play()
-    events = [json.loads(line) for path in (tmp_path / "day").glob("*.jsonl")
-              for line in path.read_text().splitlines()]
+    events = [
+        json.loads(line)
+        for path in (tmp_path / "day").glob("*.jsonl")
+        for line in path.read_text().splitlines()
+    ]
     slow = next(event["s"] for event in events if event["k"] == "start" and event["n"] == 1)
     seen = advice(events, slow)
     full = max(weight for second, weight in seen if second < 2)
@@ -168,20 +195,26 @@
 
 
 def test_streams_broken_and_reports_late_or_double_change_no_rule(tmp_path):
-    rest = ('events: [{at: "1s", do: "break_streams"}, {at: "1s", do: "double_reports", for: "3s"}, '
-            '{at: "2s", do: "break_member_streams", servers: "all"}, '
-            '{at: "3500ms", do: "break_streams", proxies: [0, 1]}]')
+    rest = (
+        'events: [{at: "1s", do: "break_streams"}, {at: "1s", do: "double_reports", for: "3s"}, '
+        '{at: "2s", do: "break_member_streams", servers: "all"}, '
+        '{at: "3500ms", do: "break_streams", proxies: [0, 1]}]'
+    )
     verdict, broken, events = play(tmp_path, rest=rest)
     assert not broken and verdict.share() > 0.95
     assert sum(event["k"] == "joined" for event in events) == 4 + 4 + 2
 
 
-@pytest.mark.parametrize("text, expected", [
-    ('events: [{at: "9s", do: "drain"}]', "after the end"),
-    ('events: [{at: "1s", do: "lose_zone"}]', "wants a zone"),
-    ('events: [{at: "1s", do: "lose_zone", zone: "q"}]', "'q' is not one of"),
-    ('events: [{at: "1s", do: "dance"}]', "Input should be 'slow'"),
-    ('events: [{at: "1s", do: "kill_director", director: 3}]', "no director 3")])
+@pytest.mark.parametrize(
+    "text, expected",
+    [
+        ('events: [{at: "9s", do: "drain"}]', "after the end"),
+        ('events: [{at: "1s", do: "lose_zone"}]', "wants a zone"),
+        ('events: [{at: "1s", do: "lose_zone", zone: "q"}]', "'q' is not one of"),
+        ('events: [{at: "1s", do: "dance"}]', "Input should be 'slow'"),
+        ('events: [{at: "1s", do: "kill_director", director: 3}]', "no director 3"),
+    ],
+)
 def test_a_day_that_makes_no_sense_is_refused(text, expected):
     with pytest.raises(Exception, match=expected):
         parse(SMALL % ("", text), "day", Scenario)
