--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -58,11 +58,13 @@
 
 def exact(daemon, *proxies):
     """Every proxy holds its table's newest version, by digest."""
+
     def check():
         rows = {row["table"]: row for row in status(daemon)["tables"]}
         for proxy in proxies:
             proxy.read(0.01)
         return all(rows[proxy.follower.table]["digest"] == proxy.follower.digest for proxy in proxies)
+
     until(check, "the exact table")
 
 
@@ -242,18 +244,28 @@
     MemberEnd(daemon, 9001)
     proxy, now = Proxy(daemon, "edge-1"), time.time_ns()
     until(lambda: status(daemon)["phase"] == "deciding")
-    rows = {"tries": (payloads.Tries("127.0.0.1:9001", "answered", 3, 0.2),),
-            "calls": (payloads.Came("lookup", "answered", 3),)}
+    rows = {
+        "tries": (payloads.Tries("127.0.0.1:9001", "answered", 3, 0.2),),
+        "calls": (payloads.Came("lookup", "answered", 3),),
+    }
     for end, verdict in ((now, "fresh"), (now, "doubled"), (now - 20 * S, "late")):
         assert proxy.say("report", Met(end - S, end, **rows)) == codec.SUCCESS
         assert status(daemon)["reports"][verdict] == 2
-    assert proxy.say("report", Met(now, now + 1, tries=(payloads.Tries("x:99999", "answered", 1, 0.1),))) \
+    assert (
+        proxy.say("report", Met(now, now + 1, tries=(payloads.Tries("x:99999", "answered", 1, 0.1),)))
         == codec.BAD_PAYLOAD
-
-
-@pytest.mark.parametrize("what, data, code", [
-    ("report", b"{", codec.BAD_PAYLOAD), ("trouble", payloads.encode(Met(1, 2)), codec.BAD_PAYLOAD),
-    ("orders", b"", codec.NOT_AUTHORIZED), ("../edge-2/report", b"", codec.NOT_AUTHORIZED)])
+    )
+
+
+@pytest.mark.parametrize(
+    "what, data, code",
+    [
+        ("report", b"{", codec.BAD_PAYLOAD),
+        ("trouble", payloads.encode(Met(1, 2)), codec.BAD_PAYLOAD),
+        ("orders", b"", codec.NOT_AUTHORIZED),
+        ("../edge-2/report", b"", codec.NOT_AUTHORIZED),
+    ],
+)
 def test_what_a_client_may_not_say_is_refused_and_the_connection_goes_on(daemon, what, data, code):
     MemberEnd(daemon, 9001)
     proxy = Proxy(daemon, "edge-1")
@@ -273,8 +285,15 @@
     client.close()
 
 
-@pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"\x10\xff\xff\xff\x7f", b"\x82\x06\0\1\0\1a\0",
-                                  codec.write(codec.Connect("bad/name"))])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\x10\xff\xff\xff\x7f",
+        b"\x82\x06\0\1\0\1a\0",
+        codec.write(codec.Connect("bad/name")),
+    ],
+)
 def test_what_is_not_mqtt_ends_that_connection_alone(daemon, data):
     MemberEnd(daemon, 9001)
     with socket.create_connection(daemon.mqtt) as sock:
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -119,26 +119,40 @@
     resource.scope_metrics[0].metrics[1].sum.data_points[0].start_time_unix_nano = 0
 
 
-@pytest.mark.parametrize("data, rejected, why", [
-    (cumulative, 3, "delta"), (lambda: changed(rename), 2, "not known"),
-    (lambda: changed(unnamed), 3, "service.instance.id"), (lambda: changed(endless), 1, "out of range"),
-    (lambda: changed(portless), 1, "server.port"), (lambda: changed(timeless), 1, "start_time"),
-    (lambda: body(uid="stranger"), 3, "unknown"), (lambda: body(port=1), 2, "unknown"),
-], ids=["cumulative", "metric", "unnamed", "endless", "portless", "timeless", "stranger", "server"])
+@pytest.mark.parametrize(
+    "data, rejected, why",
+    [
+        (cumulative, 3, "delta"),
+        (lambda: changed(rename), 2, "not known"),
+        (lambda: changed(unnamed), 3, "service.instance.id"),
+        (lambda: changed(endless), 1, "out of range"),
+        (lambda: changed(portless), 1, "server.port"),
+        (lambda: changed(timeless), 1, "start_time"),
+        (lambda: body(uid="stranger"), 3, "unknown"),
+        (lambda: body(port=1), 2, "unknown"),
+    ],
+    ids=["cumulative", "metric", "unnamed", "endless", "portless", "timeless", "stranger", "server"],
+)
 def test_what_cannot_be_used_is_a_partial_success_with_a_reason(daemon, data, rejected, why):
     code, _, answer = post(daemon, data())
     assert code == 200 and partial(answer)[0] == rejected and why in partial(answer)[1]
 
 
-@pytest.mark.parametrize("words, code", [
-    ({"data": b"\xff\xff no protobuf"}, 400), ({"data": b"x" * 20_001}, 413),
-    ({"data": gzip.compress(b"\0" * 1_000_000), "headers": [("content-encoding", "gzip")]}, 413),
-    ({"data": b"not gzip", "headers": [("content-encoding", "gzip")]}, 400),
-    ({"data": gzip.compress(b"cut off" * 99)[:-9], "headers": [("content-encoding", "gzip")]}, 400),
-    ({"data": b"", "headers": [("content-encoding", "zstd")]}, 415),
-    ({"data": b"{}", "kind": ("content-type", "application/json")}, 415),
-    ({"data": b"", "path": "/v1/traces"}, 404), ({"data": b"", "method": "GET"}, 405),
-], ids=["garbage", "large", "bomb", "not gzip", "cut", "zstd", "json", "path", "method"])
+@pytest.mark.parametrize(
+    "words, code",
+    [
+        ({"data": b"\xff\xff no protobuf"}, 400),
+        ({"data": b"x" * 20_001}, 413),
+        ({"data": gzip.compress(b"\0" * 1_000_000), "headers": [("content-encoding", "gzip")]}, 413),
+        ({"data": b"not gzip", "headers": [("content-encoding", "gzip")]}, 400),
+        ({"data": gzip.compress(b"cut off" * 99)[:-9], "headers": [("content-encoding", "gzip")]}, 400),
+        ({"data": b"", "headers": [("content-encoding", "zstd")]}, 415),
+        ({"data": b"{}", "kind": ("content-type", "application/json")}, 415),
+        ({"data": b"", "path": "/v1/traces"}, 404),
+        ({"data": b"", "method": "GET"}, 405),
+    ],
+    ids=["garbage", "large", "bomb", "not gzip", "cut", "zstd", "json", "path", "method"],
+)
 def test_what_is_wrong_has_the_specified_status(daemon, words, code):
     data, headers = words.pop("data"), words.pop("headers", [])
     found = post(daemon, data, *headers, **words)
--- a/tests/node/paced.py
+++ b/tests/node/paced.py
@@ -46,7 +46,7 @@
         self.proxies = {}
         for proxy in range(proxies):
             held = Held("ab"[proxy % 2], 10.0)
-            own = names[proxy % 2::2]
+            own = names[proxy % 2 :: 2]
             held.lines = dict.fromkeys((own[(proxy + 7 * step) % len(own)] for step in range(STANDING)), 1.0)
             self.proxies[proxy] = held
         self.drained_us: dict[str, int] = {}
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -16,21 +16,42 @@
 SETTINGS = {
     "grades": [
         {"name": "lookup", "sloUs": 500000, "hardLimitUs": 2000000, "repeat": "safe", "worth": 1.0},
-        {"name": "commit", "sloUs": 400000, "hardLimitUs": 1000000, "repeat": "keyed", "worth": 5.0}],
-    "failureDomains": ["a", "b"], "machineTypes": ["m1", "m2"], "az": 0, "me": 0, "fleetSize": 1,
-    "roundUs": 1000, "discovery": "pushed", "stats": {"names": ["busy", "q"], "source": "piggyback"},
-    "domain": {"proxyCount": 6, "pendingMax": 5400.0, "linesPerS": 2700.0, "head": 6.0,
-               "hearsPerS": 75.0, "reportEveryUs": 500000, "defaultSize": 5, "admit": "silent",
-               "pushesAllowed": 0},
-    "safety": {"drainGraceUs": 2900000, "warmAfterUs": 12000000, "startCapacity": 0.16,
-               "fallMultiple": 3.0},
+        {"name": "commit", "sloUs": 400000, "hardLimitUs": 1000000, "repeat": "keyed", "worth": 5.0},
+    ],
+    "failureDomains": ["a", "b"],
+    "machineTypes": ["m1", "m2"],
+    "az": 0,
+    "me": 0,
+    "fleetSize": 1,
+    "roundUs": 1000,
+    "discovery": "pushed",
+    "stats": {"names": ["busy", "q"], "source": "piggyback"},
+    "domain": {
+        "proxyCount": 6,
+        "pendingMax": 5400.0,
+        "linesPerS": 2700.0,
+        "head": 6.0,
+        "hearsPerS": 75.0,
+        "reportEveryUs": 500000,
+        "defaultSize": 5,
+        "admit": "silent",
+        "pushesAllowed": 0,
+    },
+    "safety": {"drainGraceUs": 2900000, "warmAfterUs": 12000000, "startCapacity": 0.16, "fallMultiple": 3.0},
 }
 
 
 def entry(number, state="Ready", started_ms=0, **more):
-    return {"instanceId": f"s-{number:04x}", "hostPort": f"127.0.0.1:{9000 + number}",
-            "zone": "ab"[number % 2], "machineType": "m1", "cell": 0, "lifecycle": state, "weight": 1.0,
-            "startedAtMs": started_ms} | more
+    return {
+        "instanceId": f"s-{number:04x}",
+        "hostPort": f"127.0.0.1:{9000 + number}",
+        "zone": "ab"[number % 2],
+        "machineType": "m1",
+        "cell": 0,
+        "lifecycle": state,
+        "weight": 1.0,
+        "startedAtMs": started_ms,
+    } | more
 
 
 class Peer:
@@ -197,14 +218,18 @@
                 return self.told(True, sum(self.versions, []))
             since = int(words["from"])
             self.changed.wait_for(lambda: len(self.versions) - 1 > since, int(words["hold_ms"]) / 1000)
-            return self.told(False, sum(self.versions[since + 1:], []))
+            return self.told(False, sum(self.versions[since + 1 :], []))
 
     def told(self, full, entries):
         newest = {one["instanceId"]: one for one in entries}
         if full:
             newest = {name: one for name, one in newest.items() if one["lifecycle"] != "Gone"}
-        return Answer(200, json.dumps({"generation": len(self.versions) - 1, "reset": full,
-                                       "instances": list(newest.values())}).encode())
+        return Answer(
+            200,
+            json.dumps(
+                {"generation": len(self.versions) - 1, "reset": full, "instances": list(newest.values())}
+            ).encode(),
+        )
 
     def close(self):
         self.server.close()
@@ -228,8 +253,12 @@
 def configuration(listen, discovery, relay, **more):
     """The file's tree."""
     return {
-        "name": "n0", "listen": "%s:%d" % listen, "discovery": "%s:%d" % discovery,
+        "name": "n0",
+        "listen": "%s:%d" % listen,
+        "discovery": "%s:%d" % discovery,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "registry": {"address": "%s:%d" % relay},
-        "known": {"generation": 0, "reset": True, "instances": []}, "settings": SETTINGS} | more
+        "known": {"generation": 0, "reset": True, "instances": []},
+        "settings": SETTINGS,
+    } | more
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -80,6 +80,7 @@
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
         assert listing.take(news).servers == first
-    restarted = members({"generation": 2, "reset": False, "instances": [
-        entry(2, started_ms=machine.wall() // 1000)]}, NAMES)
+    restarted = members(
+        {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]}, NAMES
+    )
     assert listing.take(restarted).servers[0].started_us == pytest.approx(machine.clock(), abs=1_000)
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -43,18 +43,24 @@
     assert nested(tree) == settings("\n".join(lines(tree)))
 
 
-@pytest.mark.parametrize("change,why", [
-    ({"listen": "127.0.0.1"}, "listen: '127.0.0.1' is not HOST:PORT"),
-    ({"discovery": None}, "discovery: None is not HOST:PORT"),
-    ({"registry": {"address": "a:99999"}}, "registry.address: 'a:99999' is not HOST:PORT"),
-    ({"registry": 5}, "registry.address: None is not of the kind str"),
-    ({"seed": "xyz"}, "seed: 'xyz' is not a number in hexadecimal digits"),
-    ({"limits": {"cores": 1, "sockets": True}}, "limits.sockets: True is not of the kind"),
-    ({"limits": {}}, "limits.cores: None is not of the kind"),
-    ({"known": []}, "known: [] is not of the kind dict"),
-    ({"settings": SETTINGS | {"grades": []}}, "settings.grades: [] is not a list of objects with a name"),
-    ({"settings": SETTINGS | {"failureDomains": [1]}}, "settings.failureDomains: [1] is not a list of names"),
-])
+@pytest.mark.parametrize(
+    "change,why",
+    [
+        ({"listen": "127.0.0.1"}, "listen: '127.0.0.1' is not HOST:PORT"),
+        ({"discovery": None}, "discovery: None is not HOST:PORT"),
+        ({"registry": {"address": "a:99999"}}, "registry.address: 'a:99999' is not HOST:PORT"),
+        ({"registry": 5}, "registry.address: None is not of the kind str"),
+        ({"seed": "xyz"}, "seed: 'xyz' is not a number in hexadecimal digits"),
+        ({"limits": {"cores": 1, "sockets": True}}, "limits.sockets: True is not of the kind"),
+        ({"limits": {}}, "limits.cores: None is not of the kind"),
+        ({"known": []}, "known: [] is not of the kind dict"),
+        ({"settings": SETTINGS | {"grades": []}}, "settings.grades: [] is not a list of objects with a name"),
+        (
+            {"settings": SETTINGS | {"failureDomains": [1]}},
+            "settings.failureDomains: [1] is not a list of names",
+        ),
+    ],
+)
 def test_an_error_names_file_place_value_and_what_is_allowed(tmp_path, change, why):
     environment = written(tmp_path, configuration(*PLACES) | change)
     with pytest.raises(ConfigurationError) as error:
@@ -63,7 +69,12 @@
 
 
 def test_a_file_that_is_absent_or_no_json(tmp_path):
-    for environment in ({}, {"PROXY_CONFIG": str(tmp_path / "none")}, written(tmp_path, "{nope"),
-                        written(tmp_path, "[" * 100_000), written(tmp_path, "[]")):
+    for environment in (
+        {},
+        {"PROXY_CONFIG": str(tmp_path / "none")},
+        written(tmp_path, "{nope"),
+        written(tmp_path, "[" * 100_000),
+        written(tmp_path, "[]"),
+    ):
         with pytest.raises(ConfigurationError):
             read(environment)
--- a/tests/node/test_core.py
+++ b/tests/node/test_core.py
@@ -78,12 +78,22 @@
 
 
 OTHER = SETTINGS | {
-    "grades": [{"name": name, "sloUs": 90_000, "hardLimitUs": 250_000, "repeat": "unsafe", "worth": worth}
-               for name, worth in (("browse", 1.0), ("pay", 9.0), ("hold", 3.0))],
-    "failureDomains": ["x", "y", "z"], "machineTypes": ["old"],
+    "grades": [
+        {"name": name, "sloUs": 90_000, "hardLimitUs": 250_000, "repeat": "unsafe", "worth": worth}
+        for name, worth in (("browse", 1.0), ("pay", 9.0), ("hold", 3.0))
+    ],
+    "failureDomains": ["x", "y", "z"],
+    "machineTypes": ["old"],
     "stats": {"names": ["lat_ms"], "source": "pull"},
-    "domain": SETTINGS["domain"] | {"proxyCount": 300, "head": 2.0, "linesPerS": 900.0, "pushesAllowed": 4,
-                                    "countedOverUs": 10_000_000, "admit": "ratio"},
+    "domain": SETTINGS["domain"]
+    | {
+        "proxyCount": 300,
+        "head": 2.0,
+        "linesPerS": 900.0,
+        "pushesAllowed": 4,
+        "countedOverUs": 10_000_000,
+        "admit": "ratio",
+    },
     "safety": SETTINGS["safety"] | {"warmAfterUs": 3_000_000, "startCapacity": 0.5},
 }
 
@@ -139,6 +149,9 @@
         made.turn([], [])
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert [line["event"] for line in lines] == [
-        "takeover begins", "drains or binds near their grace", "drains or binds near their grace",
-        "takeover ends"]
+        "takeover begins",
+        "drains or binds near their grace",
+        "drains or binds near their grace",
+        "takeover ends",
+    ]
     assert lines[0]["unbound"] == 7 and made.figures()["channel_most"]["backlog"] == 19
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -361,7 +361,7 @@
     discovery.change(entry(2, "Terminating"))
     until(lambda: states(found)[-1].get("s-0002") == api.DRAINING, "the next")
     seen = [told["s-0001"] for told in states(found) if "s-0001" in told]
-    assert seen.index(api.DRAINING) and api.READY not in seen[seen.index(api.DRAINING):]
+    assert seen.index(api.DRAINING) and api.READY not in seen[seen.index(api.DRAINING) :]
 
 
 def test_a_change_that_cannot_be_read_is_told_by_the_whole_list(discovery):
--- a/tests/node/test_listener.py
+++ b/tests/node/test_listener.py
@@ -40,8 +40,15 @@
 
 
 def met(endpoint="s-1"):
-    return {"t": "upstream_stats", "locality": "a", "endpoint": endpoint, "total": 2, "errors": 1, "rtt": 4.0,
-            "interval": 500.0}
+    return {
+        "t": "upstream_stats",
+        "locality": "a",
+        "endpoint": endpoint,
+        "total": 2,
+        "errors": 1,
+        "rtt": 4.0,
+        "interval": 500.0,
+    }
 
 
 def test_a_heartbeat_is_answered_at_once_and_an_honest_collector_heard():
@@ -64,10 +71,19 @@
         assert peer.answer(3 * len(HEARTBEAT_OK)) == 3 * HEARTBEAT_OK
 
 
-@pytest.mark.parametrize("sent", [
-    b"", b"\x20\x00\x00\x00{\"t\":", b"\x10\x00", b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 9000,
-    [{"t": "hb"}], [met()], [{"t": "telemetry", "locality": "z"}],
-])
+@pytest.mark.parametrize(
+    "sent",
+    [
+        b"",
+        b'\x20\x00\x00\x00{"t":',
+        b"\x10\x00",
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\xff" * 9000,
+        [{"t": "hb"}],
+        [met()],
+        [{"t": "telemetry", "locality": "z"}],
+    ],
+)
 def test_who_does_not_join_is_closed_in_time(sent):
     """One who asks for a heartbeat and then holds its connection is no exception."""
     with opened() as (listener, _):
@@ -131,8 +147,10 @@
 def test_no_thread_to_be_had_costs_that_peer_alone(monkeypatch):
     """The accepting thread ended with the first peer that no thread could be started for."""
     with opened() as (listener, _):
+
         def none(*_):
             raise RuntimeError("can't start new thread")
+
         with monkeypatch.context() as patch:
             patch.setattr("rainpick.net.streams._thread.start_new_thread", none)
             assert Peer(listener.address).read() == b""
--- a/tests/node/test_mailbox.py
+++ b/tests/node/test_mailbox.py
@@ -44,6 +44,7 @@
 
 def test_a_line_of_the_log_is_one_write():
     """A director killed between a line's text and its end spoilt the first line of the next one."""
+
     class Sink(io.StringIO):
         written: list[str] = []
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -32,8 +32,11 @@
 
     def start(self, *command):
         with self.log.open("ab") as log:
-            self.process = subprocess.Popen(command or [sys.executable, "-m", "rainpick.node"], stderr=log,
-                                            env=os.environ | {"PROXY_CONFIG": str(self.path)})
+            self.process = subprocess.Popen(
+                command or [sys.executable, "-m", "rainpick.node"],
+                stderr=log,
+                env=os.environ | {"PROXY_CONFIG": str(self.path)},
+            )
         until(self.answers, "a heartbeat")
 
     def tell(self, text=None):
@@ -49,8 +52,11 @@
             return answer == HEARTBEAT_OK
 
     def lines(self):
-        return [json.loads(line) for line in self.log.read_text().splitlines(keepends=True)
-                if line.startswith("{") and line.endswith("}\n")]
+        return [
+            json.loads(line)
+            for line in self.log.read_text().splitlines(keepends=True)
+            if line.startswith("{") and line.endswith("}\n")
+        ]
 
     def said(self, event):
         return any(line["event"] == event for line in self.lines())
@@ -153,8 +159,13 @@
 def test_a_configuration_that_cannot_be_used_ends_the_start_with_a_line(tmp_path):
     path = tmp_path / "config.json"
     path.write_text('{"settings": {}}')
-    found = subprocess.run([sys.executable, "-m", "rainpick.node"], capture_output=True, text=True,
-                           env=os.environ | {"PROXY_CONFIG": str(path)}, timeout=30)
+    found = subprocess.run(
+        [sys.executable, "-m", "rainpick.node"],
+        capture_output=True,
+        text=True,
+        env=os.environ | {"PROXY_CONFIG": str(path)},
+        timeout=30,
+    )
     assert found.returncode == 1 and found.stderr.count("\n") == 1 and str(path) in found.stderr
 
 
@@ -204,8 +215,13 @@
 
 
 def test_sigterm_while_the_program_is_still_read_ends_it_with_0(node):
-    found = subprocess.run([sys.executable, "-c", EARLY % "SIGTERM"], capture_output=True, text=True,
-                           env=os.environ | {"PROXY_CONFIG": str(node.path)}, timeout=30)
+    found = subprocess.run(
+        [sys.executable, "-c", EARLY % "SIGTERM"],
+        capture_output=True,
+        text=True,
+        env=os.environ | {"PROXY_CONFIG": str(node.path)},
+        timeout=30,
+    )
     assert found.returncode == 0 and not found.stderr
 
 
@@ -220,8 +236,9 @@
 def test_sigterm_before_the_door_listens_ends_it_with_0(tmp_path):
     path = tmp_path / "config.json"
     os.mkfifo(path)
-    process = subprocess.Popen([sys.executable, "-m", "rainpick.node"],
-                               env=os.environ | {"PROXY_CONFIG": str(path)})
+    process = subprocess.Popen(
+        [sys.executable, "-m", "rainpick.node"], env=os.environ | {"PROXY_CONFIG": str(path)}
+    )
     with path.open("wb"):  # it waits for its configuration
         process.terminate()
         assert process.wait(5) == 0
@@ -281,8 +298,11 @@
 def test_a_known_list_that_cannot_be_read_does_not_keep_it_from_starting(node):
     node.process.kill()
     node.process.wait()
-    node.tell(json.dumps(configuration(node.listen, node.discovery.address, node.relay.address,
-                                       known={"generation": "x"})))
+    node.tell(
+        json.dumps(
+            configuration(node.listen, node.discovery.address, node.relay.address, known={"generation": "x"})
+        )
+    )
     node.start()
     node.relay.attach(3)
     until(lambda: bound(node.relay) == [3] and len(node.relay.orders("share")) == 6, "its table")
@@ -299,8 +319,7 @@
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
-def test_a_server_that_has_just_started_is_cold_when_the_wall_clock_is_stepped(
-        tmp_path, monkeypatch, step_s):
+def test_a_server_that_has_just_started_is_cold_when_the_wall_clock_is_stepped(tmp_path, monkeypatch, step_s):
     """Stamped before the step or after it, whichever way the clock went."""
     shift = tmp_path / "step"
     shift.write_text("0")
@@ -317,8 +336,12 @@
         for number, started_ms in ((6, before_ms), (7, after_ms)):
             node.discovery.change(entry(number, started_ms=started_ms))
             name = f"s-{number:04x}"
-            weights = until(lambda name=name: [order["w"] for order in node.relay.orders("share")
-                                               if order["endpoint"] == name], "its line")
+            weights = until(
+                lambda name=name: [
+                    order["w"] for order in node.relay.orders("share") if order["endpoint"] == name
+                ],
+                "its line",
+            )
             assert 0 < weights[0] < 0.9, (name, weights)
     finally:
         node.end()
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -25,13 +25,21 @@
     return call(orders + ([api.Mark(mark, False)] if mark is not None else []))
 
 
-@pytest.mark.parametrize("way,carried", [
-    ("busy", [1, 2, 3]),  # not carried out: it is sent again
-    ("dropped", [1, 2, 3]), ("lost", [1, 2, 3]),  # nobody knows: it was not, as it turns out
-    # It was: twice, in its place.
-    ("broken", [1, 1, 2, 3]), ("unheard", [1, 1, 2, 3]), ("spoilt", [1, 1, 2, 3]), ("half", [1, 1, 2, 3]),
-    ("twice", [1, 2, 3]), ("strayed", [1, 2, 3]),  # it was, and what follows the answer is nobody's
-])
+@pytest.mark.parametrize(
+    "way,carried",
+    [
+        ("busy", [1, 2, 3]),  # not carried out: it is sent again
+        ("dropped", [1, 2, 3]),
+        ("lost", [1, 2, 3]),  # nobody knows: it was not, as it turns out
+        # It was: twice, in its place.
+        ("broken", [1, 1, 2, 3]),
+        ("unheard", [1, 1, 2, 3]),
+        ("spoilt", [1, 1, 2, 3]),
+        ("half", [1, 1, 2, 3]),
+        ("twice", [1, 2, 3]),
+        ("strayed", [1, 2, 3]),  # it was, and what follows the answer is nobody's
+    ],
+)
 def test_a_call_is_repeated_whole_before_anything_newer(relay, way, carried):
     relay.ways = [way]
     making = sending(relay)
@@ -134,8 +142,11 @@
 
 
 def events(found, stream):
-    return [one.event for one in found if type(one) is Told and one.stream == stream
-            and type(one.event) is not Ping]
+    return [
+        one.event
+        for one in found
+        if type(one) is Told and one.stream == stream and type(one.event) is not Ping
+    ]
 
 
 def test_news_begin_with_who_is_joined(relay):
@@ -148,8 +159,12 @@
         relay.tell("done", node=99, nonce=5, latency=2.5)  # nobody: dropped
         relay.tell("detach", node=2)
         until(lambda: Told(1, api.ProxyLeft(2)) in found, "the last of them")
-        assert events(found, 1) == [api.ProxyJoined(1, True, 10.0, 0), api.ProxyLeft(1),
-                                    api.Applied(1, 5, 2500), api.ProxyLeft(2)]
+        assert events(found, 1) == [
+            api.ProxyJoined(1, True, 10.0, 0),
+            api.ProxyLeft(1),
+            api.Applied(1, 5, 2500),
+            api.ProxyLeft(2),
+        ]
 
 
 def test_news_that_fall_silent_break_off_or_cannot_be_read_are_asked_for_anew(relay, monkeypatch):
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -19,7 +19,8 @@
 GRACE_S = 6.0
 HEARD = 12  # binds of the takeover
 TAKEOVER = SETTINGS | {
-    "fleetSize": 5, "penalties": {"crossZone": 0.06},
+    "fleetSize": 5,
+    "penalties": {"crossZone": 0.06},
     "domain": SETTINGS["domain"] | {"proxyCount": PROXIES, "pendingMax": 7200.0, "linesPerS": 1250.0},
     "safety": SETTINGS["safety"] | {"drainGraceUs": int(GRACE_S * 1e6)},
 }
@@ -36,8 +37,11 @@
         tree = configuration(listen, discovery.address, self.relay.address, known=known, settings=TAKEOVER)
         path.write_text(json.dumps(tree | {"name": name}))
         with self.log.open("ab") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", "rainpick.node"], stderr=log,
-                                            env=os.environ | {"PROXY_CONFIG": str(path)})
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "rainpick.node"],
+                stderr=log,
+                env=os.environ | {"PROXY_CONFIG": str(path)},
+            )
         self.listen = listen
 
     def answers(self):
--- a/tests/node/test_watch.py
+++ b/tests/node/test_watch.py
@@ -19,8 +19,11 @@
     discovery.change(entry(1, "Gone"), entry(3, started_ms=5))
     until(lambda: len(found) == 3, "the next")
     assert [news.full for news in found] == [True, False, False]
-    assert states(found) == [{"s-0001": api.READY, "s-0002": api.READY}, {"s-0001": api.DRAINING},
-                             {"s-0001": api.GONE, "s-0003": api.READY}]
+    assert states(found) == [
+        {"s-0001": api.READY, "s-0002": api.READY},
+        {"s-0001": api.DRAINING},
+        {"s-0001": api.GONE, "s-0003": api.READY},
+    ]
 
 
 def test_a_watch_is_armed_again_at_once_and_tells_nothing_twice(discovery, monkeypatch):
@@ -32,10 +35,16 @@
     assert time.monotonic() - begin < 10 * 0.2 and len(found) == 1
 
 
-@pytest.mark.parametrize("odd", [
-    Answer(503, b""), Answer(200, b"{"), Answer(200, b"[]"), Answer(200, b'{"generation":"x"}'),
-    Answer(200, b'{"generation":1,"reset":true,"instances":' + b"[" * 50_000),
-])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        Answer(503, b""),
+        Answer(200, b"{"),
+        Answer(200, b"[]"),
+        Answer(200, b'{"generation":"x"}'),
+        Answer(200, b'{"generation":1,"reset":true,"instances":' + b"[" * 50_000),
+    ],
+)
 def test_an_answer_that_cannot_be_used_is_asked_for_again(discovery, odd):
     discovery.odd = [odd, odd]
     watch, found = following(discovery)
--- a/tests/play.py
+++ b/tests/play.py
@@ -58,14 +58,14 @@
             kind = {"cached": api.CACHED, "full": api.FULL, "list": api.DELTA}[verb]
             return api.Listed(kind, tuple(self.server(word) for word in words), 1)
         if verb in ("join", "back"):
-            number, rate, zone = (*map(int, words), *(1, 0)[len(words) - 1:])
+            number, rate, zone = (*map(int, words), *(1, 0)[len(words) - 1 :])
             self.joined[number], self.writes[number] = None, []
             return api.ProxyJoined(number, verb == "join", float(rate), zone)
         if verb == "left":
             del self.joined[int(words[0])]
             return api.ProxyLeft(int(words[0]))
         if verb == "met":
-            tries, dropped, mean, span = (*map(int, words[1:]), *(50, 1000)[len(words) - 3:])
+            tries, dropped, mean, span = (*map(int, words[1:]), *(50, 1000)[len(words) - 3 :])
             return api.ServerMet(words[0], 0, tries, dropped, mean * 1000, span * 1000, ())
         if verb == "again":
             return api.Repeated(int(words[0]))
--- a/tests/publish/test_follow.py
+++ b/tests/publish/test_follow.py
@@ -40,8 +40,9 @@
         self.tables.carry_out(api.SetLine(0, key(number), weight))
 
     def exact(self):
-        return self.follower.lines == {f"{host}:{port}": weight for (host, port), (weight, _)
-                                       in self.tables.current(0).lines.items()}
+        return self.follower.lines == {
+            f"{host}:{port}": weight for (host, port), (weight, _) in self.tables.current(0).lines.items()
+        }
 
 
 def test_a_change_is_sent_where_it_is_shorter_and_names_both_versions():
@@ -83,7 +84,7 @@
     side = Side()
     side.weight(3, 2.0)
     part = side.send()
-    line, = part.set
+    (line,) = part.set
     wrong = msgspec.structs.replace(part, set=(payloads.Line(line.server, line.weight + 1),))
     before = dict(side.follower.lines)
     assert side.follower.take(wrong).why == "digest" and side.follower.lines == before
@@ -140,7 +141,8 @@
 
 
 STEPS = st.sampled_from(
-    ["weight", "out", "shut", "open", "send", "lose", "double", "swap", "damage", "restart"])
+    ["weight", "out", "shut", "open", "send", "lose", "double", "swap", "damage", "restart"]
+)
 
 
 @given(st.lists(st.tuples(STEPS, st.integers(0, 11), st.floats(0.1, 16)), max_size=80), st.integers(0, 99))
@@ -191,10 +193,20 @@
     assert canonical_digest(side.follower.lines) == side.tables.current(0).digest
 
 
-@pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"kind": "whole"}', b'{"kind": "other"}', b"\xff" * 9,
-                                  b'{"kind":"whole","epoch":"e","table":70000,"version":1,"digest":"","lines":[]}',
-                                  b'{"kind":"whole","epoch":"e","table":1,"version":1,"digest":"",'
-                                  b'"lines":[["a:1",-1]]}', b"[" * 100_000])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"{",
+        b"[]",
+        b'{"kind": "whole"}',
+        b'{"kind": "other"}',
+        b"\xff" * 9,
+        b'{"kind":"whole","epoch":"e","table":70000,"version":1,"digest":"","lines":[]}',
+        b'{"kind":"whole","epoch":"e","table":1,"version":1,"digest":"","lines":[["a:1",-1]]}',
+        b"[" * 100_000,
+    ],
+)
 def test_payloads_that_do_not_fit_the_schema_are_told(data):
     for read in (payloads.read_down, payloads.read_up):
         with pytest.raises(payloads.PayloadError):
@@ -211,8 +223,11 @@
     def __init__(self):
         self.tables = Tables(Scale(16.0), lambda _: 1.0)
         self.gone, self.cold = set(), set()
-        self.pins = Pins(lambda server: server not in self.gone, self.tables.withdrawn.__contains__,
-                         lambda server: server not in self.cold)
+        self.pins = Pins(
+            lambda server: server not in self.gone,
+            self.tables.withdrawn.__contains__,
+            lambda server: server not in self.cold,
+        )
         self.tables.overlay = self.pins.overlay
         for number in range(4):
             self.tables.carry_out(api.SetLine(0, key(number), 1.0))
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -18,8 +18,14 @@
 
 SAMPLES = Path(__file__).parent / "samples"
 ONE, TWO = ("10.0.0.1", 1), ("10.0.0.1", 2)
-WORDS = {"proxies.pending_max": 100, "proxies.pushes_allowed": 4, "proxies.counted_over_us": 10_000_000,
-         "rules.drain_grace_us": 2_000_000, "rules.warm_after_us": 10_000_000, "rules.start_capacity": 0.2}
+WORDS = {
+    "proxies.pending_max": 100,
+    "proxies.pushes_allowed": 4,
+    "proxies.counted_over_us": 10_000_000,
+    "rules.drain_grace_us": 2_000_000,
+    "rules.warm_after_us": 10_000_000,
+    "rules.start_capacity": 0.2,
+}
 
 
 def entry(address, state=api.READY, started_us=0, weight=1.0):
@@ -105,7 +111,7 @@
 
 
 def test_a_record_of_before_types_were_said_is_read_and_replays():
-    one, = [play(life, steps) for life, steps in lives(read(SAMPLES / "without-types"))]
+    (one,) = [play(life, steps) for life, steps in lives(read(SAMPLES / "without-types"))]
     assert one.steps == 78 and one.differing == 0 and one.hole is None
 
 
@@ -113,13 +119,18 @@
     lived(tmp_path / "day")
     text = Path(__file__).parents[2] / "rainpick" / "balance.py"
     (tmp_path / "slow.py").write_text(text.read_text().replace(" = 4, 1.6, 0.6", " = 10**9, 1.6, 0.6"))
-    one, = [play(life, steps, module(tmp_path / "slow.py"), compare=True)
-            for life, steps in lives(read(tmp_path / "day"))]
+    (one,) = [
+        play(life, steps, module(tmp_path / "slow.py"), compare=True)
+        for life, steps in lives(read(tmp_path / "day"))
+    ]
     assert one.differing and one.compared.counts["lines"][0] != one.compared.counts["lines"][1]
-    same, = [play(life, steps, module(text)) for life, steps in lives(read(tmp_path / "day"))]
+    (same,) = [play(life, steps, module(text)) for life, steps in lives(read(tmp_path / "day"))]
     assert same.differing == 0
-    for words, why in (("x = 1\n", "has no Director"), ("1 / 0\n", "ZeroDivisionError"),
-                       ("(", "SyntaxError")):
+    for words, why in (
+        ("x = 1\n", "has no Director"),
+        ("1 / 0\n", "ZeroDivisionError"),
+        ("(", "SyntaxError"),
+    ):
         (tmp_path / "bad.py").write_text(words)
         with pytest.raises(ModuleError, match=why):
             module(tmp_path / "bad.py")
@@ -167,13 +178,19 @@
     assert inspect.table(director, 0)["told"] and inspect.proxy(director, 1)["table"] == 0
 
 
-@pytest.mark.parametrize("words, why", [
-    (("--inspect", "server=nowhere:1"), "no server 'nowhere:1' is held; there are 127.0.0.1:9000"),
-    (("--inspect", "table=99"), "there is no table 99"),
-    (("--inspect", "proxy=55"), "proxy 55 has not joined"), (("--inspect", "moon"), "'moon' is not fleet"),
-    (("--inspect", "fleet", "--life", "4"), "there are 1 lives"),
-    (("--inspect", "fleet", "--until", "-1"), "nothing was recorded before"), (("--set", "a"), "NAME=VALUE"),
-    (("--module", "/nowhere.py"), "nowhere.py")])
+@pytest.mark.parametrize(
+    "words, why",
+    [
+        (("--inspect", "server=nowhere:1"), "no server 'nowhere:1' is held; there are 127.0.0.1:9000"),
+        (("--inspect", "table=99"), "there is no table 99"),
+        (("--inspect", "proxy=55"), "proxy 55 has not joined"),
+        (("--inspect", "moon"), "'moon' is not fleet"),
+        (("--inspect", "fleet", "--life", "4"), "there are 1 lives"),
+        (("--inspect", "fleet", "--until", "-1"), "nothing was recorded before"),
+        (("--set", "a"), "NAME=VALUE"),
+        (("--module", "/nowhere.py"), "nowhere.py"),
+    ],
+)
 def test_what_is_asked_wrongly_is_told_in_a_line(tmp_path, words, why):
     lived(tmp_path)
     found = CliRunner().invoke(main, ["replay", str(tmp_path), *words])
@@ -194,7 +211,9 @@
 def test_a_settings_file_takes_the_place_of_the_recorded_settings(tmp_path):
     lived(tmp_path / "day")
     path = tmp_path / "s.json5"
-    path.write_text('{routes: [{name: "lookup", slo_time: "500ms", time_limit: "2s"}], zones: ["a", "b"], '
-                    'machines: ["x", "y"], rules: {warm_after: "20s"}, proxies: {count: 1}}')
+    path.write_text(
+        '{routes: [{name: "lookup", slo_time: "500ms", time_limit: "2s"}], zones: ["a", "b"], '
+        'machines: ["x", "y"], rules: {warm_after: "20s"}, proxies: {count: 1}}'
+    )
     found = CliRunner().invoke(main, ["replay", str(tmp_path / "day"), "--settings", str(path), "--json"])
     assert found.exit_code == 1 and json.loads(found.output)[0]["first"]["instead"]
--- a/tests/record/test_days.py
+++ b/tests/record/test_days.py
@@ -42,8 +42,19 @@
     told = lives[1][0]["counts"]
     assert told["drains and losses told"][0] >= 1 and told["messages"][0] == told["messages"][1] > 5
     # Both on one clock, in the wall's order, each in its own.
-    found = subprocess.run([sys.executable, "-m", "rainpick", "record", "show",
-                            str(place / "record-0"), str(place / "record-1")], text=True, capture_output=True)
+    found = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "rainpick",
+            "record",
+            "show",
+            str(place / "record-0"),
+            str(place / "record-1"),
+        ],
+        text=True,
+        capture_output=True,
+    )
     rows = [line.split()[:3] for line in found.stdout.splitlines()]
     times = [float(second) for second, _, _ in rows]
     assert times == sorted(times) and {director for _, director, _ in rows} == {"0", "1"}
@@ -52,8 +63,9 @@
     command = [sys.executable, "-m", "rainpick", "replay", str(place / "record-0"), str(place / "record-1")]
     both = subprocess.run([*command, "--json"], text=True, capture_output=True)
     assert both.returncode == 0 and json.loads(both.stdout) == lives[0] + lives[1]
-    moment = subprocess.run([*command, "--json", "--until", "3", "--inspect", "fleet"],
-                            text=True, capture_output=True)
+    moment = subprocess.run(
+        [*command, "--json", "--until", "3", "--inspect", "fleet"], text=True, capture_output=True
+    )
     fleets = json.loads(moment.stdout)
     assert len(fleets) == 2 and all(2 <= one["proxies"] <= 4 for one in fleets)
     # A change is told, and 1 is the exit code.
--- a/tests/record/test_exchange.py
+++ b/tests/record/test_exchange.py
@@ -47,13 +47,16 @@
     assert records(tmp_path / "back") == records(tmp_path / "day")
 
 
-@pytest.mark.parametrize("spoil, why", [
-    (lambda rows: rows[1:], "line 1: .*begins with the form"),
-    (lambda rows: [rows[0], rows[1], b'{"t": 1}\n'], "line 3: KeyError"),
-    (lambda rows: [*rows[:3], b"{\n"], "line 4"),
-    (lambda rows: [rows[0], b'{"t":1,"now":2,"events":[["Moon",1]],"orders":[]}\n'], "line 2: .*'Moon'"),
-    (lambda rows: [rows[0], b"[" * 9000 + b"\n"], "line 2"),
-])
+@pytest.mark.parametrize(
+    "spoil, why",
+    [
+        (lambda rows: rows[1:], "line 1: .*begins with the form"),
+        (lambda rows: [rows[0], rows[1], b'{"t": 1}\n'], "line 3: KeyError"),
+        (lambda rows: [*rows[:3], b"{\n"], "line 4"),
+        (lambda rows: [rows[0], b'{"t":1,"now":2,"events":[["Moon",1]],"orders":[]}\n'], "line 2: .*'Moon'"),
+        (lambda rows: [rows[0], b"[" * 9000 + b"\n"], "line 2"),
+    ],
+)
 def test_what_is_no_export_is_told_by_its_line_and_leaves_nothing(tmp_path, spoil, why):
     lived(tmp_path / "day")
     rows = list(write(read(tmp_path / "day")))
@@ -100,6 +103,7 @@
             def step(self, now, events):
                 turns.append((name, now))
                 return super().step(now, events)
+
         return Told
 
     names = iter("ab")
@@ -133,8 +137,11 @@
 
 
 def test_reports_heard_out_of_order_are_told_with_both_places():
-    steps = [Step(10_000_000, [met(1_000_000)], []), Step(11_000_000, [met(8_000_000)], []),
-             Step(12_000_000, [met(1_000_000), met(1_000_000)], [])]
+    steps = [
+        Step(10_000_000, [met(1_000_000)], []),
+        Step(11_000_000, [met(8_000_000)], []),
+        Step(12_000_000, [met(1_000_000), met(1_000_000)], []),
+    ]
     found = [(placed, heard, late.began_us) for placed, heard, late in reports_by_time(iter(steps))]
     assert found == [(1, 2, 3_000_000), (2, 1, 9_000_000), (3, 3, 11_000_000), (4, 4, 11_000_000)]
 
@@ -183,7 +190,7 @@
     whole = recorder.store.write
 
     def half(data):
-        recorder.store.file.write(data[:len(data) // 2])
+        recorder.store.file.write(data[: len(data) // 2])
         raise OSError(errno.ENOSPC, "No space left on device")
 
     recorder.store.write = half
@@ -193,7 +200,7 @@
     recorder.store.write = whole
     recorder.step(50, [api.TimerDue(50)], [])
     recorder.close()
-    (_, steps), = lives(read(tmp_path))
+    ((_, steps),) = lives(read(tmp_path))
     found = list(steps)
     assert [one.now for one in found if isinstance(one, Step)] == [1, 50]
     assert [one for one in found if isinstance(one, Hole)] == [Hole("10 steps were not recorded")]
--- a/tests/record/test_replay.py
+++ b/tests/record/test_replay.py
@@ -63,7 +63,7 @@
 
 def test_the_same_day_again_has_not_one_order_different(tmp_path):
     drive = lived(tmp_path)
-    one, = played(tmp_path)
+    (one,) = played(tmp_path)
     assert one.differing == 0 and one.hole is None and one.steps == drive.engine.stepper.steps > 50
     assert one.orders == drive.engine.stepper.ordered
 
@@ -72,14 +72,15 @@
     lived(tmp_path)
     for seed in ("1", "77"):
         command = [sys.executable, "-m", "rainpick", "replay", str(tmp_path), "--json"]
-        found = subprocess.run(command, text=True, capture_output=True,
-                               env={**os.environ, "PYTHONHASHSEED": seed})
+        found = subprocess.run(
+            command, text=True, capture_output=True, env={**os.environ, "PYTHONHASHSEED": seed}
+        )
         assert found.returncode == 0 and json.loads(found.stdout)[0]["differing"] == 0, found.stderr
 
 
 def test_another_setting_is_told_by_its_first_difference_and_by_weights(tmp_path):
     lived(tmp_path)
-    one, = played(tmp_path, changes={"rules.warm_after_us": 12_000_000}, compare=True)
+    (one,) = played(tmp_path, changes={"rules.warm_after_us": 12_000_000}, compare=True)
     assert one.differing and one.first.recorded and one.first.replayed
     moved = {row.server: row for row in one.compared.moved}
     assert moved["127.0.0.1:9009"].replayed < moved["127.0.0.1:9009"].recorded
@@ -87,7 +88,7 @@
 
 def test_a_setting_that_alters_the_very_first_decision(tmp_path):
     lived(tmp_path)
-    one, = played(tmp_path, changes={"proxies.pending_max": 1})
+    (one,) = played(tmp_path, changes={"proxies.pending_max": 1})
     assert one.first.now == played(tmp_path)[0].life.now + 1_000_000 or one.first.step < 5
 
 
@@ -104,31 +105,42 @@
     log.append(9, LOST, b"5")
     log.append(10, STEP, write_step(Step(99_000_000, [api.TimerDue(0)], [api.Note("never")])))
     log.close()
-    one, = played(tmp_path)
+    (one,) = played(tmp_path)
     assert one.hole == Hole("5 steps were not recorded") and one.differing == 0
 
 
 def test_a_torn_end_loses_the_end_and_nothing_else(tmp_path):
     lived(tmp_path)
-    path, = tmp_path.glob("*.seg")
+    (path,) = tmp_path.glob("*.seg")
     path.write_bytes(path.read_bytes() + b"RPBK half a block")
-    one, = played(tmp_path)
+    (one,) = played(tmp_path)
     assert one.hole is None and one.differing == 0
 
 
 values = st.one_of(
-    st.integers(-2**63, 2**63 - 1), st.floats(allow_nan=False), st.text(max_size=5), st.booleans())
+    st.integers(-(2**63), 2**63 - 1), st.floats(allow_nan=False), st.text(max_size=5), st.booleans()
+)
 addresses = st.tuples(st.text(max_size=9), st.integers(0, 65535))
 
 
-@given(st.dictionaries(st.text(max_size=9), values | st.lists(values, max_size=3).map(tuple)), addresses,
-       st.floats(allow_nan=False), st.integers(0, 2**62))
+@given(
+    st.dictionaries(st.text(max_size=9), values | st.lists(values, max_size=3).map(tuple)),
+    addresses,
+    st.floats(allow_nan=False),
+    st.integers(0, 2**62),
+)
 @hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
 def test_every_type_is_read_back_as_it_was(settings, address, number, now):
     entry = api.Server(number, 1, now, 2, 3, address, api.READY)
-    some = [api.Started(now, settings), api.Listed(api.FULL, (entry, entry), 7),
-            api.ServerMet(address, 1, 2, 3, 4, 5, (number,)), api.SetLine(3, address, number),
-            api.PeerSaid(1, b"x\xff"), api.Tell(None, b""), api.FetchList()]
+    some = [
+        api.Started(now, settings),
+        api.Listed(api.FULL, (entry, entry), 7),
+        api.ServerMet(address, 1, 2, 3, 4, 5, (number,)),
+        api.SetLine(3, address, number),
+        api.PeerSaid(1, b"x\xff"),
+        api.Tell(None, b""),
+        api.FetchList(),
+    ]
     step = Step(now, some, some[::-1])
     assert read_step(write_step(step)) == step
 
@@ -172,6 +184,6 @@
     until(lambda: recorder.queue.empty())
     recorder.step(1000, [], [])
     recorder.close()
-    (_, steps), = lives(read(tmp_path))
+    ((_, steps),) = lives(read(tmp_path))
     holes = [one for one in steps if isinstance(one, Hole)]
     assert holes and "were not recorded" in holes[-1].why
--- a/tests/sasp/test_codec.py
+++ b/tests/sasp/test_codec.py
@@ -30,8 +30,13 @@
 )
 
 names = st.text(min_size=1, max_size=20)
-members = st.builds(Member, st.binary(min_size=16, max_size=16), st.integers(0, 65535), st.text(max_size=40),
-                    st.integers(0, 255))
+members = st.builds(
+    Member,
+    st.binary(min_size=16, max_size=16),
+    st.integers(0, 65535),
+    st.text(max_size=40),
+    st.integers(0, 255),
+)
 groups = st.builds(Group, names.filter(lambda text: len(text.encode()) <= codec.UID_MOST), names)
 entries = st.builds(Weight, members, st.integers(0, 65535), st.integers(0, 255), st.integers(0, 255))
 states = st.builds(MemberState, members, st.integers(0, 255), st.booleans())
@@ -46,11 +51,13 @@
 messages = st.one_of(
     st.builds(Registration, member_groups, st.booleans()),
     st.builds(Deregistration, member_groups, st.booleans(), st.integers(0, 255)),
-    st.builds(GetWeights, few(groups)), st.builds(SendWeights, weight_groups),
+    st.builds(GetWeights, few(groups)),
+    st.builds(SendWeights, weight_groups),
     st.builds(SetLbState, groups.map(lambda group: group.uid), st.integers(0, 255), st.integers(0, 255)),
     st.builds(SetMemberState, few(st.builds(States, groups, few(states))), st.booleans()),
     st.builds(Reply, st.sampled_from(sorted(codec.PLAIN_REPLIES)), st.integers(0, 255)),
-    st.builds(GetWeightsReply, st.integers(0, 255), st.integers(0, 65535), weight_groups))
+    st.builds(GetWeightsReply, st.integers(0, 255), st.integers(0, 65535), weight_groups),
+)
 
 
 def read(data, most=1 << 20):
@@ -116,18 +123,22 @@
     data = codec.write(SAMPLE, 5)
     for cut in range(len(data)):
         assert read(data[:cut]) is None
-        shorter = data[:5] + struct.pack(">I", max(18, cut)) + data[9:max(18, cut)]
+        shorter = data[:5] + struct.pack(">I", max(18, cut)) + data[9 : max(18, cut)]
         with pytest.raises(SaspError):
             read(shorter)
 
 
-@pytest.mark.parametrize("data", [
-    b"\x20\x11" + codec.write(SAMPLE)[2:],
-    codec.write(SAMPLE)[:2] + b"\x00\x0e" + codec.write(SAMPLE)[4:],
-    codec.write(SAMPLE)[:4] + b"\x02" + codec.write(SAMPLE)[5:],
-    codec.write(SAMPLE)[:5] + b"\x7f\xff\xff\xff" + codec.write(SAMPLE)[9:],
-    codec.write(SAMPLE)[:5] + b"\x00\x00\x00\x0d" + codec.write(SAMPLE)[9:],
-], ids=["header", "header size", "version", "oversized", "no body"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\x20\x11" + codec.write(SAMPLE)[2:],
+        codec.write(SAMPLE)[:2] + b"\x00\x0e" + codec.write(SAMPLE)[4:],
+        codec.write(SAMPLE)[:4] + b"\x02" + codec.write(SAMPLE)[5:],
+        codec.write(SAMPLE)[:5] + b"\x7f\xff\xff\xff" + codec.write(SAMPLE)[9:],
+        codec.write(SAMPLE)[:5] + b"\x00\x00\x00\x0d" + codec.write(SAMPLE)[9:],
+    ],
+    ids=["header", "header size", "version", "oversized", "no body"],
+)
 def test_what_spoils_the_framing_ends_the_stream(data):
     with pytest.raises(FramingError):
         read(data, 65_536)
@@ -150,12 +161,17 @@
     assert framer.next() == (2, SetLbState("x"))
 
 
-@pytest.mark.parametrize("message, code", [
-    (codec.frame(1, codec.SET_LB_STATE, b"\0\x7f\0"), codec.INVALID_LB_UID),
-    (codec.frame(1, codec.SET_LB_STATE, b"\x41" + b"u" * 65 + b"\x7f\0"), codec.INVALID_LB_UID),
-    (codec.frame(1, codec.GET_WEIGHTS, b"\0\1", codec.PIECE.pack(codec.GROUP_DATA, 7) + b"\1u\0"),
-     codec.INVALID_GROUP_NAME),
-])
+@pytest.mark.parametrize(
+    "message, code",
+    [
+        (codec.frame(1, codec.SET_LB_STATE, b"\0\x7f\0"), codec.INVALID_LB_UID),
+        (codec.frame(1, codec.SET_LB_STATE, b"\x41" + b"u" * 65 + b"\x7f\0"), codec.INVALID_LB_UID),
+        (
+            codec.frame(1, codec.GET_WEIGHTS, b"\0\1", codec.PIECE.pack(codec.GROUP_DATA, 7) + b"\1u\0"),
+            codec.INVALID_GROUP_NAME,
+        ),
+    ],
+)
 def test_names_of_no_length_have_codes_of_their_own(message, code):
     with pytest.raises(SaspError) as flaw:
         read(message)
--- a/tests/sasp/test_session.py
+++ b/tests/sasp/test_session.py
@@ -44,20 +44,23 @@
 REGISTERED = (Registration((Members(FLEET, (ONE,)),)),)
 
 
-@pytest.mark.parametrize("said, expected", [
-    ((GetWeights((MINE,)),), codec.UNKNOWN_LB),
-    ((Registration((Members(MINE),), True),), codec.LB_NOT_SEEN),
-    ((SetMemberState((States(FLEET, (MemberState(ONE, 0, True),)),)),), codec.NOT_REGISTERED),
-    ((Deregistration((Members(FLEET),)),), codec.NOT_REGISTERED),
-    ((*REGISTERED, SetLbState("edge-1")), codec.NOT_ACCEPTED),
-    ((*JOINED, SetLbState("edge-2")), codec.NOT_ACCEPTED),
-    ((*JOINED, *REGISTERED), codec.NOT_ACCEPTED),
-    ((*JOINED, GetWeights((FLEET,))), codec.UNKNOWN_LB),
-    ((*JOINED, GetWeights((MINE, MINE))), codec.DUPLICATE_GROUP),
-    ((*JOINED, SetMemberState((States(MINE, (MemberState(ONE),)),), True)), codec.NOT_ACCEPTED),
-    ((Registration((Members(FLEET, (ONE, TWO, ONE)),)),), codec.DUPLICATE_MEMBER),
-    ((Registration((Members(FLEET, (ONE,)), Members(FLEET, (TWO,)))),), codec.DUPLICATE_GROUP),
-])
+@pytest.mark.parametrize(
+    "said, expected",
+    [
+        ((GetWeights((MINE,)),), codec.UNKNOWN_LB),
+        ((Registration((Members(MINE),), True),), codec.LB_NOT_SEEN),
+        ((SetMemberState((States(FLEET, (MemberState(ONE, 0, True),)),)),), codec.NOT_REGISTERED),
+        ((Deregistration((Members(FLEET),)),), codec.NOT_REGISTERED),
+        ((*REGISTERED, SetLbState("edge-1")), codec.NOT_ACCEPTED),
+        ((*JOINED, SetLbState("edge-2")), codec.NOT_ACCEPTED),
+        ((*JOINED, *REGISTERED), codec.NOT_ACCEPTED),
+        ((*JOINED, GetWeights((FLEET,))), codec.UNKNOWN_LB),
+        ((*JOINED, GetWeights((MINE, MINE))), codec.DUPLICATE_GROUP),
+        ((*JOINED, SetMemberState((States(MINE, (MemberState(ONE),)),), True)), codec.NOT_ACCEPTED),
+        ((Registration((Members(FLEET, (ONE, TWO, ONE)),)),), codec.DUPLICATE_MEMBER),
+        ((Registration((Members(FLEET, (ONE,)), Members(FLEET, (TWO,)))),), codec.DUPLICATE_GROUP),
+    ],
+)
 def test_what_is_out_of_state_gets_its_code(said, expected):
     assert code(end(*said)) == expected
 
@@ -88,7 +91,7 @@
 
 def test_an_unknown_version_is_answered_and_ended():
     data = codec.write(SetLbState("e"), 3)
-    found, = DirectorEnd(4096).receive(data[:4] + b"\7" + data[5:])
+    (found,) = DirectorEnd(4096).receive(data[:4] + b"\7" + data[5:])
     assert isinstance(found, Ended) and found.data and "version 7" in found.why
 
 
@@ -97,13 +100,18 @@
     client.ask(SetLbState("e"))
     client.ask(GetWeights((MINE,)))
     pushed = SendWeights(())
-    data = (codec.write(pushed, 77) + codec.write(codec.GetWeightsReply(0), 2)
-            + codec.write(Reply(codec.SET_LB_STATE_REPLY, 0), 1))
+    data = (
+        codec.write(pushed, 77)
+        + codec.write(codec.GetWeightsReply(0), 2)
+        + codec.write(Reply(codec.SET_LB_STATE_REPLY, 0), 1)
+    )
     assert [asked for asked, _ in client.receive(data)] == [None, GetWeights((MINE,)), SetLbState("e")]
 
 
-@pytest.mark.parametrize("message, number", [
-    (Reply(codec.SET_LB_STATE_REPLY, 0), 2), (Reply(codec.REGISTRATION_REPLY, 0), 1), (SetLbState("e"), 1)])
+@pytest.mark.parametrize(
+    "message, number",
+    [(Reply(codec.SET_LB_STATE_REPLY, 0), 2), (Reply(codec.REGISTRATION_REPLY, 0), 1), (SetLbState("e"), 1)],
+)
 def test_a_reply_that_answers_nothing_is_an_error(message, number):
     client = ClientEnd()
     client.ask(SetLbState("e"))
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -121,7 +121,7 @@
     log = fill(tmp_path, blocks=1)
 
     def full(data):
-        log.file.write(data[:len(data) // 2])
+        log.file.write(data[: len(data) // 2])
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     log.write, write = full, log.write
--- a/tests/takeover/channel.py
+++ b/tests/takeover/channel.py
@@ -114,6 +114,7 @@
                 held.lines[server] = weight
             else:
                 held.lines.pop(server, None)
+
         for proxy in self.users[table]:
             reach(proxy, 1, change)
 
@@ -122,6 +123,7 @@
 
         def change(held: Held) -> None:
             (held.withdrawn.add if on else held.withdrawn.discard)(server)
+
         for proxy, held in self.joined.items():
             table = self.bound.get(proxy)
             holds = server in (held.lines if table is None else self.tables[table])
@@ -139,4 +141,5 @@
 
         def change(held: Held) -> None:
             held.lines, held.withdrawn = dict(lines), set(withdrawn)
+
         reach(proxy, BIND_LINES + len(lines) + len(self.levels[table]) + len(withdrawn), change)
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -42,7 +42,11 @@
     redial_us: int = 1_500_000  # all proxies of the killed directors have joined the last one by then
     end_us: int = 30_000_000
     waves: tuple[Wave, ...] = (
-        Wave(6_000_000, 30), Wave(8_000_000, 30), Wave(10_000_000, 30), Wave(12_500_000, 10))
+        Wave(6_000_000, 30),
+        Wave(8_000_000, 30),
+        Wave(10_000_000, 30),
+        Wave(12_500_000, 10),
+    )
     list_every_us: int = 500_000
     seed: int = 1
 
@@ -51,17 +55,34 @@
 
     def settings(self, me: int) -> dict:
         return {
-            "me": me, "zone": me % self.zones, "directors": self.directors, "discovery": "pushed",
-            "routes.count": 2, "routes.0.slo_time_us": 750_000, "routes.1.slo_time_us": 400_000,
-            "routes.0.importance": 1.0, "routes.1.importance": 5.0,
-            "penalties.cross_zone": self.cross_zone, "proxies.by_zone": True,
-            "proxies.proxy_count": self.proxies, "proxies.pending_max": self.pending,
-            "proxies.lines_per_s": self.pace, "proxies.head": self.head, "proxies.hears_per_s": 75.0,
-            "proxies.report_every_us": 500_000, "proxies.default_size": self.standing,
-            "proxies.admit": "silent", "proxies.default_retry": 0, "proxies.pushes_allowed": 0,
-            "proxies.ejects_after": 0, "proxies.late_us": self.late_us,
-            "rules.drain_grace_us": self.grace_us, "rules.warm_after_us": self.warm_after_us,
-            "rules.start_capacity": 0.16, "rules.fall_multiple": 3.0, "round_us": 1_000,
+            "me": me,
+            "zone": me % self.zones,
+            "directors": self.directors,
+            "discovery": "pushed",
+            "routes.count": 2,
+            "routes.0.slo_time_us": 750_000,
+            "routes.1.slo_time_us": 400_000,
+            "routes.0.importance": 1.0,
+            "routes.1.importance": 5.0,
+            "penalties.cross_zone": self.cross_zone,
+            "proxies.by_zone": True,
+            "proxies.proxy_count": self.proxies,
+            "proxies.pending_max": self.pending,
+            "proxies.lines_per_s": self.pace,
+            "proxies.head": self.head,
+            "proxies.hears_per_s": 75.0,
+            "proxies.report_every_us": 500_000,
+            "proxies.default_size": self.standing,
+            "proxies.admit": "silent",
+            "proxies.default_retry": 0,
+            "proxies.pushes_allowed": 0,
+            "proxies.ejects_after": 0,
+            "proxies.late_us": self.late_us,
+            "rules.drain_grace_us": self.grace_us,
+            "rules.warm_after_us": self.warm_after_us,
+            "rules.start_capacity": 0.16,
+            "rules.fall_multiple": 3.0,
+            "round_us": 1_000,
         }
 
 
@@ -120,8 +141,9 @@
     def __init__(self, shape: Shape):
         self.shape, self.now, self.heap, self.numbers = shape, 0, [], count()
         self.random = random.Random(shape.seed)
-        self.listed = {name: self.server(name, 0) for name in
-                       (f"s-{number:04x}" for number in range(shape.servers))}
+        self.listed = {
+            name: self.server(name, 0) for name in (f"s-{number:04x}" for number in range(shape.servers))
+        }
         self.fresh = count(shape.servers)
         self.told: dict[str, int] = {}  # when a drain was told, by server
         self.proxies: dict[int, Held] = {}
@@ -178,8 +200,10 @@
         for entry in self.random.sample(ready, min(wave.servers, len(ready) // 2)):
             notice_us = self.random.randrange(1_500_000)
             self.at(self.now + notice_us, lambda entry=entry: self.change(entry._replace(state=api.DRAINING)))
-            self.at(self.now + notice_us + wave.gone_after_us,
-                    lambda entry=entry: self.change(entry._replace(state=api.GONE)))
+            self.at(
+                self.now + notice_us + wave.gone_after_us,
+                lambda entry=entry: self.change(entry._replace(state=api.GONE)),
+            )
             new = self.server(f"s-{next(self.fresh):04x}", self.now)
             self.at(self.now + notice_us + 500_000, lambda new=new: self.change(new))
 
@@ -196,8 +220,10 @@
         for life in self.lives[:-1]:
             life.alive = False
             for proxy in life.channel.joined:
-                self.at(self.now + self.random.randrange(100_000, self.shape.redial_us),
-                        lambda proxy=proxy: self.join(proxy, last))
+                self.at(
+                    self.now + self.random.randrange(100_000, self.shape.redial_us),
+                    lambda proxy=proxy: self.join(proxy, last),
+                )
 
     def play(self) -> Outcome:
         shape = self.shape
@@ -227,6 +253,12 @@
                 unsent += self.judge(held, server, self.now)
         last = self.lives[-1].channel
         return Outcome(
-            round(self.drain_most, 3), self.late, unsent,
-            round(last.waiting_most / self.shape.pending, 3), self.bare_us, last.lines_sent,
-            last.messages_sent, len(last.joined) - len(last.bound))
+            round(self.drain_most, 3),
+            self.late,
+            unsent,
+            round(last.waiting_most / self.shape.pending, 3),
+            self.bare_us,
+            last.lines_sent,
+            last.messages_sent,
+            len(last.joined) - len(last.bound),
+        )
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -12,10 +12,21 @@
 MARGIN = 0.9  # of the grace and of the queue: a tenth is to spare
 
 SMALL = Shape(
-    proxies=300, servers=60, zones=2, pace=1250.0, pending=7200.0, grace_us=6 * SECOND, late_us=60_000,
-    killed_us=4 * SECOND, redial_us=600_000, end_us=13 * SECOND, list_every_us=200_000,
-    waves=tuple(Wave(int(at * SECOND), servers, 1_300_000)
-                for at, servers in ((3.0, 9), (3.6, 9), (4.3, 9), (5.1, 3))))
+    proxies=300,
+    servers=60,
+    zones=2,
+    pace=1250.0,
+    pending=7200.0,
+    grace_us=6 * SECOND,
+    late_us=60_000,
+    killed_us=4 * SECOND,
+    redial_us=600_000,
+    end_us=13 * SECOND,
+    list_every_us=200_000,
+    waves=tuple(
+        Wave(int(at * SECOND), servers, 1_300_000) for at, servers in ((3.0, 9), (3.6, 9), (4.3, 9), (5.1, 3))
+    ),
+)
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -63,9 +63,16 @@
         assert "contact" in run(*words).output
 
 
-@pytest.mark.parametrize("words, code", [
-    (("status", "--at", "127.0.0.1:1"), 1), (("sasp", "weights", "--at", "127.0.0.1:1"), 1),
-    (("status", "--at", "here"), 2), (("day", "/no/such"), 2), (("run", "--config", "/no/such"), 2)])
+@pytest.mark.parametrize(
+    "words, code",
+    [
+        (("status", "--at", "127.0.0.1:1"), 1),
+        (("sasp", "weights", "--at", "127.0.0.1:1"), 1),
+        (("status", "--at", "here"), 2),
+        (("day", "/no/such"), 2),
+        (("run", "--config", "/no/such"), 2),
+    ],
+)
 def test_what_is_not_there_is_told_without_a_traceback(words, code):
     found = run(*words)
     assert found.exit_code == code and "Traceback" not in found.output
@@ -75,11 +82,15 @@
     ports = free_ports(3)
     places = dict(zip(("sasp", "otlp", "status"), (f"127.0.0.1:{port}" for port in ports), strict=True))
     path = tmp_path / "director.json5"
-    path.write_text(json.dumps({"listen": places, "routes": [
-        {"name": "a", "slo_time": "1s", "time_limit": "2s"}], **parts}))
+    path.write_text(
+        json.dumps(
+            {"listen": places, "routes": [{"name": "a", "slo_time": "1s", "time_limit": "2s"}], **parts}
+        )
+    )
     command = [sys.executable, "-m", "rainpick", "run", "--config", str(path)]
-    process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True,
-                               env={**os.environ, "PYTHONPATH": os.getcwd()})
+    process = subprocess.Popen(
+        command, stderr=subprocess.PIPE, text=True, env={**os.environ, "PYTHONPATH": os.getcwd()}
+    )
     return process, places
 
 
@@ -115,8 +126,9 @@
 
 def test_a_front_that_cannot_listen_ends_the_start(tmp_path):
     with running() as daemon:
-        process, _ = start(tmp_path, listen={"sasp": "%s:%d" % daemon.sasp, "otlp": "127.0.0.1:0",
-                                             "status": "127.0.0.1:0"})
+        process, _ = start(
+            tmp_path, listen={"sasp": "%s:%d" % daemon.sasp, "otlp": "127.0.0.1:0", "status": "127.0.0.1:0"}
+        )
         said = process.stderr.read()
         process.stderr.close()
         assert process.wait(10) == 1 and "Address already in use" in said and "Traceback" not in said
@@ -124,18 +136,22 @@
 
 def test_the_adapter_of_the_bench_imports_none_of_the_libraries():
     """It must build and start in an empty folder, lean."""
-    code = ("import sys, rainpick.simhost.__main__\n"
-            "print([name for name in sys.modules if name.split('.')[0] in "
-            "('click', 'h11', 'pydantic', 'structlog', 'json5', 'google', 'opentelemetry', 'rich')"
-            " or name.startswith('rainpick.director')])")
+    code = (
+        "import sys, rainpick.simhost.__main__\n"
+        "print([name for name in sys.modules if name.split('.')[0] in "
+        "('click', 'h11', 'pydantic', 'structlog', 'json5', 'google', 'opentelemetry', 'rich')"
+        " or name.startswith('rainpick.director')])"
+    )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
 
 
 def test_a_day_prints_a_verdict_and_exits_by_it(tmp_path):
     path = tmp_path / "day.json5"
-    text = ('{name: "d", length: "2s", servers: 2, proxies: 2, calls_per_s: 20, zones: ["a"], goal: %s, '
-            'client_repeats: 0, '
-            'events: [{at: "500ms", do: "drop", servers: "all", share: 0.5, for: "500ms"}]}')
+    text = (
+        '{name: "d", length: "2s", servers: 2, proxies: 2, calls_per_s: 20, zones: ["a"], goal: %s, '
+        "client_repeats: 0, "
+        'events: [{at: "500ms", do: "drop", servers: "all", share: 0.5, for: "500ms"}]}'
+    )
     for goal, code in ((0.5, 0), (1.0, 1)):
         path.write_text(text % goal)
         found = CliRunner().invoke(main, ["day", str(path), "--dir", str(tmp_path / "logs"), "--json"])
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -4,16 +4,23 @@
 from rainpick import interface as api
 from rainpick.balance import Director
 
-SETTINGS = {"routes.count": 1, "routes.0.slo_time_us": 500_000, "proxies.head": 6,
-            "proxies.pending_max": 1000, "proxies.lines_per_s": 1000, "rules.drain_grace_us": 2_000_000}
+SETTINGS = {
+    "routes.count": 1,
+    "routes.0.slo_time_us": 500_000,
+    "proxies.head": 6,
+    "proxies.pending_max": 1000,
+    "proxies.lines_per_s": 1000,
+    "rules.drain_grace_us": 2_000_000,
+}
 SERVERS = tuple(api.Server(1.0, 0, 0, 0, 0, name, api.READY) for name in "abcd")
 
 
 def begun():
     director = Director()
-    orders = director.step(0, [api.Started(1, SETTINGS), api.Listed(api.CACHED, SERVERS, 1),
-                               api.ProxyJoined(1, True, 5.0, 0)])
-    mark, = [order.number for order in orders if type(order) is api.Mark]
+    orders = director.step(
+        0, [api.Started(1, SETTINGS), api.Listed(api.CACHED, SERVERS, 1), api.ProxyJoined(1, True, 5.0, 0)]
+    )
+    (mark,) = [order.number for order in orders if type(order) is api.Mark]
     return director, mark
 
 
@@ -25,7 +32,7 @@
     assert once > 0
     orders = director.step(100_000, [api.ProxyJoined(1, False, 5.0, 0)])
     assert director.queue.waiting == 2 * once
-    mark, = [order.number for order in orders if type(order) is api.Mark]
+    (mark,) = [order.number for order in orders if type(order) is api.Mark]
     director.step(400_000, [api.Applied(1, mark, 0)])
     assert director.queue.waiting == 0, "the answer to the later message is one to the earlier, too"
 
@@ -40,6 +47,7 @@
 
 def replaced(director, now, old, new):
     """A server drains, is gone, and another one takes its place; the clock after a tick or so."""
+
     def listed(name, state, started):
         return api.Listed(api.DELTA, (api.Server(1.0, 0, started, 0, 0, name, state),), 2)
 
@@ -68,6 +76,7 @@
         now += 1_000_000
         orders = director.step(now, [api.TimerDue(0)])
         found += orders
-        director.step(now + 300_000, [api.Applied(1, order.number, 0) for order in orders
-                                      if type(order) is api.Mark])
+        director.step(
+            now + 300_000, [api.Applied(1, order.number, 0) for order in orders if type(order) is api.Mark]
+        )
     assert api.Withdraw(last, False) in found and last not in director.past
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,19 +15,26 @@
     return str(flaw.value)
 
 
-@pytest.mark.parametrize("text, expected", [
-    ("channel: {lines_per_s: 0}", "x.json5: channel.lines_per_s: 0: Input should be greater than 0"),
-    ("chanel: {}", "x.json5: chanel: {}: there is no such setting"),
-    ('listen: {sasp: "here"}', 'x.json5: listen.sasp: \'here\': an address is "HOST:PORT" with a port of 0'),
-    ('rules: {bare: "2 days"}', "x.json5: rules.bare: '2 days': a duration is text with a unit"),
-    ('director: {zone: "q"}', "director.zone: 'q' is not one of zones ['local']"),
-    ('director: {number: 1}', "director.number: 1 must be under director.of"),
-    ('fleet: {servers: [{match: "10.0.0.0/33"}]}', "'10.0.0.0/33' is not HOST"),
-    ('fleet: {servers: [{match: "10.0.0.1", weight: 99}]}', "fleet.servers.0.weight: 99.0 is over"),
-    ('listen: {sasp: "127.0.0.1:1", otlp: "127.0.0.1:1"}', "two fronts have the same address"),
-    ("channel: {pending_lines: 5}", "pending_lines has no room"),
-    ("a: 1, a: 2", "Duplicate key"), ("}", "x.json5: "),
-])
+@pytest.mark.parametrize(
+    "text, expected",
+    [
+        ("channel: {lines_per_s: 0}", "x.json5: channel.lines_per_s: 0: Input should be greater than 0"),
+        ("chanel: {}", "x.json5: chanel: {}: there is no such setting"),
+        (
+            'listen: {sasp: "here"}',
+            "x.json5: listen.sasp: 'here': an address is \"HOST:PORT\" with a port of 0",
+        ),
+        ('rules: {bare: "2 days"}', "x.json5: rules.bare: '2 days': a duration is text with a unit"),
+        ('director: {zone: "q"}', "director.zone: 'q' is not one of zones ['local']"),
+        ("director: {number: 1}", "director.number: 1 must be under director.of"),
+        ('fleet: {servers: [{match: "10.0.0.0/33"}]}', "'10.0.0.0/33' is not HOST"),
+        ('fleet: {servers: [{match: "10.0.0.1", weight: 99}]}', "fleet.servers.0.weight: 99.0 is over"),
+        ('listen: {sasp: "127.0.0.1:1", otlp: "127.0.0.1:1"}', "two fronts have the same address"),
+        ("channel: {pending_lines: 5}", "pending_lines has no room"),
+        ("a: 1, a: 2", "Duplicate key"),
+        ("}", "x.json5: "),
+    ],
+)
 def test_faults_are_named(text, expected):
     assert expected in fault(text)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -28,8 +28,9 @@
     "03f2 00000003 00 00000000 000000000000002a",
 )
 EVENTS = {
-    "0442 00000003 00 0a124a07 2bc3 00000001 0000bc7a 000f4240 0000000e 02 3f00000040400000":
-        api.ServerMet(HOST, 0, 14, 1, 48250, 1_000_000, (0.5, 3.0)),
+    "0442 00000003 00 0a124a07 2bc3 00000001 0000bc7a 000f4240 0000000e 02 3f00000040400000": api.ServerMet(
+        HOST, 0, 14, 1, 48250, 1_000_000, (0.5, 3.0)
+    ),
     "03fc 00000003 000000000000004d": api.TimerDue(77),
     "042e 00000003 0029": api.ProxyLeft(41),
     "0410 00000003 0002 0004 68692037": api.PeerSaid(2, b"hi 7"),
@@ -67,7 +68,7 @@
 def test_a_list_number_means_the_list_sent_last():
     (_, first), (_, second) = read(*LISTS)
     assert (first.kind, [server.state for server in first.servers]) == (api.CACHED, [api.READY])
-    server, = second.servers
+    (server,) = second.servers
     assert (second.kind, server.started_us, server.state) == (api.DELTA, 6100000, api.DRAINING)
 
 
@@ -82,11 +83,20 @@
     return subprocess.run(command, input=data, capture_output=True, timeout=30)
 
 
-@pytest.mark.parametrize("data", [
-    frame("03fc 00000003 000000000000004d")[:-3], frame("03fc 00000003")[:20], frame("0001 00000003"),
-    frame("03fc 00000003 000000000000004d 00"), frame("03f2 00000003 01 00000005 0000000000000001"),
-    b"\0\0\0\3" + bytes(12), frame("03fc 00000003 000000000000004d"), frame("03e8 00000003 00")[:9],
-], ids=["cut", "short", "code", "long", "list", "tiny", "unborn", "header"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        frame("03fc 00000003 000000000000004d")[:-3],
+        frame("03fc 00000003")[:20],
+        frame("0001 00000003"),
+        frame("03fc 00000003 000000000000004d 00"),
+        frame("03f2 00000003 01 00000005 0000000000000001"),
+        b"\0\0\0\3" + bytes(12),
+        frame("03fc 00000003 000000000000004d"),
+        frame("03e8 00000003 00")[:9],
+    ],
+    ids=["cut", "short", "code", "long", "list", "tiny", "unborn", "header"],
+)
 def test_what_is_malformed_ends_it_plainly(data):
     ended = host(data)
     assert ended.returncode != 0 and ended.stderr.startswith(b"rainpick.simhost: ")
@@ -95,8 +105,11 @@
 
 def test_instances_live_die_and_fail_on_their_own():
     born = [f"03e8 0000000{n} 0000000000000009 00000000" for n in (1, 2)]
-    ended = host(frame() + frame(*born) + frame("041a 00000001", born[0], "0460 00000002 01 0075",
-                                                "0424 00000002 01 40d00000 0029 00"))
+    ended = host(
+        frame()
+        + frame(*born)
+        + frame("041a 00000001", born[0], "0460 00000002 01 0075", "0424 00000002 01 40d00000 0029 00")
+    )
     assert (ended.returncode, ended.stdout[:8].hex()) == (0, "0000000800000000")
     broken = frame("03e8 00000001 0000000000000009 0000000f" + b"routes.count=no".hex())
     assert b"TypeError" in host(broken + frame()).stdout
