--- a/Makefile
+++ b/Makefile
@@ -19,6 +19,7 @@
 
 lint: setup
 	$(BIN)/ruff check .
+	$(BIN)/ruff format --check .
 
 test: lint
 	$(BIN)/python -m pytest -n 6
