--- a/rainpick/record/exchange.py
+++ b/rainpick/record/exchange.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from rainpick.record.schema import CODES, STORED_NAMES
 from rainpick.record.steps import (
-    CODES,
     LIFE,
     LOST,
     STEP,
@@ -27,7 +27,7 @@
 FORM = "rainpick-record-1"
 LINE_MOST = 16 << 20  # bytes of a line that is read
 BYTES = {"PeerSaid": 1, "Tell": 1}  # which field of them is bytes
-NUMBERS = {kind.__name__: code for kind, code in CODES.items()}
+NUMBERS = {STORED_NAMES[kind]: code for kind, code in CODES.items()}
 json = msgspec.json.Encoder()
 
 
@@ -51,7 +51,7 @@
         elif one.kind == STEP:
             step = reader.step(one.payload)
             rows = {
-                name: [[type(each).__name__, *each] for each in part]
+                name: [[STORED_NAMES[type(each)], *each] for each in part]
                 for name, part in (("events", step.events), ("orders", step.orders))
             }
             yield json.encode({"t": one.time_us, "now": step.now} | rows) + b"\n"
--- a/rainpick/record/steps.py
+++ b/rainpick/record/steps.py
@@ -8,39 +8,9 @@
 import msgspec
 
 from rainpick import interface as api
+from rainpick.record.schema import BY_STORED_NAME, CODES, TYPE_ROWS
 
 LIFE, STEP, LOST = 1, 2, 3  # kinds of records
-TYPES = (  # their place is their number in records: new ones go to the end
-    api.Started,
-    api.Listed,
-    api.TimerDue,
-    api.ProbeEnded,
-    api.PeerSaid,
-    api.ProxyJoined,
-    api.ProxyLeft,
-    api.Applied,
-    api.ServerMet,
-    api.ProxyMet,
-    api.SliceMet,
-    api.SliceGiven,
-    api.SliceLine,
-    api.SetLine,
-    api.ClearTable,
-    api.Withdraw,
-    api.Mark,
-    api.Bind,
-    api.Admit,
-    api.Probe,
-    api.Tell,
-    api.SetTimer,
-    api.Subscribe,
-    api.FetchList,
-    api.Note,
-    api.Repeated,
-)
-CODES = {kind: place for place, kind in enumerate(TYPES)}
-# What a life says of the types in it: name and fields, by number; the last is an entry of a list.
-SAID = tuple((kind.__name__, *kind._fields) for kind in (*TYPES, api.Server))
 # Records of before the first of December 2026 do not say it: theirs were these.
 UNSAID = tuple(
     tuple(words.split())
@@ -80,7 +50,7 @@
     wall_us: int
     now: int
     settings: dict[str, Any]  # as the file has them
-    types: tuple[tuple[str, ...], ...] = SAID
+    types: tuple[tuple[str, ...], ...] = TYPE_ROWS
 
 
 def write_step(step: Step) -> bytes:
@@ -103,14 +73,14 @@
     Fields that came since or went are told when such a value is met; values of other types are read as ever.
     """
 
-    def __init__(self, types: Sequence[Sequence[str]] = SAID):
+    def __init__(self, types: Sequence[Sequence[str]] = TYPE_ROWS):
         self.places: list[tuple[type | None, str, list[int] | None]] = []
-        known = {kind.__name__: kind for kind in (*TYPES, api.Server)}
         for name, *fields in types:
-            kind = known.get(name)
-            same = kind is not None and list(kind._fields) == fields
+            row = BY_STORED_NAME.get(name)
+            kind = None if row is None else row.type
+            same = row is not None and list(row.fields) == fields
             try:
-                order = None if same or kind is None else [fields.index(field) for field in kind._fields]
+                order = None if same or row is None else [fields.index(field) for field in row.fields]
                 self.places.append((kind, name, order))
             except ValueError:
                 self.places.append((None, name, None))
--- a/tests/record/test_exchange.py
+++ b/tests/record/test_exchange.py
@@ -12,10 +12,10 @@
 from rainpick.record.exchange import ExchangeError, import_file, write
 from rainpick.record.recorder import Recorder
 from rainpick.record.replay import Hole, lives, play
+from rainpick.record.schema import TYPE_ROWS
 from rainpick.record.steps import (
     LIFE,
     LOST,
-    SAID,
     STEP,
     Life,
     Reader,
@@ -148,7 +148,7 @@
 
 def test_a_record_of_another_interface_is_read_by_names():
     """A field that moved is found, one that is not known any more is no harm, one that is missing is told."""
-    moved = [list(row) for row in SAID]
+    moved = [list(row) for row in TYPE_ROWS]
     place = next(at for at, row in enumerate(moved) if row[0] == "Withdraw")
     moved[place] = ["Withdraw", "why", "on", "server"]
     reader = Reader(moved)
--- a/tests/record/test_replay.py
+++ b/tests/record/test_replay.py
@@ -14,11 +14,11 @@
 from rainpick import interface as api
 from rainpick.record.recorder import Recorder
 from rainpick.record.replay import Hole, lives, play
+from rainpick.record.schema import CODES
 from rainpick.record.steps import (
     LIFE,
     LOST,
     STEP,
-    TYPES,
     Life,
     Step,
     StepError,
@@ -147,7 +147,7 @@
 
 def test_every_type_of_the_interface_can_be_recorded():
     named = {one for one in vars(api).values() if isinstance(one, type) and hasattr(one, "_fields")}
-    assert named - {api.Server} == set(TYPES)
+    assert named - {api.Server} == CODES.keys()
 
 
 @pytest.mark.parametrize("data", [b"", b"\x93\x01\x90", b"\x93\x01\x91\x91\xcc\xff\x90", b"\xc1"])
