--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -7,7 +7,7 @@
 import time
 
 from benchmarks.peers import folder
-from rainpick import interface as api
+from rainpick import model
 from rainpick.director.engine import Engine
 from rainpick.record.recorder import Recorder
 from rainpick.record.replay import lives, play
@@ -23,8 +23,8 @@
 }"""
 
 
-def server(number: int, state: int = api.READY, started_us: int = 0) -> api.Server:
-    return api.Server(2.0, 0, started_us, number % 2, number // 4, ("10.0.0.1", 9000 + number), state)
+def server(number: int, state: int = model.EndpointState.READY, started_us: int = 0) -> model.Endpoint:
+    return model.Endpoint(2.0, 0, started_us, number % 2, number // 4, ("10.0.0.1", 9000 + number), state)
 
 
 def day(minutes: float, watch=None, turns: list[float] | None = None) -> tuple[float, int, int]:
@@ -32,7 +32,7 @@
     settings, chance, now = parse(TEXT), random.Random(3), 1_000_000
     engine = Engine(settings, 5, now)
     engine.stepper.watch = watch
-    engine.list_changed(api.Listed(api.CACHED, tuple(map(server, range(SERVERS))), 1))
+    engine.list_changed(model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1))
     for proxy in range(PROXIES):
         engine.joined(proxy, True, 2.0, 0, ())
     end, second, begin = now + int(minutes * 60e6), 0, time.thread_time()
@@ -51,14 +51,20 @@
             tries = chance.randint(4, 12)
             met, took_us = ("10.0.0.1", 9000 + chance.randrange(SERVERS)), chance.randint(30_000, 90_000)
             dropped = int(chance.random() < 0.02)
-            lines.append(api.ServerMet(met, 0, tries, dropped, took_us, 1_000_000, ()))
-            lines.append(api.ProxyMet(chance.randrange(PROXIES), 0, chance.randint(0, 5), 0, 1_000_000))
+            lines.append(model.ServerLoadReport(met, 0, tries, dropped, took_us, 1_000_000, ()))
+            lines.append(
+                model.RouteLoadReport(chance.randrange(PROXIES), 0, chance.randint(0, 5), 0, 1_000_000)
+            )
         engine.met(lines)
         if second % 40 == 0:
-            engine.list_changed(api.Listed(api.DELTA, (server(second % SERVERS, api.DRAINING),), second))
+            engine.list_changed(
+                model.EndpointUpdate(
+                    model.UpdateKind.DELTA, (server(second % SERVERS, model.EndpointState.DRAINING),), second
+                )
+            )
         elif second % 40 == 5 and second > 40:
             fresh = server((second - 5) % SERVERS, started_us=now)
-            engine.list_changed(api.Listed(api.DELTA, (fresh,), second))
+            engine.list_changed(model.EndpointUpdate(model.UpdateKind.DELTA, (fresh,), second))
         if second % 7 == 0:
             gone = chance.randrange(PROXIES)
             engine.left(gone)
@@ -83,7 +89,7 @@
         life = Life(0, "bench", "", 1_000_000, 1_000_000, {})
         recorder = Recorder(folder() / f"live{sync}", life, 64 << 20, 0, 0, sync)
         engine.stepper.watch = recorder.step
-    engine.list_changed(api.Listed(api.CACHED, tuple(map(server, range(SERVERS))), 1))
+    engine.list_changed(model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1))
     for proxy in range(PROXIES):
         engine.joined(proxy, True, 2.0, 0, ())
     begin, cpu_s, report = time.monotonic(), time.process_time(), 0.0
@@ -92,7 +98,10 @@
             report += 1
             hosts = [("10.0.0.1", 9000 + chance.randrange(SERVERS)) for _ in range(80)]
             engine.met(
-                [api.ServerMet(host, 0, chance.randint(4, 12), 0, 50_000, 1_000_000, ()) for host in hosts]
+                [
+                    model.ServerLoadReport(host, 0, chance.randint(4, 12), 0, 50_000, 1_000_000, ())
+                    for host in hosts
+                ]
             )
         now, due = 1_000_000 + int(passed * 1e6), engine.due_us()
         if not engine.events and (due is None or due > now):
--- a/rainpick/balance.py
+++ b/rainpick/balance.py
@@ -2,7 +2,7 @@
 
 How it is called: make one ``Director`` per instance and hand ``step`` the clock and the events that came; it
 returns the orders to carry out. The first event is ``Started``. Events and orders are the types of
-``rainpick.interface``; settings are the plain map that ``Started`` brings. docs/design.md says what was kept
+``rainpick.model``; settings are the plain map that ``Started`` brings. docs/design.md says what was kept
 of the design, what was changed, and when each exception acts.
 
 Beside the design stand these mechanisms (six at most):
@@ -18,9 +18,11 @@
 from statistics import median
 from zlib import crc32
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.decisions.send_queue import ChannelState, Claim, Claims, SendQueue
-from rainpick.interface import DRAINING, GONE, READY
+from rainpick.model import EndpointState
+
+GONE, READY, DRAINING = EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING
 
 TICK_US = 2_000_000  # the design's tick
 BEAT_US = TICK_US // 8  # how often what was put off is looked at again
@@ -136,7 +138,7 @@
     """What the director holds of one joined proxy."""
 
     def __init__(self, event, now):
-        self.number, self.zone, self.rate = event.proxy, event.zone, event.rate
+        self.number, self.zone, self.rate = event.proxy, event.zone, event.request_rate
         self.place, self.joined_us = None, now  # the table, or those not bound yet, that it is among
         self.calls = {}  # by route: calls that came, and over how many microseconds
         self.unread = deque()  # (mark, lines) of messages not yet answered
@@ -149,7 +151,7 @@
     def step(self, now, events):
         """Take what happened, return what to do."""
         self.now, self.orders = now, []
-        if events and type(events[0]) is api.Started:
+        if events and type(events[0]) is model.Started:
             self.start(events[0])
         self.bucket = now // self.bucket_us
         for event in events:
@@ -157,7 +159,7 @@
                 hear(self, event)
         if now >= self.next_beat:
             self.next_beat, self.urgent = now + BEAT_US, True
-            self.orders.append(api.SetTimer(0, BEAT_US))
+            self.orders.append(model.SetTimer(0, BEAT_US))
         if self.reported:
             self.judge()
         if self.urgent:
@@ -196,15 +198,15 @@
         self.typical = self.cold_part = 1.0  # the same at the typical server; what is left to the cold
         self.kinds, self.settled_us = {}, 0  # the part of machine types that are eased
         self.limit, self.limit_us, self.high = None, 0, 1.0  # calls let in for each usual one; too many
-        self.orders += [api.Subscribe(True)] if self.get("discovery", "pushed") == "on_request" else []
+        self.orders += [model.Subscribe(True)] if self.get("discovery", "pushed") == "on_request" else []
 
     # What is heard
 
     def listed(self, event):
         self.urgent = True
-        if event.kind == api.FAILED:
-            return self.orders.append(api.SetTimer(1, TICK_US))
-        for entry in event.servers:
+        if event.kind == model.UpdateKind.FAILED:
+            return self.orders.append(model.SetTimer(1, TICK_US))
+        for entry in event.endpoints:
             if entry.state == GONE and entry.address in self.past:
                 continue
             held = self.servers.setdefault(entry.address, State(entry))
@@ -219,12 +221,12 @@
             if entry.state == DRAINING and held.state != DRAINING:
                 held.drained_us = self.now
             held.entry, held.state, held.doubted = entry, entry.state, False
-        present = {entry.address for entry in event.servers}
-        for address in self.servers.keys() - present if event.kind != api.DELTA else ():
+        present = {entry.address for entry in event.endpoints}
+        for address in self.servers.keys() - present if event.kind != model.UpdateKind.DELTA else ():
             self.drop(self.servers[address])
-        if event.kind == api.CACHED:
+        if event.kind == model.UpdateKind.CACHED:
             # Reports come so many lines a second: a window of less than a round has nothing of most.
-            zones = max(self.directors, len({entry.zone for entry in event.servers}))
+            zones = max(self.directors, len({entry.zone for entry in event.endpoints}))
             lines = (self.expected * len(self.routes) + len(present) * zones) / self.directors
             round_us = lines / self.get("proxies.hears_per_s", 1e9) * 1e6
             self.bucket_us = max(self.period_us, int(round_us / RECENT))
@@ -239,7 +241,7 @@
             held.state = GONE
 
     def timer(self, event):
-        self.orders += [api.Subscribe(True)] if event.token == 1 else []
+        self.orders += [model.Subscribe(True)] if event.token == 1 else []
 
     def joined(self, event):
         before, proxy = self.proxies.get(event.proxy), Proxy(event, self.now)
@@ -247,7 +249,7 @@
         if before:  # nobody saw it leave, if it did: what it was written may wait in the channel yet
             proxy.unread, proxy.tokens, proxy.filled_us = before.unread, before.tokens, before.filled_us
             self.queue.restore(sum(lines for _, lines in proxy.unread))
-        proxy.place = self.loose if event.fresh or not self.tables else self.home(proxy).loose
+        proxy.place = self.loose if event.newly_started or not self.tables else self.home(proxy).loose
         self.proxies[event.proxy] = proxy.place.proxies[event.proxy] = proxy
         self.urgent = True
 
@@ -270,23 +272,23 @@
 
     def applied(self, event):
         proxy = self.proxies.get(event.proxy)
-        while proxy and any(mark == event.number for mark, _ in proxy.unread):
+        while proxy and any(mark == event.nonce for mark, _ in proxy.unread):
             self.queue.answer(*proxy.unread.popleft())
 
     def repeated(self, event):
         """If it was carried out its lines wait twice, and each proxy it reached has one message less left."""
         for proxy in self.proxies.values():
-            lines = next((lines for mark, lines in proxy.unread if mark == event.number), 0)
+            lines = next((lines for mark, lines in proxy.unread if mark == event.nonce), 0)
             if lines:
-                proxy.unread.appendleft((event.number, lines))
+                proxy.unread.appendleft((event.nonce, lines))
                 self.queue.repeat(lines)
                 proxy.tokens -= 1
 
     def met(self, event):
         held = self.servers.get(event.server)
-        self.ended.add(self.bucket, event.tries, event.dropped, event.span_us, 1)
+        self.ended.add(self.bucket, event.attempts, event.failures, event.interval_us, 1)
         if held and not held.eject_until:
-            met = event.tries, event.dropped, (event.tries - event.dropped) * event.mean_us
+            met = event.attempts, event.failures, (event.attempts - event.failures) * event.mean_latency_us
             held.drops.add(self.bucket, *met)
             if self.now >= max(held.eased_us, self.settled_us):
                 held.times.add(self.now // self.ease_us, *met)
@@ -295,29 +297,29 @@
     def called(self, event):
         if event.proxy in self.proxies:
             ring = self.proxies[event.proxy].calls.setdefault(event.route, Ring(2))
-            ring.add(self.bucket, event.calls, event.span_us)
+            ring.add(self.bucket, event.requests, event.interval_us)
 
     def slice_given(self, event):
         self.urgent = True
-        self.slices.pop(event.slice, None)
-        if event.on:
-            self.slices[event.slice] = {}
+        self.slices.pop(event.key_range, None)
+        if event.assigned:
+            self.slices[event.key_range] = {}
 
     def slice_line(self, event):
-        if event.slice in self.slices:
-            self.slices[event.slice][event.server] = event.weight
+        if event.key_range in self.slices:
+            self.slices[event.key_range][event.server] = event.weight
 
     HEAR = {
-        api.Listed: listed,
-        api.TimerDue: timer,
-        api.ProxyJoined: joined,
-        api.ProxyLeft: left,
-        api.Applied: applied,
-        api.Repeated: repeated,
-        api.ServerMet: met,
-        api.ProxyMet: called,
-        api.SliceGiven: slice_given,
-        api.SliceLine: slice_line,
+        model.EndpointUpdate: listed,
+        model.TimerFired: timer,
+        model.ProxyJoined: joined,
+        model.ProxyLeft: left,
+        model.Acknowledged: applied,
+        model.Retransmitted: repeated,
+        model.ServerLoadReport: met,
+        model.RouteLoadReport: called,
+        model.KeyRangeAssigned: slice_given,
+        model.KeyRangeWeight: slice_line,
     }
 
     # Desired state
@@ -331,7 +333,7 @@
         """The design's ramp; and the cold guard: never more than a server just started surely can do."""
         if held.state not in (READY, MISSING) or held.eject_until:
             return 0.0
-        part = full = held.health * self.kinds.get(held.entry.machine, 1.0)
+        part = full = held.health * self.kinds.get(held.entry.machine_type, 1.0)
         if held.back_us is not None:
             # What was ejected waits with its second step until it is heard of.
             trial_us = max(TICK_US, 2 * self.bucket_us) if held.relapses else 0
@@ -465,8 +467,8 @@
             if tries >= OVERRUN_TRIES:
                 cost[held] = (took + dropped * self.slo_us * 2) / tries
                 chance[held] = 1 + OVERRUN_SURE * tries**-0.5
-                kinds.setdefault(held.entry.machine, []).append((cost[held], tries))
-        many = Counter(held.entry.machine for held in able)
+                kinds.setdefault(held.entry.machine_type, []).append((cost[held], tries))
+        many = Counter(held.entry.machine_type for held in able)
         kinds = {
             kind: median(took for took, _ in rows)
             for kind, rows in kinds.items()
@@ -512,7 +514,7 @@
         # What joined lately has hardly been reported on: a limit from that would shut out nearly all.
         since_us = self.now - (RING + RECENT) * self.bucket_us
         known = sum(proxy.rate for proxy in self.proxies.values() if proxy.joined_us <= since_us)
-        if kind == "silent" and self.get("proxies.default_retry", None) == api.NO_RETRY:
+        if kind == "silent" and self.get("proxies.default_retry", None) == model.RetryPolicy.NO_RETRY:
             return {}  # nothing to say: levels are not obeyed, and no proxy tries again by itself
         if kind == "silent" or self.limit is None and not (pressed and known):
             return dict.fromkeys(self.routes, full)
@@ -623,11 +625,11 @@
             elif held.state == READY and not held.tables:
                 fresh.append(held)
             for table in held.tables:
-                kind = held.entry.machine, self.is_far(held, table)
+                kind = held.entry.machine_type, self.is_far(held, table)
                 weights[table, kind] += held.entry.weight * (held.state != GONE)
                 weights[table] += self.weight(held, table)
-        for held in sorted(fresh, key=lambda held: (held.entry.machine, self.draw(held, 0))):
-            for kind in ((held.entry.machine, False), (held.entry.machine, True)):
+        for held in sorted(fresh, key=lambda held: (held.entry.machine_type, self.draw(held, 0))):
+            for kind in ((held.entry.machine_type, False), (held.entry.machine_type, True)):
                 group = [table for table in self.tables if self.is_far(held, table) == kind[1]]
                 group.sort(key=lambda table: (weights[table, kind], self.draw(held, table.number)))
                 for table in group[: self.copies]:
@@ -741,7 +743,10 @@
         """Tell tables of new levels."""
         for table in [table for table in self.tables if table.used]:
             news = [route for route in self.let_in if table.said.get(route) != self.let_in[route]]
-            orders = [api.Admit(table.number, 1 << route, self.let_in[route], api.NO_RETRY) for route in news]
+            orders = [
+                model.SetAdmission(table.number, 1 << route, self.let_in[route], model.RetryPolicy.NO_RETRY)
+                for route in news
+            ]
             if news and self.write_if_room(orders, [table], len(news), claim):
                 table.said.update(self.let_in)
 
@@ -787,9 +792,9 @@
         stale = [table for table in held.tables if told.get(table.number) != held.told.get(table.number)]
         if not held.part and not (gone and held.shut) or not stale and (gone or not held.shut):
             return True
-        orders = [api.SetLine(table.number, address, told.get(table.number, 0.0)) for table in stale]
+        orders = [model.SetWeight(table.number, address, told.get(table.number, 0.0)) for table in stale]
         if held.shut and not gone:
-            orders.append(api.Withdraw(address, False))
+            orders.append(model.SetWithdrawn(address, False))
             stale = [table for table in held.tables if table.number in told or table in stale]
             stale += self.reach(held)
         if not self.write_if_room(orders, stale, 1 + (held.shut and not gone), claim):
@@ -816,7 +821,9 @@
         waiting = []
         for table in self.ramping:
             news = stale.get(table, {})
-            orders = [api.SetLine(table.number, held.entry.address, weight) for held, weight in news.items()]
+            orders = [
+                model.SetWeight(table.number, held.entry.address, weight) for held, weight in news.items()
+            ]
             if not orders:
                 continue
             if self.write_if_room(orders, [table], len(orders), claim):
@@ -884,8 +891,8 @@
         """
         address, gone = held.entry.address, held.state == GONE
         own = [table for table in held.tables if table.number in held.told]
-        orders = [api.Withdraw(address, True)]
-        orders += [api.SetLine(table.number, address, 0.0) for table in own if gone]
+        orders = [model.SetWithdrawn(address, True)]
+        orders += [model.SetWeight(table.number, address, 0.0) for table in own if gone]
         if held.late and not own and not any(place.proxies for place in self.reach(held)):
             orders = []
         if not self.write_if_room(orders, own + self.reach(held), 1 + gone, claim):
@@ -922,7 +929,7 @@
 
     def clean(self, table, drained, claim):
         """Take servers off a table, all in one message for each proxy, if there is room."""
-        orders = [api.SetLine(table.number, held.entry.address, 0.0) for held in drained]
+        orders = [model.SetWeight(table.number, held.entry.address, 0.0) for held in drained]
         if not self.write_if_room(orders, [table], len(orders), claim):
             return False
         for held in drained:
@@ -974,7 +981,7 @@
         return self.takeover or len(table.proxies) * (1 if table.lines else 1 + self.head) < 2 * len(waiting)
 
     def bind(self, proxy, table, lines):
-        self.orders.append(api.Bind(table.number, api.ALL_ROUTES, proxy.number))
+        self.orders.append(model.BindProxy(table.number, model.ALL_ROUTES, proxy.number))
         self.written.append((proxy, lines + proxy.place.lines))
         table.proxies[proxy.number] = proxy.place.proxies.pop(proxy.number)
         proxy.place = table
@@ -986,7 +993,7 @@
             lines, table.lines = table.lines and table.lines + self.head, 0
             self.written += [(proxy, lines) for proxy in table.proxies.values() if lines]
         self.mark = (self.mark + 1) % 65536
-        self.orders += [api.Mark(self.mark, False)] if self.written else []
+        self.orders += [model.RequestAcknowledgement(self.mark, False)] if self.written else []
         for proxy, lines in self.written:
             proxy.unread.append((self.mark, lines))
             proxy.tokens -= 1
@@ -1017,12 +1024,12 @@
         for address, held in self.servers.items():
             if held.shut != (held.state != READY):
                 held.shut = not held.shut
-                self.orders.append(api.Withdraw(address, held.shut))
+                self.orders.append(model.SetWithdrawn(address, held.shut))
         for number, lines in self.slices.items():
             lost = [address for address in lines if address not in self.servers or self.servers[address].shut]
             if usable and len(lost) == len(lines):
                 heir = max(usable, key=lambda held: held.entry.weight * self.draw(held, number)).entry.address
-                self.orders.append(api.SetLine(number, heir, 1.0))
+                self.orders.append(model.SetWeight(number, heir, 1.0))
                 if not self.get("proxies.one_owner", False):
-                    self.orders += [api.SetLine(number, address, 0.0) for address in lost]
+                    self.orders += [model.SetWeight(number, address, 0.0) for address in lost]
                 self.slices[number] = {heir: 1.0}
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.engine import Engine, Write
 from rainpick.director.listing import ListCache
@@ -219,7 +219,7 @@
             tables.overlay = self.pins.overlay
             start = self.membership.start()
             self.engine.list_changed(start)
-            self.log.info("decisions begin", servers=len(start.servers), proxies=len(self.by_uid))
+            self.log.info("decisions begin", servers=len(start.endpoints), proxies=len(self.by_uid))
             for served in list(self.served.values()):
                 if served.registered:
                     self.join(served)
@@ -227,8 +227,12 @@
             return
         update = self.membership.changes()
         if update is not None:
-            names = {api.GONE: "gone", api.READY: "ready", api.DRAINING: "draining"}
-            for entry in update.servers[:20]:
+            names = {
+                model.EndpointState.GONE: "gone",
+                model.EndpointState.READY: "ready",
+                model.EndpointState.DRAINING: "draining",
+            }
+            for entry in update.endpoints[:20]:
                 self.log.info("list", server="%s:%d" % entry.address, state=names[entry.state])
             self.engine.list_changed(update)
             self.keep_list(now)
@@ -251,7 +255,7 @@
 
     def is_listed(self, server: tuple) -> bool:
         entry = self.engine.listed.get(server)
-        return entry is not None and entry.state != api.GONE
+        return entry is not None and entry.state != model.EndpointState.GONE
 
     def is_warm(self, server: tuple) -> bool:
         started_us = self.engine.listed[server].started_us
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Hashable, Iterator
 from typing import NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.channel import Channel
 from rainpick.director.stepper import Stepper
@@ -59,9 +59,9 @@
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
         )
-        self.listed: dict[Hashable, api.Server] = {}
+        self.listed: dict[Hashable, model.Endpoint] = {}
         self.tables = Tables(Scale(settings.fleet.weight_most), self.listed_weight)
-        self.applied: list[api.Applied] = []
+        self.applied: list[model.Acknowledged] = []
         self.applied_us = now  # since when the first of them waits
         self.unread: dict[int, Unread] = {}
         self.counts, self.notes, self.now = Counts(), deque(maxlen=100), now
@@ -72,8 +72,8 @@
 
     # What happens
 
-    def list_changed(self, update: api.Listed) -> None:
-        for entry in update.servers:
+    def list_changed(self, update: model.EndpointUpdate) -> None:
+        for entry in update.endpoints:
             self.listed[entry.address] = entry
         self.stepper.events.append(update)
 
@@ -90,7 +90,7 @@
         self.tables.join(proxy, standing, obeys, holds)
         self.channel.joined(proxy)
         self.unread[proxy] = Unread()
-        self.stepper.events.append(api.ProxyJoined(proxy, fresh, rate, zone))
+        self.stepper.events.append(model.ProxyJoined(proxy, fresh, rate, zone))
 
     def left(self, proxy: int) -> None:
         if proxy in self.unread:
@@ -98,10 +98,10 @@
             self.channel.left(proxy)
             del self.unread[proxy]
             self.applied = [answer for answer in self.applied if answer.proxy != proxy]
-            self.stepper.events.append(api.ProxyLeft(proxy))
+            self.stepper.events.append(model.ProxyLeft(proxy))
 
     def met(self, lines: list) -> None:
-        """Lines of reports: ``ServerMet`` and ``ProxyMet``."""
+        """Lines of reports: ``ServerLoadReport`` and ``RouteLoadReport``."""
         self.stepper.events += lines
 
     def delivered(self, proxy: int, number: int) -> None:
@@ -114,7 +114,7 @@
     def answer(self, proxy: int, marks: list[int], took_us: int) -> None:
         if marks and not self.applied:
             self.applied_us = self.now
-        self.applied += [api.Applied(proxy, mark, took_us) for mark in marks]
+        self.applied += [model.Acknowledged(proxy, mark, took_us) for mark in marks]
 
     def pull(self, proxy: int) -> tuple[int, Way]:
         """A proxy asks for what it is to hold: the number of the answer, and the lines that are new in it."""
@@ -166,21 +166,26 @@
         mark = None
         for order in orders:
             kind = type(order)
-            if kind is api.Mark:
-                mark = order.number
-                if order.everyone:
+            if kind is model.RequestAcknowledgement:
+                mark = order.nonce
+                if order.all_proxies:
                     reached = dict.fromkeys(self.unread, 0) | reached
-            elif kind is api.Note:
+            elif kind is model.LogMessage:
                 self.counts.notes += 1
                 self.notes.append(order.text)
             else:
-                shuts = kind is api.Withdraw and order.on or kind is api.SetLine and order.weight <= 0
-                self.counts.withdrawn += kind is api.Withdraw and order.on
-                self.counts.readmitted += kind is api.Withdraw and not order.on
-                self.counts.bound += kind is api.Bind
+                shuts = (
+                    kind is model.SetWithdrawn
+                    and order.withdrawn
+                    or kind is model.SetWeight
+                    and order.weight <= 0
+                )
+                self.counts.withdrawn += kind is model.SetWithdrawn and order.withdrawn
+                self.counts.readmitted += kind is model.SetWithdrawn and not order.withdrawn
+                self.counts.bound += kind is model.BindProxy
                 done = (
                     self.tables.admit(order, len(self.settings.routes))
-                    if kind is api.Admit
+                    if kind is model.SetAdmission
                     else self.tables.carry_out(order)
                 )
                 for proxy, lines in done.items():
--- a/rainpick/director/listing.py
+++ b/rainpick/director/listing.py
@@ -14,7 +14,7 @@
 import structlog
 from pydantic import Field
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.director.membership import Filed
 from rainpick.settings import Settings, SettingsError, load
 from rainpick.settings.model import Part
@@ -114,7 +114,7 @@
         self.thread = threading.Thread(target=self.run, name="list-cache", daemon=True)
         self.thread.start()
 
-    def keep(self, servers: tuple[api.Server, ...], now: int, wall_us: int) -> None:
+    def keep(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
         self.queue.put((servers, now, wall_us))
 
     def run(self) -> None:
@@ -127,17 +127,17 @@
                 item = newer
             self.write(*item)
 
-    def write(self, servers: tuple[api.Server, ...], now: int, wall_us: int) -> None:
+    def write(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
         names = self.settings
         rows = [
             [
                 *one.address,
                 one.weight,
                 names.zones[one.zone],
-                names.machines[one.machine],
-                one.cell,
+                names.machines[one.machine_type],
+                one.pod,
                 wall_us - (now - one.started_us) if one.started_us else 0,
-                one.state == api.DRAINING,
+                one.state == model.EndpointState.DRAINING,
             ]
             for one in servers
         ]
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.sasp import codec
 from rainpick.sasp.codec import Group, Member
 from rainpick.settings.fleet import Match
@@ -61,7 +61,7 @@
         self.quiesced = False
         self.owner: int | None = None  # the stream that registered it
         self.filed: Filed | None = None
-        self.told: api.Server | None = None  # as the decisions know it
+        self.told: model.Endpoint | None = None  # as the decisions know it
         self.state = 0  # the opaque state that the member set
 
 
@@ -255,7 +255,7 @@
             self.leave(self.held[key])
         return late
 
-    def entry(self, held: Held) -> api.Server | None:
+    def entry(self, held: Held) -> model.Endpoint | None:
         """A server as the list has it; None if no source has it."""
         here = held.owner is not None or held.key in self.leaving
         if not here and held.filed is None:
@@ -263,17 +263,17 @@
         draining = here and held.quiesced or held.filed is not None and held.filed.draining
         what = held.filed if held.filed is not None else held.described
         started_us = held.started_us if here else held.filed.started_us
-        return api.Server(
+        return model.Endpoint(
             what.weight,
             what.zone,
             started_us,
             what.machine,
             what.pod,
             held.key,
-            api.DRAINING if draining else api.READY,
+            model.EndpointState.DRAINING if draining else model.EndpointState.READY,
         )
 
-    def changes(self) -> api.Listed | None:
+    def changes(self) -> model.EndpointUpdate | None:
         """One update with all that changed since the last one; None if nothing did."""
         news = []
         for key in sorted(self.changed):
@@ -281,7 +281,7 @@
             entry = self.entry(held)
             if entry is None:
                 if held.told is not None:
-                    news.append(held.told._replace(state=api.GONE))
+                    news.append(held.told._replace(state=model.EndpointState.GONE))
                 del self.held[key]
             elif entry != held.told:
                 held.told = entry
@@ -290,13 +290,13 @@
         if not news:
             return None
         self.version += 1
-        return api.Listed(api.DELTA, tuple(news), self.version)
+        return model.EndpointUpdate(model.UpdateKind.DELTA, tuple(news), self.version)
 
-    def whole(self) -> tuple[api.Server, ...]:
+    def whole(self) -> tuple[model.Endpoint, ...]:
         """Every server that some source has."""
         return tuple(held.told for _, held in sorted(self.held.items()) if held.told is not None)
 
-    def start(self) -> api.Listed:
+    def start(self) -> model.EndpointUpdate:
         """The list that a starting director begins with."""
         self.changes()
-        return api.Listed(api.CACHED, self.whole(), self.version)
+        return model.EndpointUpdate(model.UpdateKind.CACHED, self.whole(), self.version)
--- a/rainpick/director/reports.py
+++ b/rainpick/director/reports.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 
 Key = tuple[str, int]
 VERDICTS = FRESH, DOUBLED, OVERLAPPING, LATE, AHEAD, BACKWARDS = (
@@ -145,7 +145,7 @@
         points: list[Point],
         wall_ns: int,
         places: dict[str, tuple[int, int]],
-        known: dict[Key, api.Server],
+        known: dict[Key, model.Endpoint],
     ) -> dict[str, int]:
         """Judge and sum the points of one report. ``places``: proxy number and zone by joined reporter."""
         verdicts: dict[str, int] = defaultdict(int)
@@ -189,7 +189,7 @@
         return now if self.next_us is None else self.next_us
 
     def tell(self, now: int) -> list:
-        """``ServerMet`` and ``ProxyMet`` lines that may be told now."""
+        """``ServerLoadReport`` and ``RouteLoadReport`` lines that may be told now."""
         if self.next_us is None:
             self.next_us = now + self.every_us
         self.credit = min(
@@ -209,10 +209,12 @@
             if kind == "server":
                 tries = total.answered + total.dropped
                 mean_us = total.took_us // total.answered if total.answered else 0
-                found.append(api.ServerMet(what, place, tries, total.dropped, mean_us, total.span_us(), ()))
+                found.append(
+                    model.ServerLoadReport(what, place, tries, total.dropped, mean_us, total.span_us(), ())
+                )
             else:
                 found.append(
-                    api.ProxyMet(
+                    model.RouteLoadReport(
                         place,
                         self.routes[what],
                         total.answered + total.dropped,
--- a/rainpick/director/status.py
+++ b/rainpick/director/status.py
@@ -6,14 +6,18 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.http1.server import Answer, Asked
 from rainpick.publish.pins import PinError
 
 if TYPE_CHECKING:
     from rainpick.director.core import Core
 
-STATES = {api.GONE: "gone", api.READY: "ready", api.DRAINING: "draining"}
+STATES = {
+    model.EndpointState.GONE: "gone",
+    model.EndpointState.READY: "ready",
+    model.EndpointState.DRAINING: "draining",
+}
 
 
 def status(core: Core) -> dict[str, Any]:
@@ -58,8 +62,8 @@
             "state": STATES[entry.state],
             "weight": entry.weight,
             "zone": names.zones[entry.zone],
-            "machine": names.machines[entry.machine],
-            "pod": entry.cell,
+            "machine": names.machines[entry.machine_type],
+            "pod": entry.pod,
             "age_s": round((now - entry.started_us) / 1e6, 1) if entry.started_us else None,
             "withdrawn": entry.address in tables.withdrawn,
             "tables": weights.get(entry.address, {}),
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 
 
@@ -17,7 +17,7 @@
 
     def __init__(self, seed: int, settings: dict, module: Callable[[], Director] = Director):
         self.director = module()
-        self.events: list = [api.Started(seed, settings)]
+        self.events: list = [model.Started(seed, settings)]
         self.timers: list[tuple[int, int]] = []  # (when, token), a heap
         self.steps = self.heard = self.ordered = 0  # steps taken, events in them, orders from them
         # Told of each step: its clock, the events, the orders.
@@ -30,7 +30,7 @@
     def ring(self, now: int) -> None:
         """Turn the timers that are due into events."""
         while self.timers and self.timers[0][0] <= now:
-            self.events.append(api.TimerDue(heappop(self.timers)[1]))
+            self.events.append(model.TimerFired(heappop(self.timers)[1]))
 
     def step(self, now: int, more: Iterable = ()) -> list:
         """Let the module take what waits, and ``more`` after it; all that it orders but timers."""
@@ -42,6 +42,6 @@
         if self.watch is not None:
             self.watch(now, events, orders)
         for order in orders:
-            if type(order) is api.SetTimer:
+            if type(order) is model.SetTimer:
                 heappush(self.timers, (now + max(1, order.delay_us), order.token))
-        return [order for order in orders if type(order) is not api.SetTimer]
+        return [order for order in orders if type(order) is not model.SetTimer]
--- a/rainpick/director/subscribers.py
+++ b/rainpick/director/subscribers.py
@@ -2,7 +2,8 @@
 
 A proxy is a client that subscribed to its own orders with QoS 1 and published its presence. What the engine
 writes to it becomes one message: a change or the whole of its table, with its orders when they are news. An
-acknowledgement is what ``Applied`` stands for here. Observers follow tables, one message under way at a time.
+acknowledgement is what ``Acknowledged`` stands for here. Observers follow tables, one message under way at a
+time.
 """
 
 from __future__ import annotations
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -12,7 +12,7 @@
 
 from xxhash import xxh3_64_hexdigest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.sasp import codec
 
 Key = tuple[str, int]
@@ -201,7 +201,7 @@
     def carry_out(self, order) -> dict[int, int]:
         """Do what an order says; by proxy concerned, how many lines it costs there."""
         kind = type(order)
-        if kind is api.SetLine:
+        if kind is model.SetWeight:
             table = self.lines.setdefault(order.table, {})
             if order.weight > 0:
                 table[order.server] = order.weight
@@ -209,8 +209,8 @@
                 table.pop(order.server, None)
             self.snapshots.pop(order.table, None)
             return dict.fromkeys(self.bound.get(order.table, ()), 1)
-        if kind is api.Withdraw:
-            (self.withdrawn.add if order.on else self.withdrawn.discard)(order.server)
+        if kind is model.SetWithdrawn:
+            (self.withdrawn.add if order.withdrawn else self.withdrawn.discard)(order.server)
             reached = {}
             for number, table in self.lines.items():
                 if order.server in table:
@@ -218,11 +218,11 @@
                     reached |= dict.fromkeys(self.bound.get(number, ()), 1)
             holders = (number for number in self.loose if order.server in self.proxies[number].reach)
             return reached | dict.fromkeys(holders, 1)
-        if kind is api.ClearTable:
+        if kind is model.ClearTable:
             self.lines.pop(order.table, None)
             self.snapshots.pop(order.table, None)
             return dict.fromkeys(self.bound.get(order.table, ()), 1)
-        if kind is api.Bind and order.proxy in self.proxies:
+        if kind is model.BindProxy and order.proxy in self.proxies:
             proxy = self.proxies[order.proxy]
             self.loose.discard(order.proxy)
             self.bound.get(proxy.table, set()).discard(order.proxy)
@@ -263,20 +263,20 @@
     def level(self, table: int | None, route: int) -> tuple[float, int] | None:
         """What a table lets in of a route, and when its proxies try again; None if nothing was ordered."""
         own = self.levels.get(table, {}).get(route) if table is not None else None
-        every = self.levels.get(api.ALL_TABLES, {}).get(route)
+        every = self.levels.get(model.ALL_TABLES, {}).get(route)
         if own is None or every is None:
             return own or every
         return min(own[0], every[0]), own[1]
 
-    def admit(self, order: api.Admit, routes: int) -> dict[int, int]:
+    def admit(self, order: model.SetAdmission, routes: int) -> dict[int, int]:
         """Levels of a table, or of all."""
         rows = self.levels.setdefault(order.table, {})
         many = 0
         for route in range(routes):
             if not order.routes or order.routes >> route & 1:
-                rows[route] = order.level, order.retry
+                rows[route] = order.rate, order.retry_policy
                 many += 1
-        who = self.proxies if order.table == api.ALL_TABLES else self.bound.get(order.table, ())
+        who = self.proxies if order.table == model.ALL_TABLES else self.bound.get(order.table, ())
         return dict.fromkeys(who, max(1, many))
 
     def standing(self, proxy: Proxy) -> Snapshot:
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.engine import Engine, Write
 from rainpick.director.tables import Key
@@ -64,24 +64,32 @@
         self.comes, self.works = Chance(seed, "comes"), Chance(seed, "works")
         self.waits = Chance(seed, "waits")
         self.servers: dict[Key, Server] = {}
-        self.entries: dict[Key, api.Server] = {}
+        self.entries: dict[Key, model.Endpoint] = {}
         for number in range(shape.servers):
             name = ("10.0.0.1", 1024 + number)
             self.servers[name] = Server(self.heap, name, shape.kinds[number % len(shape.kinds)])
             weight = shape.weights[number % len(shape.weights)]
-            self.entries[name] = api.Server(
-                weight, number % self.zones, 0, number % len(shape.kinds), number, name, api.READY
+            self.entries[name] = model.Endpoint(
+                weight,
+                number % self.zones,
+                0,
+                number % len(shape.kinds),
+                number,
+                name,
+                model.EndpointState.READY,
             )
         self.proxies: dict[int, Proxy] = {}
         self.seed, self.pumped = seed, (-1, 0)  # when the engine is next looked at, and the ticket of that
-        self.reports: deque[api.ServerMet | api.ProxyMet] = deque()
+        self.reports: deque[model.ServerLoadReport | model.RouteLoadReport] = deque()
         self.outcomes: Counter[str] = Counter()
         self.in_slo, self.offered, self.version = 0, 0, 1
         self.slo_us, self.limit_us = settings.routes[0].slo_time, settings.routes[0].time_limit
         self.listeners: list[Callable[[int, str, Key, int], None]] = []  # now, what, server, proxy
 
     def begin(self) -> None:
-        self.engine.list_changed(api.Listed(api.CACHED, tuple(self.entries.values()), self.version))
+        self.engine.list_changed(
+            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(self.entries.values()), self.version)
+        )
         for number in range(self.shape.proxies):
             self.join(number)
         self.heap.after(int(self.settings.proxies.report_every), self.collect)
@@ -129,22 +137,22 @@
         entry = self.entries[name] = self.entries[name]._replace(state=state)
         self.heap.after(self.shape.list_delay_us, self.tell, entry)
 
-    def tell(self, entry: api.Server) -> None:
+    def tell(self, entry: model.Endpoint) -> None:
         self.version += 1
-        self.engine.list_changed(api.Listed(api.DELTA, (entry,), self.version))
+        self.engine.list_changed(model.EndpointUpdate(model.UpdateKind.DELTA, (entry,), self.version))
         self.pump()
 
     def drain(self, name: Key) -> None:
-        self.say(name, api.DRAINING)
+        self.say(name, model.EndpointState.DRAINING)
 
     def stop(self, name: Key) -> None:
         self.servers[name].stop()
-        self.say(name, api.GONE)
+        self.say(name, model.EndpointState.GONE)
 
     def start(self, name: Key) -> None:
         self.servers[name].start()
         self.entries[name] = self.entries[name]._replace(started_us=self.heap.now)
-        self.say(name, api.READY)
+        self.say(name, model.EndpointState.READY)
 
     # Calls
 
@@ -206,11 +214,11 @@
                 total = sums.setdefault((name, proxy.zone), [0, 0, 0])
                 for column, value in enumerate(row):
                     total[column] += value
-            self.reports.append(api.ProxyMet(proxy.number, 0, proxy.calls, 0, span_us))
+            self.reports.append(model.RouteLoadReport(proxy.number, 0, proxy.calls, 0, span_us))
             proxy.met, proxy.calls = {}, 0
         for (name, zone), (tries, dropped, took_us) in sums.items():
             mean_us = took_us // max(1, tries - dropped)
-            self.reports.append(api.ServerMet(name, zone, tries, dropped, mean_us, span_us, ()))
+            self.reports.append(model.ServerLoadReport(name, zone, tries, dropped, mean_us, span_us, ()))
         while len(self.reports) > 4 * (self.shape.servers * self.zones + self.shape.proxies):
             self.reports.popleft()  # a report that is far too late tells nothing
         self.heap.after(span_us, self.collect)
--- a/rainpick/node/belief.py
+++ b/rainpick/node/belief.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.node.clock import Clock
 from rainpick.node.codec import Members, Merged, Ping
 
@@ -18,28 +18,28 @@
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or Clock()
         self.starts: dict[str, tuple[int, int]] = {}  # by server, its start as told and on the clock
-        self.entries: dict[str, api.Server] = {}
+        self.entries: dict[str, model.Endpoint] = {}
         self.gone: dict[str, None] = {}  # the newest last
         self.version: int | None = None
 
-    def take(self, news: Members, kind: int | None = None) -> api.Listed:
+    def take(self, news: Members, kind: int | None = None) -> model.EndpointUpdate:
         """The event for an answer of discovery; ``kind`` for one that is not discovery's own word of now."""
         if kind is None:
-            kind = api.FULL if news.full else api.DELTA
+            kind = model.UpdateKind.FULL if news.full else model.UpdateKind.DELTA
         servers = tuple(map(self.dated, news.servers))
-        if kind != api.DELTA:
+        if kind != model.UpdateKind.DELTA:
             # An entry that can't be read says nothing of its server: what was known of it stands.
             servers += tuple(self.entries[one] for one in sorted(news.unread & self.entries.keys()))
             self.forget(self.entries.keys() - {entry.address for entry in servers})
-        self.forget({entry.address for entry in servers if entry.state == api.GONE})
+        self.forget({entry.address for entry in servers if entry.state == model.EndpointState.GONE})
         for entry in servers:
-            if entry.state != api.GONE:
+            if entry.state != model.EndpointState.GONE:
                 self.entries[entry.address] = entry
                 self.gone.pop(entry.address, None)
         self.version = news.version
-        return api.Listed(kind, servers, news.version)
+        return model.EndpointUpdate(kind, servers, news.version)
 
-    def dated(self, entry: api.Server) -> api.Server:
+    def dated(self, entry: model.Endpoint) -> model.Endpoint:
         """The entry with its start on the clock; what is told again keeps what it was at first."""
         told, started = self.starts.get(entry.address, (None, 0))
         if told != entry.started_us:
@@ -90,7 +90,7 @@
     """
 
     def __init__(self) -> None:
-        self.joined: dict[int, api.ProxyJoined] = {}
+        self.joined: dict[int, model.ProxyJoined] = {}
         self.current: int | None = None  # the stream that counts; None: there is none
         self.newest = 0  # the last one that began
         self.overtaken: set[int] = set()  # that began after it: two new addresses in a row
@@ -118,13 +118,11 @@
         if type(event) is Ping:
             return self.settle() if news.stream == self.current else []
         before = self.joined.get(event.proxy)
-        if type(event) is api.Applied:
-            return (
-                [] if before is None else [event._replace(number=mark) for mark in self.marks(event.number)]
-            )
+        if type(event) is model.Acknowledged:
+            return [] if before is None else [event._replace(nonce=mark) for mark in self.marks(event.nonce)]
         if news.stream != self.current:
             return [] if before is None or news.stream in self.overtaken else [before]
-        if type(event) is api.ProxyLeft:
+        if type(event) is model.ProxyLeft:
             return [] if self.joined.pop(event.proxy, None) is None else [event]
         self.joined[event.proxy] = event
         if self.listed is None:
@@ -165,4 +163,4 @@
         missing, self.listed = sorted(self.joined.keys() - self.listed), None
         for proxy in missing:
             del self.joined[proxy]
-        return [api.ProxyLeft(proxy) for proxy in missing]
+        return [model.ProxyLeft(proxy) for proxy in missing]
--- a/rainpick/node/codec.py
+++ b/rainpick/node/codec.py
@@ -1,4 +1,4 @@
-"""The platform's messages, sans-I/O: bytes in, ``rainpick.interface`` events out; orders in, bytes out.
+"""The platform's messages, sans-I/O: bytes in, ``rainpick.model`` events out; orders in, bytes out.
 
 Frames (a count of four bytes, least significant first, then a JSON object) come to the director's address;
 JSON-RPC lines pass between it and the relay; discovery answers with a JSON object.
@@ -10,7 +10,7 @@
 import math
 from typing import NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.net import Ended
 from rainpick.node.configuration import Names
 
@@ -20,7 +20,11 @@
 CALL_MOST = 58_000  # bytes of a call's orders; the relay takes 60,000
 COUNT_MOST = 1 << 24  # no honest report counts more in one interval
 INTERVAL_MOST_MS = 3_600_000.0
-STATES = {"Ready": api.READY, "Terminating": api.DRAINING, "Gone": api.GONE}
+STATES = {
+    "Ready": model.EndpointState.READY,
+    "Terminating": model.EndpointState.DRAINING,
+    "Gone": model.EndpointState.GONE,
+}
 
 
 class MalformedError(Exception):
@@ -88,7 +92,7 @@
     return value
 
 
-def server_met(message: dict, names: Names) -> api.ServerMet:
+def server_met(message: dict, names: Names) -> model.ServerLoadReport:
     """What the proxies of a zone met at a server: ``upstream_stats``."""
     tries = whole(message, "total", 1, COUNT_MOST)
     dropped = whole(message, "errors", 0, tries)
@@ -101,7 +105,7 @@
         for word in load:
             number(load, word, 0, 1e9)
     whole_load = load is not None and all(word in load for word in names.loads)
-    return api.ServerMet(
+    return model.ServerLoadReport(
         text(message, "endpoint"),
         index(message, "locality", names.zones),
         tries,
@@ -112,9 +116,9 @@
     )
 
 
-def proxy_met(message: dict, names: Names) -> api.ProxyMet:
+def proxy_met(message: dict, names: Names) -> model.RouteLoadReport:
     """The calls of a route that came to a proxy: ``client_stats``."""
-    return api.ProxyMet(
+    return model.RouteLoadReport(
         whole(message, "node", 0, names.proxies - 1),
         index(message, "route", names.routes),
         whole(message, "total", 0, COUNT_MOST),
@@ -222,13 +226,13 @@
     if method == "attach":
         if not isinstance(params.get("cold"), bool):
             raise MalformedError(f"cold: {params.get('cold')!r} is not true or false")
-        return api.ProxyJoined(
+        return model.ProxyJoined(
             proxy, params["cold"], float(number(params, "w", 0, 1e9)), index(params, "locality", names.zones)
         )
     if method == "detach":
-        return api.ProxyLeft(proxy)
+        return model.ProxyLeft(proxy)
     if method == "done":
-        return api.Applied(
+        return model.Acknowledged(
             proxy,
             whole(params, "nonce", 0, 65535),
             round(number(params, "latency", 0, INTERVAL_MOST_MS) * 1000),
@@ -240,26 +244,26 @@
     """One order as the relay reads it. ``routes``: their names by index."""
 
     def which(chosen: int) -> list[str]:
-        return [name for at, name in enumerate(routes) if chosen == api.ALL_ROUTES or chosen >> at & 1]
+        return [name for at, name in enumerate(routes) if chosen == model.ALL_ROUTES or chosen >> at & 1]
 
     match order:
-        case api.SetLine(table, server, weight):
+        case model.SetWeight(table, server, weight):
             words = {"verb": "share", "cluster": table, "endpoint": server, "w": weight}
-        case api.ClearTable(table):
+        case model.ClearTable(table):
             words = {"verb": "clear", "cluster": table}
-        case api.Bind(table, chosen, proxy):
+        case model.BindProxy(table, chosen, proxy):
             words = {"verb": "bind", "node": proxy, "cluster": table, "for": which(chosen)}
-        case api.Withdraw(server, on):
+        case model.SetWithdrawn(server, on):
             words = {"verb": "withdraw" if on else "restore", "endpoint": server}
-        case api.Admit(table, chosen, level, retry):
+        case model.SetAdmission(table, chosen, level, retry):
             words = {
                 "verb": "admit",
-                "cluster": "*" if table == api.ALL_TABLES else table,
+                "cluster": "*" if table == model.ALL_TABLES else table,
                 "for": which(chosen),
                 "gate": level,
                 "again": retry,
             }
-        case api.Mark(stamp, everyone):
+        case model.RequestAcknowledgement(stamp, everyone):
             words = {"verb": "mark", "stamp": stamp, "set": int(everyone)}
         case _:
             raise TypeError(f"the relay has no order {type(order).__name__}")
@@ -269,7 +273,7 @@
 class Call(NamedTuple):
     """What one call carries: a mark, if the step gave one, and the step's other orders in their order."""
 
-    mark: api.Mark | None
+    mark: model.RequestAcknowledgement | None
     orders: tuple[object, ...]
 
     def rest(self, taken: int, part: Call) -> Call | None:
@@ -298,7 +302,7 @@
 
     def number(self) -> int | None:
         """The mark's number, by which logs name the call."""
-        return None if self.mark is None else self.mark.number
+        return None if self.mark is None else self.mark.nonce
 
     def at(self, place: int) -> object:
         """The order at a place of the line, the mark included."""
@@ -321,8 +325,8 @@
 
 def call(orders: list) -> Call | None:
     """The call for one step's orders; None where there is nothing to say."""
-    mark = next((order for order in orders if type(order) is api.Mark), None)
-    others = tuple(order for order in orders if type(order) is not api.Mark)
+    mark = next((order for order in orders if type(order) is model.RequestAcknowledgement), None)
+    others = tuple(order for order in orders if type(order) is not model.RequestAcknowledgement)
     return Call(mark, others) if others or mark is not None else None
 
 
@@ -342,13 +346,13 @@
 def subject(order: object) -> tuple | None:
     """What an order settles: a newer one on the same makes it void. None: it must be kept as it is."""
     match order:
-        case api.SetLine(table, server, _):
+        case model.SetWeight(table, server, _):
             return "line", table, server
-        case api.Withdraw(server, _):
+        case model.SetWithdrawn(server, _):
             return "open", server
-        case api.Bind(_, chosen, proxy):
+        case model.BindProxy(_, chosen, proxy):
             return "bind", chosen, proxy
-        case api.Admit(table, chosen, _, _):
+        case model.SetAdmission(table, chosen, _, _):
             return "admit", table, chosen
     return None
 
@@ -363,13 +367,13 @@
     if not any(subject(order) is None for order in orders):
         newest = {subject(order): at for at, order in enumerate(orders)}
         orders = [order for at, order in enumerate(orders) if newest[subject(order)] == at]
-    shut = tuple(order for order in orders if type(order) is api.Withdraw and order.on)
-    rest = tuple(order for order in orders if not (type(order) is api.Withdraw and order.on))
+    shut = tuple(order for order in orders if type(order) is model.SetWithdrawn and order.withdrawn)
+    rest = tuple(order for order in orders if not (type(order) is model.SetWithdrawn and order.withdrawn))
     marks = [one.mark for one in waiting if one.mark is not None]
     last = told = None
     if marks:
-        told = Merged(marks[-1].number, tuple(mark.number for mark in marks[:-1]))
-        last = api.Mark(told.number, any(mark.everyone for mark in marks))
+        told = Merged(marks[-1].nonce, tuple(mark.nonce for mark in marks[:-1]))
+        last = model.RequestAcknowledgement(told.number, any(mark.all_proxies for mark in marks))
     if shut and rest and len(marks) != 1:
         # The first mark says only that the withdrawals were read: the rest still waits in the channel.
         return [Call(marks[0] if marks else None, shut), Call(last, rest)], told
@@ -412,7 +416,7 @@
 
     version: int
     full: bool
-    servers: tuple[api.Server, ...]
+    servers: tuple[model.Endpoint, ...]
     errors: tuple[str, ...]  # what was wrong with entries that were left out
     unread: frozenset[str]  # of those, the ids that could be read
 
@@ -435,7 +439,7 @@
             if not isinstance(entry, dict):
                 raise MalformedError("an entry that is no object")
             servers.append(
-                api.Server(
+                model.Endpoint(
                     float(number(entry, "weight", 0, 1e6)),
                     index(entry, "zone", names.zones),
                     round(number(entry, "startedAtMs", 0, 1e14) * 1000),
--- a/rainpick/node/core.py
+++ b/rainpick/node/core.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.director.stepper import Stepper
@@ -42,7 +42,7 @@
         self.round_us = told.settings.get("round_us", 1_000)
         self.stepper = Stepper(told.seed, told.settings, module)
         self.listing, self.roster = Listing(self.clock), Roster()
-        self.stepper.events.append(self.listing.take(known, api.CACHED))
+        self.stepper.events.append(self.listing.take(known, model.UpdateKind.CACHED))
         self.stepped_us = self.unknown = 0
         self.status_us = self.clock() + STATUS_US
         self.channel_us, self.channel = 0, None
@@ -63,7 +63,7 @@
         for item in news:
             self.hear(item)
         for report in reports:
-            if type(report) is api.ServerMet and not self.listing.knows(report.server):
+            if type(report) is model.ServerLoadReport and not self.listing.knows(report.server):
                 self.unknown += 1
             else:
                 self.stepper.events.append(report)
@@ -100,7 +100,7 @@
         elif kind is Merged:
             self.roster.merged(item)
         elif kind is Doubt:
-            self.stepper.events += [api.Repeated(mark) for mark in self.roster.marks(item.number)]
+            self.stepper.events += [model.Retransmitted(mark) for mark in self.roster.marks(item.number)]
         else:
             self.stepper.events += self.roster.take(item)
 
@@ -108,10 +108,10 @@
         self.stepped_us = now
         orders = self.stepper.step(now)
         for order in orders:
-            if type(order) is api.Note:
+            if type(order) is model.LogMessage:
                 log.info("note", text=order.text)
         # The list is followed anyway, whether the module subscribes or not.
-        spoken = (api.Note, api.Subscribe, api.FetchList)
+        spoken = (model.LogMessage, model.Subscribe, model.FetchEndpoints)
         said = call([order for order in orders if type(order) not in spoken])
         if said is not None:
             self.send(said)
--- a/rainpick/node/relay.py
+++ b/rainpick/node/relay.py
@@ -146,7 +146,7 @@
             log.warning("call in doubt, sent again", why=str(error), orders=part.many(), mark=part.number())
             self.close()
             if part.mark is not None:
-                self.tell(Doubt(part.mark.number))
+                self.tell(Doubt(part.mark.nonce))
             return call
         if type(taken) is NotTaken:
             self.counts["busy"] += 1
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -95,7 +95,7 @@
         if isinstance(step, Hole):
             continue
         for event in step.events:
-            span_us = getattr(event, "span_us", None)
+            span_us = getattr(event, "interval_us", None)
             if span_us is None:
                 continue
             heard += 1
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -11,12 +11,12 @@
 from typing import Any, NamedTuple
 
 from rainpick.balance import Director
-from rainpick.interface import DRAINING, GONE, READY
+from rainpick.model import EndpointState
 from rainpick.record.replay import Hole, Playing
 from rainpick.record.steps import Life, Step
 from rainpick.record.view import named
 
-STATES = {GONE: "gone", READY: "ready", DRAINING: "draining"}
+STATES = {EndpointState.GONE: "gone", EndpointState.READY: "ready", EndpointState.DRAINING: "draining"}
 
 
 class InspectError(LookupError):
@@ -112,7 +112,7 @@
         bare.cold_part = director.cold_part
 
     found, before = [], 1.0
-    free.state = READY
+    free.state = EndpointState.READY
     for cause, give in (
         ("its state on the list", on_list),
         ("ejected on evidence", shut_out),
@@ -152,7 +152,7 @@
         "state": STATES.get(held.state, "dropped by a list that may be wrong"),
         "listed_weight": entry.weight,
         "zone": entry.zone,
-        "machine": entry.machine,
+        "machine": entry.machine_type,
         "age_s": (now - entry.started_us) / 1e6 if entry.started_us else None,
         "percentage": asked(director, held),
         "because": factors(director, held),
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.record.compare import Compare, Compared
 from rainpick.record.steps import LIFE, LOST, STEP, Life, Reader, Step, StepError, read_life
@@ -117,7 +117,7 @@
         if self.hole is not None:
             return
         events = one.events
-        if events and type(events[0]) is api.Started:
+        if events and type(events[0]) is model.Started:
             old = events[0].settings
             new = (old if self.replace is None else self.replace) | self.changes
             events = [events[0]._replace(settings=new), *events[1:]]
--- a/rainpick/record/schema.py
+++ b/rainpick/record/schema.py
@@ -9,7 +9,7 @@
 
 from typing import Any, NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 
 
 class StoredType(NamedTuple):
@@ -30,35 +30,35 @@
 
 # The position of a type is its number in records.
 STORED_TYPES = (
-    stored(api.Started, "Started", "seed settings"),
-    stored(api.Listed, "Listed", "kind servers version"),
-    stored(api.TimerDue, "TimerDue", "token"),
-    stored(api.ProbeEnded, "ProbeEnded", "server outcome took_us load"),
-    stored(api.PeerSaid, "PeerSaid", "peer data"),
-    stored(api.ProxyJoined, "ProxyJoined", "proxy fresh rate zone"),
-    stored(api.ProxyLeft, "ProxyLeft", "proxy"),
-    stored(api.Applied, "Applied", "proxy number took_us"),
-    stored(api.ServerMet, "ServerMet", "server zone tries dropped mean_us span_us load"),
-    stored(api.ProxyMet, "ProxyMet", "proxy route calls dropped span_us"),
-    stored(api.SliceMet, "SliceMet", "slice route calls dropped span_us"),
-    stored(api.SliceGiven, "SliceGiven", "slice on"),
-    stored(api.SliceLine, "SliceLine", "slice server weight"),
-    stored(api.SetLine, "SetLine", "table server weight"),
-    stored(api.ClearTable, "ClearTable", "table"),
-    stored(api.Withdraw, "Withdraw", "server on"),
-    stored(api.Mark, "Mark", "number everyone"),
-    stored(api.Bind, "Bind", "table routes proxy"),
-    stored(api.Admit, "Admit", "table routes level retry"),
-    stored(api.Probe, "Probe", "server"),
-    stored(api.Tell, "Tell", "peer data"),
-    stored(api.SetTimer, "SetTimer", "token delay_us"),
-    stored(api.Subscribe, "Subscribe", "on"),
-    stored(api.FetchList, "FetchList"),
-    stored(api.Note, "Note", "text"),
-    stored(api.Repeated, "Repeated", "number"),
+    stored(model.Started, "Started", "seed settings"),
+    stored(model.EndpointUpdate, "Listed", "kind servers version"),
+    stored(model.TimerFired, "TimerDue", "token"),
+    stored(model.ProbeCompleted, "ProbeEnded", "server outcome took_us load"),
+    stored(model.PeerMessageReceived, "PeerSaid", "peer data"),
+    stored(model.ProxyJoined, "ProxyJoined", "proxy fresh rate zone"),
+    stored(model.ProxyLeft, "ProxyLeft", "proxy"),
+    stored(model.Acknowledged, "Applied", "proxy number took_us"),
+    stored(model.ServerLoadReport, "ServerMet", "server zone tries dropped mean_us span_us load"),
+    stored(model.RouteLoadReport, "ProxyMet", "proxy route calls dropped span_us"),
+    stored(model.KeyRangeLoadReport, "SliceMet", "slice route calls dropped span_us"),
+    stored(model.KeyRangeAssigned, "SliceGiven", "slice on"),
+    stored(model.KeyRangeWeight, "SliceLine", "slice server weight"),
+    stored(model.SetWeight, "SetLine", "table server weight"),
+    stored(model.ClearTable, "ClearTable", "table"),
+    stored(model.SetWithdrawn, "Withdraw", "server on"),
+    stored(model.RequestAcknowledgement, "Mark", "number everyone"),
+    stored(model.BindProxy, "Bind", "table routes proxy"),
+    stored(model.SetAdmission, "Admit", "table routes level retry"),
+    stored(model.ProbeServer, "Probe", "server"),
+    stored(model.SendPeerMessage, "Tell", "peer data"),
+    stored(model.SetTimer, "SetTimer", "token delay_us"),
+    stored(model.Subscribe, "Subscribe", "on"),
+    stored(model.FetchEndpoints, "FetchList"),
+    stored(model.LogMessage, "Note", "text"),
+    stored(model.Retransmitted, "Repeated", "number"),
 )
 # An entry of a list is no event of its own: records name it after all others.
-STORED_ENTRY = stored(api.Server, "Server", "weight zone started_us machine cell address state")
+STORED_ENTRY = stored(model.Endpoint, "Server", "weight zone started_us machine cell address state")
 
 CODES = {row.type: code for code, row in enumerate(STORED_TYPES)}
 STORED_NAMES = {row.type: row.name for row in STORED_TYPES}
--- a/rainpick/record/steps.py
+++ b/rainpick/record/steps.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.record.schema import BY_STORED_NAME, CODES, TYPE_ROWS
 
 LIFE, STEP, LOST = 1, 2, 3  # kinds of records
@@ -89,7 +89,7 @@
         kind, name, order = self.places[code]
         if kind is None:
             raise StepError(f"{name} is not what this program knows by that name")
-        if kind is api.Listed:
+        if kind is model.EndpointUpdate:
             fields = list(fields)
             place = order[1] if order else 1
             fields[place] = tuple([self.make(-1, entry) for entry in fields[place]])
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -9,7 +9,7 @@
 from collections import Counter, deque
 from typing import Any, NamedTuple
 
-from rainpick import interface as api
+from rainpick import model
 
 HEAD_LINES = 1  # of a message, its mark
 
@@ -28,7 +28,7 @@
     __slots__ = ("drained_us", "entry", "lines", "shut")
 
     def __init__(self) -> None:
-        self.entry: api.Server | None = None
+        self.entry: model.Endpoint | None = None
         self.lines: dict[int, float] = {}
         self.shut = False
         self.drained_us: int | None = None  # since when the list says that it drains or is gone
@@ -89,30 +89,30 @@
         self.last_us = now
         for event in events:
             kind = type(event)
-            if kind is api.Listed:
+            if kind is model.EndpointUpdate:
                 self.listed(now, event)
-            elif kind is api.ProxyJoined:
+            elif kind is model.ProxyJoined:
                 self.leave(event.proxy)
                 self.proxies[event.proxy] = Proxy()
                 self.loose.add(event.proxy)
-            elif kind is api.ProxyLeft:
+            elif kind is model.ProxyLeft:
                 self.leave(event.proxy)
-            elif kind is api.Applied and event.proxy in self.proxies:
+            elif kind is model.Acknowledged and event.proxy in self.proxies:
                 unread = self.proxies[event.proxy].unread
-                while any(mark == event.number for mark, _ in unread):
+                while any(mark == event.nonce for mark, _ in unread):
                     self.waiting -= unread.popleft()[1]
 
-    def listed(self, now: int, event: api.Listed) -> None:
-        if event.kind == api.FAILED:
+    def listed(self, now: int, event: model.EndpointUpdate) -> None:
+        if event.kind == model.UpdateKind.FAILED:
             return
-        for entry in event.servers:
+        for entry in event.endpoints:
             held = self.servers.setdefault(entry.address, Server())
             held.entry = entry
             if entry.started_us and now - entry.started_us < self.warm_us:
                 self.cold[entry.address] = None
-            self.settle(held, entry.state != api.READY, now)
-        if event.kind != api.DELTA:
-            present = {entry.address for entry in event.servers}
+            self.settle(held, entry.state != model.EndpointState.READY, now)
+        if event.kind != model.UpdateKind.DELTA:
+            present = {entry.address for entry in event.endpoints}
             for address, held in self.servers.items():
                 if address not in present:
                     self.settle(held, True, now)
@@ -141,31 +141,31 @@
         loose = tuple(self.loose)  # as they were when the step began
         for order in orders:
             kind = type(order)
-            if kind is api.SetLine:
+            if kind is model.SetWeight:
                 self.set_line(now, order)
                 lines.update(self.bound.get(order.table, ()))
-            elif kind is api.Withdraw:
+            elif kind is model.SetWithdrawn:
                 self.withdraw(now, order)
                 for table in self.servers[order.server].lines:
                     lines.update(self.bound.get(table, ()))
                 lines.update(number for number in loose if number in self.proxies)
-            elif kind is api.Bind and order.proxy in self.proxies:
+            elif kind is model.BindProxy and order.proxy in self.proxies:
                 self.counts["binds"] += 1
                 self.proxies[order.proxy].table = order.table
                 self.loose.discard(order.proxy)
                 self.bound.setdefault(order.table, set()).add(order.proxy)
                 self.changed.add(order.table)
                 lines[order.proxy] += 1 + sum(order.table in held.lines for held in self.servers.values())
-            elif kind is api.Admit:
+            elif kind is model.SetAdmission:
                 self.admit(order)
                 lines.update(self.bound.get(order.table, ()))
-            elif kind is api.Mark:
-                mark = order.number
+            elif kind is model.RequestAcknowledgement:
+                mark = order.nonce
         if mark is not None:
             self.sent(now, mark, lines)
         self.watch(now)
 
-    def set_line(self, now: int, order: api.SetLine) -> None:
+    def set_line(self, now: int, order: model.SetWeight) -> None:
         held = self.servers.setdefault(order.server, Server())
         before = held.lines.get(order.table, 0.0)
         if order.weight:
@@ -185,23 +185,23 @@
         if self.grace_us:
             self.near("drain", (now - held.drained_us) / self.grace_us, now, named(server))
 
-    def withdraw(self, now: int, order: api.Withdraw) -> None:
+    def withdraw(self, now: int, order: model.SetWithdrawn) -> None:
         held = self.servers.setdefault(order.server, Server())
-        if order.on and not held.shut:
+        if order.withdrawn and not held.shut:
             if held.drained_us is not None:
                 self.let_go(now, order.server, held)
             else:
                 self.counts["ejections"] += 1
-        elif not order.on and held.shut:
+        elif not order.withdrawn and held.shut:
             self.counts["returns"] += 1
-        held.shut = order.on
+        held.shut = order.withdrawn
         self.changed.update(held.lines)
 
-    def admit(self, order: api.Admit) -> None:
-        lower = order.level < self.levels.get((order.table, order.routes), self.full)
+    def admit(self, order: model.SetAdmission) -> None:
+        lower = order.rate < self.levels.get((order.table, order.routes), self.full)
         self.counts["throttled further"] += lower
-        self.counts["throttled less"] += order.level > self.levels.get((order.table, order.routes), self.full)
-        self.levels[order.table, order.routes] = order.level
+        self.counts["throttled less"] += order.rate > self.levels.get((order.table, order.routes), self.full)
+        self.levels[order.table, order.routes] = order.rate
         self.throttled = any(level < self.full for level in self.levels.values())
 
     def sent(self, now: int, mark: int, lines: Counter) -> None:
--- a/rainpick/simhost/__main__.py
+++ b/rainpick/simhost/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 from rainpick.balance import Director
-from rainpick.interface import Started
+from rainpick.model import Started
 from rainpick.simhost import wire
 
 
--- a/rainpick/simhost/wire.py
+++ b/rainpick/simhost/wire.py
@@ -2,7 +2,7 @@
 
 import struct
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.wording import settings
 
 BATCH = struct.Struct(">IIQ")
@@ -71,24 +71,24 @@
 def born(frame):
     instance, seed, length = frame.take(BORN)
     try:
-        return instance, api.Started(seed, settings(frame.run(length).decode()))
+        return instance, model.Started(seed, settings(frame.run(length).decode()))
     except UnicodeDecodeError as flaw:
         raise MalformedError(f"the settings are not UTF-8: {flaw}") from None
 
 
 def peer_said(frame):
     instance, peer, length = frame.take(PEER)
-    return instance, api.PeerSaid(peer, frame.run(length))
+    return instance, model.PeerMessageReceived(peer, frame.run(length))
 
 
 def probe_ended(frame):
     instance, took, server, outcome = frame.take(PROBED)
-    return instance, api.ProbeEnded(server, outcome, took, frame.load())
+    return instance, model.ProbeCompleted(server, outcome, took, frame.load())
 
 
 def server_met(frame):
     instance, zone, server, dropped, mean, span, tries = frame.take(HEARD)
-    return instance, api.ServerMet(server, zone, tries, dropped, mean, span, frame.load())
+    return instance, model.ServerLoadReport(server, zone, tries, dropped, mean, span, frame.load())
 
 
 BORN, PEER = struct.Struct(">IQI"), struct.Struct(">IHH")
@@ -97,28 +97,28 @@
 REGISTRY_CODE, DIRECTORY_CODE = 1010, 1140
 READERS = {
     1000: born,
-    1020: plain(">IQ", lambda who, label: (who, api.TimerDue(label))),
+    1020: plain(">IQ", lambda who, label: (who, model.TimerFired(label))),
     1030: probe_ended,
     1040: peer_said,
     1050: plain(">I", lambda who: (who, None)),
     1060: plain(
-        ">IBfHB", lambda who, on, rate, proxy, zone: (who, api.ProxyJoined(proxy, on != 0, rate, zone))
+        ">IBfHB", lambda who, on, rate, proxy, zone: (who, model.ProxyJoined(proxy, on != 0, rate, zone))
     ),
-    1070: plain(">IH", lambda who, proxy: (who, api.ProxyLeft(proxy))),
-    1080: plain(">IHQI", lambda who, proxy, number, took: (who, api.Applied(proxy, number, took))),
+    1070: plain(">IH", lambda who, proxy: (who, model.ProxyLeft(proxy))),
+    1080: plain(">IHQI", lambda who, proxy, number, took: (who, model.Acknowledged(proxy, number, took))),
     1090: server_met,
-    1100: plain(">IHBIII", lambda who, *fields: (who, api.ProxyMet(*fields))),
-    1110: plain(">IHBIII", lambda who, *fields: (who, api.SliceMet(*fields))),
-    1120: plain(">IBH", lambda who, on, number: (who, api.SliceGiven(number, on != 0))),
-    1130: plain(">IH6sf", lambda who, *fields: (who, api.SliceLine(*fields))),
+    1100: plain(">IHBIII", lambda who, *fields: (who, model.RouteLoadReport(*fields))),
+    1110: plain(">IHBIII", lambda who, *fields: (who, model.KeyRangeLoadReport(*fields))),
+    1120: plain(">IBH", lambda who, on, number: (who, model.KeyRangeAssigned(number, on != 0))),
+    1130: plain(">IH6sf", lambda who, *fields: (who, model.KeyRangeWeight(*fields))),
 }
 
 
 def entry(fields):
     weight, zone, started, machine, cell, server, state = fields
-    if state not in (api.GONE, api.READY, api.DRAINING):
+    if state not in (model.EndpointState.GONE, model.EndpointState.READY, model.EndpointState.DRAINING):
         raise MalformedError(f"a server cannot be in state {state}")
-    return api.Server(weight, zone, started, machine, cell, server, state)
+    return model.Endpoint(weight, zone, started, machine, cell, server, state)
 
 
 def records(frame, lists):
@@ -130,9 +130,12 @@
             lists[number] = tuple(map(entry, ENTRY.iter_unpack(frame.run(count * ENTRY.size))))
         elif code == REGISTRY_CODE:
             instance, kind, number, version = frame.take(REGISTRY)
-            if kind > api.FAILED or kind != api.FAILED and number not in lists:
+            if kind > model.UpdateKind.FAILED or kind != model.UpdateKind.FAILED and number not in lists:
                 raise MalformedError(f"a REGISTRY of kind {kind} names list {number}, which was never sent")
-            yield instance, api.Listed(kind, () if kind == api.FAILED else lists[number], version)
+            yield (
+                instance,
+                model.EndpointUpdate(kind, () if kind == model.UpdateKind.FAILED else lists[number], version),
+            )
         elif code in READERS:
             yield READERS[code](frame)
         else:
@@ -162,18 +165,18 @@
 
 
 WRITERS = {
-    api.ClearTable: writer(1000, "H"),
-    api.Note: text(1010, lambda order: order.text),
-    api.Withdraw: writer(1020, "6sB"),
-    api.Mark: writer(1030, "QB"),
-    api.Bind: writer(1040, "HHH"),
-    api.SetLine: writer(1050, "H6sf"),
-    api.Subscribe: writer(1060, "B"),
-    api.FetchList: writer(1070, ""),
-    api.Probe: writer(1080, "6s"),
-    api.Tell: tell,
-    api.SetTimer: writer(1110, "QI", lambda order: (order.token, max(0, min(order.delay_us, 0xFFFFFFFF)))),
-    api.Admit: writer(1120, "HHfB"),
+    model.ClearTable: writer(1000, "H"),
+    model.LogMessage: text(1010, lambda order: order.text),
+    model.SetWithdrawn: writer(1020, "6sB"),
+    model.RequestAcknowledgement: writer(1030, "QB"),
+    model.BindProxy: writer(1040, "HHH"),
+    model.SetWeight: writer(1050, "H6sf"),
+    model.Subscribe: writer(1060, "B"),
+    model.FetchEndpoints: writer(1070, ""),
+    model.ProbeServer: writer(1080, "6s"),
+    model.SendPeerMessage: tell,
+    model.SetTimer: writer(1110, "QI", lambda order: (order.token, max(0, min(order.delay_us, 0xFFFFFFFF)))),
+    model.SetAdmission: writer(1120, "HHfB"),
 }
 failure = text(1090, str)
 
--- a/tests/compat/drawn_day.py
+++ b/tests/compat/drawn_day.py
@@ -11,7 +11,7 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 
 ROUND_US = 250_000
@@ -19,18 +19,18 @@
 
 # Neutral names: the digests are taken over these, whatever the types are called.
 NAMES = {
-    api.SetLine: "line",
-    api.ClearTable: "clear",
-    api.Withdraw: "withdraw",
-    api.Mark: "mark",
-    api.Bind: "bind",
-    api.Admit: "admit",
-    api.Probe: "probe",
-    api.Tell: "peer",
-    api.SetTimer: "timer",
-    api.Subscribe: "subscribe",
-    api.FetchList: "fetch",
-    api.Note: "log",
+    model.SetWeight: "line",
+    model.ClearTable: "clear",
+    model.SetWithdrawn: "withdraw",
+    model.RequestAcknowledgement: "mark",
+    model.BindProxy: "bind",
+    model.SetAdmission: "admit",
+    model.ProbeServer: "probe",
+    model.SendPeerMessage: "peer",
+    model.SetTimer: "timer",
+    model.Subscribe: "subscribe",
+    model.FetchEndpoints: "fetch",
+    model.LogMessage: "log",
 }
 
 
@@ -110,7 +110,7 @@
         self.settings = draw_settings(self.draw)
         self.now = self.draw.choice((0, 0, 40_000_000))
         self.director, self.digest = Director(), Digest()
-        self.servers: dict[str, api.Server] = {}
+        self.servers: dict[str, model.Endpoint] = {}
         self.names = 0
         self.faults: dict[str, str] = {}
         self.proxies: dict[int, int] = {}  # the zone of each joined proxy
@@ -121,12 +121,12 @@
         self.load = 1.0
         self.lost_zone: int | None = None
 
-    def server(self, started_us: int) -> api.Server:
+    def server(self, started_us: int) -> model.Endpoint:
         """A new entry of the list."""
         self.names += 1
         machine = self.draw.randrange(3)
         fields = float(1 + machine), self.draw.randrange(3), started_us, machine, 0, f"s{self.names}"
-        return api.Server(*fields, api.READY)
+        return model.Endpoint(*fields, model.EndpointState.READY)
 
     def play(self) -> dict:
         """Play all rounds."""
@@ -134,8 +134,8 @@
             entry = self.server(self.draw.choice((0, 0, 0, max(0, self.now - 1_000_000))))
             self.servers[entry.address] = entry
         start = [
-            api.Started(self.draw.randrange(1 << 30), self.settings),
-            api.Listed(api.CACHED, tuple(self.servers.values()), 1),
+            model.Started(self.draw.randrange(1 << 30), self.settings),
+            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(self.servers.values()), 1),
         ]
         self.step(start + self.joins(self.draw.choice((2, 10, 60))))
         for _ in range(ROUNDS):
@@ -150,13 +150,14 @@
         commands = self.director.step(self.now, events)
         self.digest.add(self.now, commands)
         for command in commands:
-            if type(command) is api.SetTimer:
-                self.plan(command.delay_us, [api.TimerDue(command.token)])
-            elif type(command) is api.Mark:
-                self.marks = [*self.marks[-4:], command.number]
+            if type(command) is model.SetTimer:
+                self.plan(command.delay_us, [model.TimerFired(command.token)])
+            elif type(command) is model.RequestAcknowledgement:
+                self.marks = [*self.marks[-4:], command.nonce]
                 late_us = self.draw.choice((30_000, 200_000, 900_000))
                 answers = [
-                    api.Applied(proxy, command.number, late_us) for proxy in self.proxies.keys() - self.deaf
+                    model.Acknowledged(proxy, command.nonce, late_us)
+                    for proxy in self.proxies.keys() - self.deaf
                 ]
                 self.plan(late_us, sorted(answers))
 
@@ -178,7 +179,7 @@
             proxy = self.draw.randrange(200)
             self.proxies[proxy] = self.draw.randrange(3)
             rate = round(self.draw.lognormvariate(1, 0.8), 3)
-            events.append(api.ProxyJoined(proxy, self.draw.random() < 0.6, rate, self.proxies[proxy]))
+            events.append(model.ProxyJoined(proxy, self.draw.random() < 0.6, rate, self.proxies[proxy]))
         return events
 
     def changes(self) -> list:
@@ -189,11 +190,11 @@
         if self.proxies and draw.random() < 0.08:
             proxy = draw.choice(sorted(self.proxies))
             del self.proxies[proxy]
-            events.append(api.ProxyLeft(proxy))
+            events.append(model.ProxyLeft(proxy))
         if self.proxies and draw.random() < 0.05:
             self.deaf = set(draw.sample(sorted(self.proxies), len(self.proxies) // 3))
         if self.marks and draw.random() < 0.05:
-            events.append(api.Repeated(draw.choice(self.marks)))
+            events.append(model.Retransmitted(draw.choice(self.marks)))
         if draw.random() < 0.2:
             events.append(self.list_update())
         if draw.random() < 0.04:
@@ -207,13 +208,20 @@
             self.load = draw.choice((0.3, 1.0, 1.0, 3.0, 8.0))
         return events
 
-    def list_update(self) -> api.Listed:
+    def list_update(self) -> model.EndpointUpdate:
         """News of the list: entries that drain, are gone, come back or are new; now and then it fails."""
         draw, changed = self.draw, []
         if draw.random() < 0.05:
-            return api.Listed(api.FAILED, (), 0)
+            return model.EndpointUpdate(model.UpdateKind.FAILED, (), 0)
         for address in draw.sample(sorted(self.servers), min(len(self.servers), draw.choice((0, 1, 4)))):
-            state = draw.choice((api.READY, api.DRAINING, api.DRAINING, api.GONE))
+            state = draw.choice(
+                (
+                    model.EndpointState.READY,
+                    model.EndpointState.DRAINING,
+                    model.EndpointState.DRAINING,
+                    model.EndpointState.GONE,
+                )
+            )
             entry = self.servers[address]._replace(state=state)
             if draw.random() < 0.2:
                 entry = entry._replace(started_us=self.now)
@@ -221,12 +229,12 @@
         changed += [self.server(self.now) for _ in range(draw.choice((0, 0, 1, 3)))]
         for entry in changed:
             self.servers[entry.address] = entry
-            if entry.state == api.GONE and len(self.servers) > 3:
+            if entry.state == model.EndpointState.GONE and len(self.servers) > 3:
                 del self.servers[entry.address]
         if draw.random() < 0.15:
             kept = [entry for entry in self.servers.values() if draw.random() < 0.9]
-            return api.Listed(api.FULL, tuple(kept), 2)
-        return api.Listed(api.DELTA, tuple(changed), 2)
+            return model.EndpointUpdate(model.UpdateKind.FULL, tuple(kept), 2)
+        return model.EndpointUpdate(model.UpdateKind.DELTA, tuple(changed), 2)
 
     def slices(self) -> list:
         """Slices that come into the director's charge or leave it."""
@@ -234,16 +242,16 @@
             return []
         number = self.draw.randrange(12)
         if self.draw.random() < 0.2:
-            return [api.SliceGiven(number, False)]
+            return [model.KeyRangeAssigned(number, False)]
         address = self.draw.choice(sorted(self.servers))
-        lines = [api.SliceLine(number, address, 1.0)]
-        return [api.SliceGiven(number, True), *(lines if self.draw.random() < 0.8 else [])]
+        lines = [model.KeyRangeWeight(number, address, 1.0)]
+        return [model.KeyRangeAssigned(number, True), *(lines if self.draw.random() < 0.8 else [])]
 
     def reports(self) -> list:
         """What proxies met at servers, and what came to proxies."""
         events = []
         for address, entry in self.servers.items():
-            if entry.state == api.GONE or self.draw.random() < 0.4:
+            if entry.state == model.EndpointState.GONE or self.draw.random() < 0.4:
                 continue
             if report := self.report(address, entry):
                 events.append(report)
@@ -251,10 +259,10 @@
             if self.draw.random() < 0.3:
                 for route in range(self.settings["routes.count"]):
                     calls = int(self.load * self.draw.randrange(1, 30))
-                    events.append(api.ProxyMet(proxy, route, calls, calls // 7, 500_000))
+                    events.append(model.RouteLoadReport(proxy, route, calls, calls // 7, 500_000))
         return events
 
-    def report(self, address: str, entry: api.Server) -> api.ServerMet | None:
+    def report(self, address: str, entry: model.Endpoint) -> model.ServerLoadReport | None:
         """A report on one server, by its fault, the load and its zone."""
         fault = self.faults.get(address)
         tries = self.draw.randrange(1, 25)
@@ -269,4 +277,4 @@
         elif fault == "slow":
             mean_us *= 6
         dropped = sum(self.draw.random() < share for _ in range(tries))
-        return api.ServerMet(address, self.draw.randrange(3), tries, dropped, mean_us, 500_000, ())
+        return model.ServerLoadReport(address, self.draw.randrange(3), tries, dropped, mean_us, 500_000, ())
--- a/tests/director/drive.py
+++ b/tests/director/drive.py
@@ -1,6 +1,6 @@
 """Drives the engine by a virtual clock: proxies that read at once, and hold what they read."""
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.director.engine import Engine
 from rainpick.settings import parse
 
@@ -15,8 +15,8 @@
     return parse(BASE % text)
 
 
-def server(number, state=api.READY, weight=1.0, started_us=0, zone=0):
-    return api.Server(weight, zone, started_us, 0, number, ("127.0.0.1", 9000 + number), state)
+def server(number, state=model.EndpointState.READY, weight=1.0, started_us=0, zone=0):
+    return model.Endpoint(weight, zone, started_us, 0, number, ("127.0.0.1", 9000 + number), state)
 
 
 class Drive:
@@ -25,7 +25,9 @@
     def __init__(self, text="", servers=4, **words):
         self.settings, self.now = settings(text), 1_000_000
         self.engine = Engine(self.settings, 7, self.now, **words)
-        self.engine.list_changed(api.Listed(api.CACHED, tuple(map(server, range(servers))), 1))
+        self.engine.list_changed(
+            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(servers))), 1)
+        )
         self.held, self.reads, self.writes = {}, {}, []
 
     def join(self, number, rate=5.0, standing=()):
@@ -38,7 +40,7 @@
         del self.held[number]
 
     def listed(self, *servers):
-        self.engine.list_changed(api.Listed(api.DELTA, servers, 2))
+        self.engine.list_changed(model.EndpointUpdate(model.UpdateKind.DELTA, servers, 2))
 
     def turn(self):
         for write in self.engine.advance(self.now):
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -6,7 +6,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.channel import GRAIN_US
 from tests.director.drive import Drive, server
@@ -37,10 +37,10 @@
         drive.join(number)
     drive.run(1)
     drive.engine.blocked(1, True)
-    drive.listed(server(2, api.DRAINING))
+    drive.listed(server(2, model.EndpointState.DRAINING))
     drive.run(1)
     assert 2 not in drive.open_lines(0) and 2 not in drive.open_lines(2) and 2 in drive.open_lines(1)
-    drive.listed(server(3, api.DRAINING))
+    drive.listed(server(3, model.EndpointState.DRAINING))
     drive.run(1)
     drive.engine.blocked(1, False)
     begin = len(drive.writes)
@@ -56,7 +56,7 @@
     drive.run(1)
     module = drive.engine.stepper.director
     assert module.queue.waiting > 0
-    drive.listed(server(0, api.DRAINING))
+    drive.listed(server(0, model.EndpointState.DRAINING))
     drive.run(1)
     assert module.queue.waiting > 8
     drive.engine.delivered(1, drive.writes[-1][1].number)
@@ -71,7 +71,7 @@
         def step(self, now, events):
             orders = super().step(now, events)
             self.turns = getattr(self, "turns", 0) + 1
-            return [*orders, api.SetLine(0, ("127.0.0.1", 9000), 1 + self.turns % 3)]
+            return [*orders, model.SetWeight(0, ("127.0.0.1", 9000), 1 + self.turns % 3)]
 
     drive = Drive('channel: {messages_most: 4, messages_over: "10s"}', module=Talkative)
     drive.join(1)
@@ -86,7 +86,7 @@
     drive = Drive()
     drive.join(1)
     drive.run(1)
-    for state in (api.READY, api.DRAINING, api.GONE):
+    for state in (model.EndpointState.READY, model.EndpointState.DRAINING, model.EndpointState.GONE):
         drive.listed(server(9, state, started_us=drive.now))
     drive.run(5)
     assert 9 not in drive.open_lines(1) and drive.exact(1)
@@ -111,7 +111,7 @@
     drive.join(2)
     drive.engine.blocked(2, True)  # it asks by itself
     drive.run(1)
-    drive.listed(server(1, api.DRAINING))
+    drive.listed(server(1, model.EndpointState.DRAINING))
     drive.run(1)
     number, news = drive.engine.pull(2)
     assert {line.server: (line.weight, line.flags) for line in news.lines} == drive.held[1]
@@ -135,7 +135,9 @@
     for action, which, wait_ms in story:
         joined = which in drive.held
         if action in ("drain", "ready", "gone", "new"):
-            state = {"drain": api.DRAINING, "gone": api.GONE}.get(action, api.READY)
+            state = {"drain": model.EndpointState.DRAINING, "gone": model.EndpointState.GONE}.get(
+                action, model.EndpointState.READY
+            )
             drive.listed(server(which, state, started_us=drive.now if action == "new" else 0))
         elif action == "join":
             drive.join(which, standing=[("127.0.0.1", 9000 + chance.randrange(6))])
@@ -184,15 +186,15 @@
     for number in range(8):
         drive.join(number)
     places = [("127.0.0.1", 9000 + port) for port in range(40)]
-    module.orders = [api.SetLine(0, place, 1.0) for place in places[:2]]
-    module.orders += [api.Bind(number // 4, 0, number) for number in range(8)]
+    module.orders = [model.SetWeight(0, place, 1.0) for place in places[:2]]
+    module.orders += [model.BindProxy(number // 4, 0, number) for number in range(8)]
     drive.run(5)
     begin = len(drive.writes)
     drive.listed(server(5))
-    module.orders = [api.SetLine(1, place, 1.0) for place in places[2:]]
+    module.orders = [model.SetWeight(1, place, 1.0) for place in places[2:]]
     drive.turn()
-    drive.listed(server(0, api.DRAINING))
-    module.orders = [api.Withdraw(places[0], True)]
+    drive.listed(server(0, model.EndpointState.DRAINING))
+    module.orders = [model.SetWithdrawn(places[0], True)]
     drive.run(10)
     order = [write.proxy for _, write in drive.writes[begin:]]
     assert order[0] == 4, "it was written before"
@@ -204,13 +206,20 @@
     module, server_ = drive.engine.stepper.director, ("127.0.0.1", 9000)
     drive.join(1)
     drive.reads[1] = False
-    module.orders = [api.SetLine(0, server_, 1.0), api.Bind(0, 0, 1), api.Mark(1, False)]
+    module.orders = [
+        model.SetWeight(0, server_, 1.0),
+        model.BindProxy(0, 0, 1),
+        model.RequestAcknowledgement(1, False),
+    ]
     drive.run(0.1)
-    module.orders = [api.SetLine(0, server_, 1.0 + 1e-9), api.Mark(2, False)]  # the same in sixteen bits
+    module.orders = [
+        model.SetWeight(0, server_, 1.0 + 1e-9),
+        model.RequestAcknowledgement(2, False),
+    ]  # the same in sixteen bits
     drive.listed(server(0))
     drive.run(0.1)
-    answered = [event.number for event in module.heard if type(event) is api.Applied]
+    answered = [event.nonce for event in module.heard if type(event) is model.Acknowledged]
     assert answered == [] and len(drive.writes) == 1
     drive.engine.delivered(1, 1)
     drive.run(0.1)
-    assert [event.number for event in module.heard if type(event) is api.Applied] == [1, 2]
+    assert [event.nonce for event in module.heard if type(event) is model.Acknowledged] == [1, 2]
--- a/tests/director/test_reports.py
+++ b/tests/director/test_reports.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.director import reports
 from rainpick.director.proxies import Proxies
 from rainpick.director.reports import Evidence, Freshness, Point
@@ -48,9 +48,9 @@
     take(evidence, 2 * S, point(2 * S, "edge-2"))
     assert lines(evidence, 0, 500_000) == []
     assert lines(evidence, 1_000_000) == [
-        api.ServerMet(A, 0, 11, 1, 200_000, 1_000_000, ()),
-        api.ProxyMet(1, 0, 5, 1, 1_000_000),
-        api.ServerMet(A, 1, 5, 1, 200_000, 1_000_000, ()),
+        model.ServerLoadReport(A, 0, 11, 1, 200_000, 1_000_000, ()),
+        model.RouteLoadReport(1, 0, 5, 1, 1_000_000),
+        model.ServerLoadReport(A, 1, 5, 1, 200_000, 1_000_000, ()),
     ]
     assert lines(evidence, 2_000_000) == []
 
@@ -58,7 +58,7 @@
 def test_the_same_period_twice_counts_once(evidence):
     assert take(evidence, 2 * S, point(2 * S)) == {reports.FRESH: 1}
     assert take(evidence, 3 * S, point(2 * S)) == {reports.DOUBLED: 1}
-    assert sum(line.tries for line in lines(evidence, 0, 1_000_000)) == 5
+    assert sum(line.attempts for line in lines(evidence, 0, 1_000_000)) == 5
 
 
 def test_a_period_that_overlaps_another_is_not_counted(evidence):
@@ -112,7 +112,7 @@
     assert [line.proxy for line in lines(evidence, 0, 1_000_000)] == [1, 2]
     take(evidence, 3 * S, point(3 * S, "edge-3", route="lookup"), point(3 * S, "edge-1", route="lookup"))
     told = lines(evidence, 2_000_000)
-    found = [(line.proxy, line.calls, line.span_us) for line in told]
+    found = [(line.proxy, line.requests, line.interval_us) for line in told]
     assert found == [(3, 10, 2_000_000), (1, 5, 1_000_000)]
     assert evidence.due_us(2_000_000) is None
 
--- a/tests/director/test_tables.py
+++ b/tests/director/test_tables.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.director.tables import OUT, SHUT, Scale, Tables
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
@@ -30,13 +30,13 @@
 def tables():
     made = Tables(Scale(16.0), lambda server: 2.0)
     for server, weight in ((A, 1.0), (B, 2.0)):
-        made.carry_out(api.SetLine(0, server, weight))
+        made.carry_out(model.SetWeight(0, server, weight))
     return made
 
 
 def test_a_bind_counts_its_table_and_shuts_out_what_was_held(tables):
     tables.join(5, [A, C])
-    assert tables.carry_out(api.Bind(0, 0, 5)) == {5: 3}
+    assert tables.carry_out(model.BindProxy(0, 0, 5)) == {5: 3}
     lines = tables.advance(5).lines
     assert (lines[0].server, lines[0].weight, lines[0].flags) == (C, 0, OUT)
     assert {line.server for line in lines[1:]} == {A, B}
@@ -46,35 +46,35 @@
 def test_a_withdrawal_reaches_bound_and_loose_holders_only(tables):
     for number, standing in ((1, [A]), (2, [B]), (3, [])):
         tables.join(number, standing)
-    tables.carry_out(api.Bind(0, 0, 3))
-    assert tables.carry_out(api.Withdraw(A, True)) == {3: 1, 1: 1}
+    tables.carry_out(model.BindProxy(0, 0, 3))
+    assert tables.carry_out(model.SetWithdrawn(A, True)) == {3: 1, 1: 1}
     assert [(line.server, line.weight, line.flags) for line in tables.advance(1).lines] == [(A, 0, SHUT)]
     assert tables.advance(2).lines == ()
-    assert tables.carry_out(api.Withdraw(A, False)) == {3: 1, 1: 1}
+    assert tables.carry_out(model.SetWithdrawn(A, False)) == {3: 1, 1: 1}
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(A, Scale(16.0)(2.0))]
 
 
 def test_what_a_proxy_is_written_follows_the_newest_state_only(tables):
     tables.join(1, [])
-    tables.carry_out(api.Bind(0, 0, 1))
+    tables.carry_out(model.BindProxy(0, 0, 1))
     tables.advance(1)
     for weight in (3.0, 4.0, 1.0):
-        tables.carry_out(api.SetLine(0, A, weight))
+        tables.carry_out(model.SetWeight(0, A, weight))
     assert tables.advance(1).lines == ()
 
 
 def test_proxies_of_a_table_share_one_way_from_state_to_state(tables):
     for number in (1, 2):
         tables.join(number, [])
-        tables.carry_out(api.Bind(0, 0, number))
+        tables.carry_out(model.BindProxy(0, 0, number))
         tables.advance(number)
-    tables.carry_out(api.SetLine(0, A, 5.0))
+    tables.carry_out(model.SetWeight(0, A, 5.0))
     assert tables.advance(1) is tables.advance(2)
 
 
 def test_further_servers_that_a_bound_proxy_admits_to_are_shut_out(tables):
     tables.join(1, [])
-    tables.carry_out(api.Bind(0, 0, 1))
+    tables.carry_out(model.BindProxy(0, 0, 1))
     tables.advance(1)
     assert tables.extend(1, [A, C]) == 1
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(C, 0)]
@@ -82,7 +82,10 @@
 
 def test_who_left_is_reached_by_nothing(tables):
     tables.join(1, [A])
-    tables.carry_out(api.Bind(0, 0, 1))
+    tables.carry_out(model.BindProxy(0, 0, 1))
     tables.leave(1)
-    assert tables.carry_out(api.SetLine(0, A, 3.0)) == {} and tables.carry_out(api.Withdraw(A, True)) == {}
-    assert tables.carry_out(api.Bind(0, 0, 1)) == {}
+    assert (
+        tables.carry_out(model.SetWeight(0, A, 3.0)) == {}
+        and tables.carry_out(model.SetWithdrawn(A, True)) == {}
+    )
+    assert tables.carry_out(model.BindProxy(0, 0, 1)) == {}
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.tables import OPEN, SHUT, Line
 from rainpick.emulator.chance import Chance
@@ -76,7 +76,10 @@
             order
             for order in super().step(now, events)
             if not (
-                type(order) is api.Withdraw and order.on or type(order) is api.SetLine and not order.weight
+                type(order) is model.SetWithdrawn
+                and order.withdrawn
+                or type(order) is model.SetWeight
+                and not order.weight
             )
         ]
 
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.daemon import Daemon
 from rainpick.settings import Settings, parse
@@ -74,7 +74,7 @@
         return [
             order
             for order in super().step(now, events)
-            if not (type(order) is api.Withdraw or type(order) is api.SetLine and not order.weight)
+            if not (type(order) is model.SetWithdrawn or type(order) is model.SetWeight and not order.weight)
         ]
 
 
@@ -86,7 +86,7 @@
     def step(self, now, events):
         orders = super().step(now, events)
         if now - self.since(now) > 2_000_000:
-            orders += [api.Withdraw(server, True) for server in self.servers]
+            orders += [model.SetWithdrawn(server, True) for server in self.servers]
         return orders
 
     def since(self, now):
@@ -100,7 +100,7 @@
 
 class TrustsTheCold(Director):
     def warm(self, held):
-        return held.state == api.READY
+        return held.state == model.EndpointState.READY
 
     def weight(self, held, table):
         young = held.entry.started_us > self.now - 3_000_000
@@ -122,7 +122,7 @@
     def step(self, now, events):
         self.turns = getattr(self, "turns", 0) + 1
         server = next(iter(getattr(self, "servers", {})), None)
-        talk = [api.SetLine(0, server, 1 + self.turns % 5)] * 40 if server else []
+        talk = [model.SetWeight(0, server, 1 + self.turns % 5)] * 40 if server else []
         return super().step(now, events) + talk
 
 
--- a/tests/node/paced.py
+++ b/tests/node/paced.py
@@ -8,7 +8,7 @@
 import time
 from itertools import count
 
-from rainpick import interface as api
+from rainpick import model
 from tests.node.platform import Relay
 from tests.takeover.channel import Channel, Held
 
@@ -25,15 +25,17 @@
     """The director's order that a line of a call stands for."""
     match words["verb"]:
         case "share":
-            return api.SetLine(words["cluster"], words["endpoint"], words["w"])
+            return model.SetWeight(words["cluster"], words["endpoint"], words["w"])
         case "bind":
-            return api.Bind(words["cluster"], api.ALL_ROUTES, words["node"])
+            return model.BindProxy(words["cluster"], model.ALL_ROUTES, words["node"])
         case "withdraw" | "restore":
-            return api.Withdraw(words["endpoint"], words["verb"] == "withdraw")
+            return model.SetWithdrawn(words["endpoint"], words["verb"] == "withdraw")
         case "admit":
-            return api.Admit(words["cluster"], sum(1 << ROUTES[name] for name in words["for"]), 1.0, 0)
+            return model.SetAdmission(
+                words["cluster"], sum(1 << ROUTES[name] for name in words["for"]), 1.0, 0
+            )
         case "mark":
-            return api.Mark(words["stamp"], bool(words["set"]))
+            return model.RequestAcknowledgement(words["stamp"], bool(words["set"]))
     raise ValueError(f"no order: {words}")
 
 
@@ -109,7 +111,11 @@
                 for at, sent in self.channel.write(now_us(), orders):
                     heapq.heappush(self.due, (at, next(self.numbers), sent))
                 for order in orders:
-                    if type(order) is api.Withdraw or type(order) is api.SetLine and not order.weight:
+                    if (
+                        type(order) is model.SetWithdrawn
+                        or type(order) is model.SetWeight
+                        and not order.weight
+                    ):
                         self.removed.add(order.server)
                 self.lock.notify()
         super().take(sock, message)
--- a/tests/node/test_belief.py
+++ b/tests/node/test_belief.py
@@ -1,6 +1,6 @@
 """What the director holds between two answers of discovery, and between two streams of news."""
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.node import belief
 from rainpick.node.belief import Begun, Listing, Over, Roster, Told
 from rainpick.node.codec import Merged, Ping, members
@@ -14,9 +14,12 @@
 def test_a_bad_entry_in_a_whole_list_says_nothing_of_its_server():
     """It was as if the server had been removed: a spoilt line would have shut out a sound server."""
     listing = Listing()
-    listing.take(news(True, entry(1), entry(2)), api.CACHED)
+    listing.take(news(True, entry(1), entry(2)), model.UpdateKind.CACHED)
     told = listing.take(news(True, entry(1), entry(2, weight="x"), entry(3, weight="x")))
-    assert told.kind == api.FULL and [one.address for one in told.servers] == ["s-0001", "s-0002"]
+    assert told.kind == model.UpdateKind.FULL and [one.address for one in told.endpoints] == [
+        "s-0001",
+        "s-0002",
+    ]
     assert listing.knows("s-0002") and not listing.knows("s-0003")
 
 
@@ -24,7 +27,7 @@
     listing = Listing()
     listing.take(news(True, entry(1), entry(2)))
     told = listing.take(news(False, entry(1, "Gone"), entry(3), version=2))
-    assert told.kind == api.DELTA and told.version == listing.version == 2
+    assert told.kind == model.UpdateKind.DELTA and told.version == listing.version == 2
     assert sorted(listing.entries) == ["s-0002", "s-0003"]
     assert listing.knows("s-0001"), "its last reports come late"
     listing.take(news(True, entry(1)))
@@ -43,7 +46,7 @@
 
 
 def joined(proxy):
-    return api.ProxyJoined(proxy, False, 1.0, 0)
+    return model.ProxyJoined(proxy, False, 1.0, 0)
 
 
 def told(roster, *events, stream=1):
@@ -63,8 +66,8 @@
     roster.take(Begun(2))
     # 1 may have left and come back unseen, its binding gone: the module has to bind it again.
     assert told(roster, joined(1), stream=2) == [joined(1)]
-    assert told(roster, joined(3), api.ProxyLeft(3), stream=2) == [joined(3), api.ProxyLeft(3)]
-    assert told(roster, Ping(), stream=2) == [api.ProxyLeft(2)] and set(roster.joined) == {1}
+    assert told(roster, joined(3), model.ProxyLeft(3), stream=2) == [joined(3), model.ProxyLeft(3)]
+    assert told(roster, Ping(), stream=2) == [model.ProxyLeft(2)] and set(roster.joined) == {1}
     assert told(roster, Ping(), stream=2) == []
 
 
@@ -75,7 +78,7 @@
     assert told(roster, joined(1), joined(4), stream=2) == [joined(4)]
     assert told(roster, Ping()) == [], "the former stream still speaks, and has not listed anything"
     assert told(roster, joined(2), stream=2) == []
-    assert told(roster, Ping(), stream=2) == [api.ProxyLeft(3)]
+    assert told(roster, Ping(), stream=2) == [model.ProxyLeft(3)]
     assert roster.take(Over(1)) == [] and set(roster.joined) == {1, 2, 4}
     assert told(roster, joined(1), stream=2) == [joined(1)], "it came back, and that is news"
 
@@ -85,7 +88,7 @@
     roster = with_joined(1, 2)
     roster.take(Begun(2))
     assert told(roster, joined(1), joined(2), Ping(), stream=2) == []
-    assert told(roster, api.ProxyLeft(2), stream=2) == [api.ProxyLeft(2)]
+    assert told(roster, model.ProxyLeft(2), stream=2) == [model.ProxyLeft(2)]
     assert roster.take(Over(1)) == [joined(1)]
     assert roster.take(Over(1)) == []
 
@@ -94,16 +97,16 @@
     """It left and came back just before the new stream listed it: the word of that comes last."""
     roster = with_joined(1, 2)
     roster.take(Begun(2))
-    assert told(roster, joined(1), Ping(), stream=2) == [api.ProxyLeft(2)]
-    assert told(roster, api.ProxyLeft(1), joined(1), joined(2), stream=1) == [joined(1), joined(1)]
+    assert told(roster, joined(1), Ping(), stream=2) == [model.ProxyLeft(2)]
+    assert told(roster, model.ProxyLeft(1), joined(1), joined(2), stream=1) == [joined(1), joined(1)]
     assert set(roster.joined) == {1}
 
 
 def test_news_of_who_is_not_joined_are_dropped():
     roster = with_joined()
-    assert told(roster, api.ProxyLeft(1), api.Applied(1, 5, 0)) == []
+    assert told(roster, model.ProxyLeft(1), model.Acknowledged(1, 5, 0)) == []
     told(roster, joined(1))
-    assert told(roster, api.Applied(1, 5, 0)) == [api.Applied(1, 5, 0)]
+    assert told(roster, model.Acknowledged(1, 5, 0)) == [model.Acknowledged(1, 5, 0)]
 
 
 def test_the_mark_of_calls_that_went_as_one_answers_for_all_of_them():
@@ -111,8 +114,8 @@
     roster = with_joined(1)
     roster.merged(Merged(7, (5, 6)))
     roster.merged(Merged(9, (7, 8)))  # the merged one had to wait again
-    assert [one.number for one in told(roster, api.Applied(1, 9, 20))] == [5, 6, 7, 8, 9]
-    assert [one.number for one in told(roster, api.Applied(1, 4, 20))] == [4]
+    assert [one.nonce for one in told(roster, model.Acknowledged(1, 9, 20))] == [5, 6, 7, 8, 9]
+    assert [one.nonce for one in told(roster, model.Acknowledged(1, 4, 20))] == [4]
     for number in range(100, 100 + 2 * belief.MERGED_MOST):
         roster.merged(Merged(number, (1,)))
     assert len(roster.earlier) == belief.MERGED_MOST
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.node.belief import Listing
 from rainpick.node.clock import OFFSETS_MOST, Clock
 from rainpick.node.codec import members
@@ -75,12 +75,12 @@
     listing = Listing(machine.clock)
     tell = [entry(1, started_ms=machine.wall() // 1000 - 60_000), entry(2, started_ms=machine.wall() // 1000)]
     news = members({"generation": 1, "reset": True, "instances": tell}, NAMES)
-    first = listing.take(news, api.CACHED).servers
+    first = listing.take(news, model.UpdateKind.CACHED).endpoints
     machine.real += 5 * SECOND
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
-        assert listing.take(news).servers == first
+        assert listing.take(news).endpoints == first
     restarted = members(
         {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]}, NAMES
     )
-    assert listing.take(restarted).servers[0].started_us == pytest.approx(machine.clock(), abs=1_000)
+    assert listing.take(restarted).endpoints[0].started_us == pytest.approx(machine.clock(), abs=1_000)
--- a/tests/node/test_codec.py
+++ b/tests/node/test_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.net import Ended
 from rainpick.node import codec
 from rainpick.node.codec import (
@@ -44,15 +44,15 @@
 def test_reports_become_events_in_the_settings_words_and_units():
     assert heard(JOIN, MET, CALLED) == [
         Collector(1),
-        api.ServerMet("s-5be2a07c", 0, 212, 3, 41_700, 1_000_000, (0.61, 7.0)),
-        api.ProxyMet(5, 0, 19, 0, 1_000_000),
+        model.ServerLoadReport("s-5be2a07c", 0, 212, 3, 41_700, 1_000_000, (0.61, 7.0)),
+        model.RouteLoadReport(5, 0, 19, 0, 1_000_000),
     ]
     # A load report counts whole or not at all.
     assert heard(JOIN, MET | {"metrics": {"util": 0.5}})[1].load == ()
     assert heard(JOIN, {name: value for name, value in MET.items() if name != "metrics"})[1].load == ()
     # Where no try was answered there is no mean time.
     none = {name: value for name, value in MET.items() if name != "rtt"} | {"errors": 212}
-    assert heard(JOIN, none)[1].mean_us == 0
+    assert heard(JOIN, none)[1].mean_latency_us == 0
 
 
 @given(st.lists(st.integers(1, 40)))
@@ -63,7 +63,13 @@
         found += reader.receive(data[:size])
         data = data[size:]
     found += reader.receive(data)
-    assert [type(one) for one in found] == [Heartbeat, Collector, api.ServerMet, Malformed, api.ProxyMet]
+    assert [type(one) for one in found] == [
+        Heartbeat,
+        Collector,
+        model.ServerLoadReport,
+        Malformed,
+        model.RouteLoadReport,
+    ]
 
 
 @pytest.mark.parametrize(
@@ -137,7 +143,7 @@
 )
 def test_a_spoilt_report_is_dropped_alone(field, value):
     found = heard(JOIN, MET | {field: value}, CALLED)
-    assert [type(one) for one in found] == [Collector, Malformed, api.ProxyMet], found
+    assert [type(one) for one in found] == [Collector, Malformed, model.RouteLoadReport], found
 
 
 @pytest.mark.parametrize(
@@ -156,13 +162,13 @@
 )
 def test_a_spoilt_count_of_calls_is_dropped_alone(field, value):
     found = heard(JOIN, CALLED | {field: value}, MET)
-    assert [type(one) for one in found] == [Collector, Malformed, api.ServerMet], found
+    assert [type(one) for one in found] == [Collector, Malformed, model.ServerLoadReport], found
 
 
 @pytest.mark.parametrize("absent", ["total", "errors", "rtt", "interval", "locality", "endpoint", "t"])
 def test_an_absent_field_spoils_a_report(absent):
     found = heard(JOIN, {name: value for name, value in MET.items() if name != absent}, CALLED)
-    assert [type(one) for one in found] == [Collector, Malformed, api.ProxyMet], found
+    assert [type(one) for one in found] == [Collector, Malformed, model.RouteLoadReport], found
 
 
 @pytest.mark.parametrize(
@@ -194,9 +200,9 @@
 
 
 def test_news():
-    assert told("attach", node=3, locality="b", w=21.5, cold=True) == api.ProxyJoined(3, True, 21.5, 1)
-    assert told("detach", node=3) == api.ProxyLeft(3)
-    assert told("done", node=3, nonce=905, latency=310.4) == api.Applied(3, 905, 310_400)
+    assert told("attach", node=3, locality="b", w=21.5, cold=True) == model.ProxyJoined(3, True, 21.5, 1)
+    assert told("detach", node=3) == model.ProxyLeft(3)
+    assert told("done", node=3, nonce=905, latency=310.4) == model.Acknowledged(3, 905, 310_400)
     assert codec.news(b'{"jsonrpc":"2.0","method":"ping"}', NAMES) == Ping()
 
 
@@ -224,15 +230,15 @@
 def test_orders_are_written_as_the_relay_reads_them():
     made = codec.call(
         [
-            api.SetLine(4, "s-1", 1.5),
-            api.ClearTable(4),
-            api.Bind(4, api.ALL_ROUTES, 17),
-            api.Bind(4, 2, 18),
-            api.Withdraw("s-1", True),
-            api.Withdraw("s-1", False),
-            api.Admit(4, 1, 0.9, 1),
-            api.Admit(api.ALL_TABLES, 0, 1.0, 0),
-            api.Mark(905, True),
+            model.SetWeight(4, "s-1", 1.5),
+            model.ClearTable(4),
+            model.BindProxy(4, model.ALL_ROUTES, 17),
+            model.BindProxy(4, 2, 18),
+            model.SetWithdrawn("s-1", True),
+            model.SetWithdrawn("s-1", False),
+            model.SetAdmission(4, 1, 0.9, 1),
+            model.SetAdmission(model.ALL_TABLES, 0, 1.0, 0),
+            model.RequestAcknowledgement(905, True),
         ]
     )
     message = json.loads(made.data(8, ROUTES))
@@ -253,8 +259,8 @@
 
 def test_a_long_step_is_split_in_order_and_each_part_is_marked():
     """Else the proxies that only the first part reaches would never answer, and count as waiting for good."""
-    orders = [api.SetLine(4, f"s-{number:06}", 1.0) for number in range(2000)]
-    left, sent = codec.call([*orders, api.Mark(7, False)]), []
+    orders = [model.SetWeight(4, f"s-{number:06}", 1.0) for number in range(2000)]
+    left, sent = codec.call([*orders, model.RequestAcknowledgement(7, False)]), []
     while left is not None:
         part = left.part(ROUTES)
         assert len(part.data(1, ROUTES)) <= 60_000
@@ -265,7 +271,10 @@
 
 
 def test_a_refused_order_is_left_out_and_the_rest_is_marked_too():
-    binds, mark = tuple(api.Bind(1, 0, number) for number in range(3)), api.Mark(7, False)
+    binds, mark = (
+        tuple(model.BindProxy(1, 0, number) for number in range(3)),
+        model.RequestAcknowledgement(7, False),
+    )
     made = codec.Call(mark, binds)
     assert made.rest(2, made) == codec.Call(mark, binds[2:]), "the mark and one stand, the second was refused"
     assert made.rest(3, made) is None, "the last was refused: nothing is left that needs a mark"
@@ -279,19 +288,25 @@
     told during an outage of the relay was read 0.1 s after the grace."""
 
     def line(server, weight):
-        return api.SetLine(1, server, weight)
+        return model.SetWeight(1, server, weight)
 
     waiting = [
-        codec.Call(api.Mark(1, False), (line("a", 1.0), line("b", 1.0), api.Withdraw("c", True))),
-        codec.Call(None, (api.Bind(1, 0, 5),)),
-        codec.Call(api.Mark(2, True), (api.Withdraw("c", False), line("a", 2.0))),
-        codec.Call(api.Mark(3, False), (api.Withdraw("d", True), api.Bind(1, 0, 5))),
+        codec.Call(
+            model.RequestAcknowledgement(1, False),
+            (line("a", 1.0), line("b", 1.0), model.SetWithdrawn("c", True)),
+        ),
+        codec.Call(None, (model.BindProxy(1, 0, 5),)),
+        codec.Call(model.RequestAcknowledgement(2, True), (model.SetWithdrawn("c", False), line("a", 2.0))),
+        codec.Call(
+            model.RequestAcknowledgement(3, False), (model.SetWithdrawn("d", True), model.BindProxy(1, 0, 5))
+        ),
     ]
     found, told = codec.merged(waiting)
     assert found == [
-        codec.Call(api.Mark(1, False), (api.Withdraw("d", True),)),
+        codec.Call(model.RequestAcknowledgement(1, False), (model.SetWithdrawn("d", True),)),
         codec.Call(
-            api.Mark(3, True), (line("b", 1.0), api.Withdraw("c", False), line("a", 2.0), api.Bind(1, 0, 5))
+            model.RequestAcknowledgement(3, True),
+            (line("b", 1.0), model.SetWithdrawn("c", False), line("a", 2.0), model.BindProxy(1, 0, 5)),
         ),
     ]
     assert told == codec.Merged(3, (1, 2))
@@ -299,17 +314,24 @@
 
 def test_nothing_is_void_where_a_table_is_cleared_and_no_mark_is_made_up():
     cleared = [
-        codec.Call(None, (api.SetLine(1, "a", 1.0),)),
-        codec.Call(None, (api.ClearTable(1), api.SetLine(1, "a", 1.0))),
+        codec.Call(None, (model.SetWeight(1, "a", 1.0),)),
+        codec.Call(None, (model.ClearTable(1), model.SetWeight(1, "a", 1.0))),
     ]
     assert codec.merged(cleared) == (
-        [codec.Call(None, (api.SetLine(1, "a", 1.0), api.ClearTable(1), api.SetLine(1, "a", 1.0)))],
+        [codec.Call(None, (model.SetWeight(1, "a", 1.0), model.ClearTable(1), model.SetWeight(1, "a", 1.0)))],
         None,
     )
     # One mark cannot stand for two messages: it would be answered by the first.
-    one = [codec.Call(api.Mark(1, False), (api.Withdraw("a", True),)), codec.Call(None, (api.Bind(1, 0, 1),))]
+    one = [
+        codec.Call(model.RequestAcknowledgement(1, False), (model.SetWithdrawn("a", True),)),
+        codec.Call(None, (model.BindProxy(1, 0, 1),)),
+    ]
     found, told = codec.merged(one)
-    assert found == [codec.Call(api.Mark(1, False), (api.Withdraw("a", True), api.Bind(1, 0, 1)))]
+    assert found == [
+        codec.Call(
+            model.RequestAcknowledgement(1, False), (model.SetWithdrawn("a", True), model.BindProxy(1, 0, 1))
+        )
+    ]
     assert told == codec.Merged(1, ())
 
 
@@ -348,7 +370,9 @@
     ]
     good = entry(1, started_ms=1_700_000_000_000)
     news = codec.members({"generation": 41, "reset": True, "instances": [good, *bad]}, NAMES)
-    assert news.servers == (api.Server(1.0, 1, 1_700_000_000_000_000, 0, 0, "s-0001", api.READY),)
+    assert news.servers == (
+        model.Endpoint(1.0, 1, 1_700_000_000_000_000, 0, 0, "s-0001", model.EndpointState.READY),
+    )
     assert len(news.errors) == 5 and news.unread == {"s-0002", "s-0003", "s-0004", "s-0005"}
     for odd in (
         [],
--- a/tests/node/test_core.py
+++ b/tests/node/test_core.py
@@ -3,7 +3,7 @@
 import json
 import time
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.node.clock import Clock
@@ -44,21 +44,25 @@
 def test_a_report_of_a_server_that_nobody_listed_is_dropped_and_counted(tmp_path):
     """Malformed, it names nobody, and would count among what the fleet answers and drops."""
     made, module, _ = core(tmp_path)
-    told, spoilt = (api.ServerMet(name, 0, 5, 5, 0, 500_000, ()) for name in ("s-0001", "s-ffff"))
-    made.turn([], [spoilt, told, api.ProxyMet(1, 0, 3, 0, 500_000)])
-    assert module.heard[2:] == [told, api.ProxyMet(1, 0, 3, 0, 500_000)] and made.unknown == 1
+    told, spoilt = (model.ServerLoadReport(name, 0, 5, 5, 0, 500_000, ()) for name in ("s-0001", "s-ffff"))
+    made.turn([], [spoilt, told, model.RouteLoadReport(1, 0, 3, 0, 500_000)])
+    assert module.heard[2:] == [told, model.RouteLoadReport(1, 0, 3, 0, 500_000)] and made.unknown == 1
     made.turn([members({"generation": 1, "reset": False, "instances": [entry(0xFFFF)]}, NAMES)], [spoilt])
     assert module.heard[-1] == spoilt and made.unknown == 1, "listed in the same turn it is known"
 
 
 def test_only_what_the_relay_knows_leaves_as_a_call(tmp_path):
     made, module, sent = core(tmp_path)
-    module.orders = [api.Subscribe(True), api.Note("x"), api.SetTimer(0, 1000)]
-    made.turn([], [api.ProxyMet(1, 0, 3, 0, 500_000)])
+    module.orders = [model.Subscribe(True), model.LogMessage("x"), model.SetTimer(0, 1000)]
+    made.turn([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
     assert sent == [], "no call without an order"
-    module.orders = [api.Subscribe(True), api.Withdraw("s-0001", True), api.Mark(3, False)]
-    made.turn([], [api.ProxyMet(1, 0, 3, 0, 500_000)])
-    assert sent == [Call(api.Mark(3, False), (api.Withdraw("s-0001", True),))]
+    module.orders = [
+        model.Subscribe(True),
+        model.SetWithdrawn("s-0001", True),
+        model.RequestAcknowledgement(3, False),
+    ]
+    made.turn([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
+    assert sent == [Call(model.RequestAcknowledgement(3, False), (model.SetWithdrawn("s-0001", True),))]
 
 
 def test_nothing_is_stepped_when_nothing_came(tmp_path):
@@ -114,8 +118,10 @@
         made.stepped_us = 0
         change = entry(turn % 9, "Terminating" if turn % 2 else "Ready", started_ms=1_000 + turn, **place)
         news = members({"generation": turn + 1, "reset": False, "instances": [change]}, told.names)
-        heard = [api.ServerMet(f"s-{number:04x}", 0, 20, turn, 40_000, 500_000, ()) for number in range(9)]
-        made.stepper.events += [api.ProxyJoined(turn, True, 10.0 + turn, 0)]
+        heard = [
+            model.ServerLoadReport(f"s-{number:04x}", 0, 20, turn, 40_000, 500_000, ()) for number in range(9)
+        ]
+        made.stepper.events += [model.ProxyJoined(turn, True, 10.0 + turn, 0)]
         made.turn([news], heard)
         yield list(sent)
 
@@ -138,7 +144,12 @@
 def test_a_call_in_doubt_is_told_to_the_module_with_all_that_its_mark_stands_for(tmp_path):
     made, module, _ = core(tmp_path)
     made.turn([Merged(7, (5, 6)), Doubt(7), Doubt(9)], [])
-    assert module.heard[2:] == [api.Repeated(5), api.Repeated(6), api.Repeated(7), api.Repeated(9)]
+    assert module.heard[2:] == [
+        model.Retransmitted(5),
+        model.Retransmitted(6),
+        model.Retransmitted(7),
+        model.Retransmitted(9),
+    ]
 
 
 def test_a_takeover_and_what_nears_its_grace_are_logged(tmp_path, capsys):
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.http1.client import Client, ClientError
 from rainpick.net.streams import Stream
 from rainpick.node import relay as relay_module
@@ -120,7 +120,7 @@
 
 
 def step(*tables):
-    return call([api.ClearTable(table) for table in tables])
+    return call([model.ClearTable(table) for table in tables])
 
 
 def calling(relay):
@@ -209,7 +209,7 @@
     """Carried out and not answered, it waits twice in the channel: the module must know."""
     told, relay.ways = [], ["unheard", "busy"]
     calls = begun(Calls(relay.address, list(NAMES.routes), told.append))
-    calls.put(call([api.ClearTable(1), api.Mark(8, False)]))
+    calls.put(call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
     until(lambda: cleared(relay) == [1, 1] and calls.counts["calls"] == 1, "the call, twice")
     assert told == [Doubt(8)], "what was refused was not carried out"
 
@@ -219,7 +219,7 @@
     relay.close()
     calls = begun(Calls(place, list(NAMES.routes), lambda told: None))
     for turn in range(500):
-        calls.put(call([api.SetLine(1, "s-1", float(turn)), api.Withdraw("s-2", bool(turn % 2))]))
+        calls.put(call([model.SetWeight(1, "s-1", float(turn)), model.SetWithdrawn("s-2", bool(turn % 2))]))
     until(lambda: calls.queue.empty() and sum(len(one.orders) for one in calls.waiting) == 2, "what is left")
     other = Relay()
     calls.move(other.address)
@@ -297,7 +297,7 @@
     watch.move(other.address)
     on.set()
     until(lambda: found, "the list")
-    assert not discovery.asked and states(found) == [{"s-0003": api.READY}]
+    assert not discovery.asked and states(found) == [{"s-0003": model.EndpointState.READY}]
     other.close()
 
 
@@ -312,7 +312,10 @@
     until(lambda: len(found) == 2, "the list there")
     other.change(entry(3, "Terminating"))
     until(lambda: len(found) == 3, "a change there")
-    assert states(found)[1:] == [{"s-0003": api.READY}, {"s-0003": api.DRAINING}]
+    assert states(found)[1:] == [
+        {"s-0003": model.EndpointState.READY},
+        {"s-0003": model.EndpointState.DRAINING},
+    ]
     other.close()
 
 
@@ -357,11 +360,16 @@
     with discovery.changed:
         discovery.odd = [old, old]
     discovery.change(entry(1, "Terminating"))
-    until(lambda: not discovery.odd and states(found)[-1]["s-0001"] == api.DRAINING, "the drain")
+    until(
+        lambda: not discovery.odd and states(found)[-1]["s-0001"] == model.EndpointState.DRAINING, "the drain"
+    )
     discovery.change(entry(2, "Terminating"))
-    until(lambda: states(found)[-1].get("s-0002") == api.DRAINING, "the next")
+    until(lambda: states(found)[-1].get("s-0002") == model.EndpointState.DRAINING, "the next")
     seen = [told["s-0001"] for told in states(found) if "s-0001" in told]
-    assert seen.index(api.DRAINING) and api.READY not in seen[seen.index(api.DRAINING) :]
+    assert (
+        seen.index(model.EndpointState.DRAINING)
+        and model.EndpointState.READY not in seen[seen.index(model.EndpointState.DRAINING) :]
+    )
 
 
 def test_a_change_that_cannot_be_read_is_told_by_the_whole_list(discovery):
@@ -378,7 +386,7 @@
 
     discovery.told = spoils
     discovery.change(entry(1, "Terminating"))
-    until(lambda: states(found)[-1].get("s-0001") == api.DRAINING, "the drain")
+    until(lambda: states(found)[-1].get("s-0001") == model.EndpointState.DRAINING, "the drain")
 
 
 def test_a_client_that_is_aborted_makes_no_call_any_more(discovery):
--- a/tests/node/test_listener.py
+++ b/tests/node/test_listener.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.net.streams import Listener
 from rainpick.node import listener as listener_module
 from rainpick.node.codec import HEARTBEAT_OK, frame
@@ -58,7 +58,7 @@
         peer.send({"t": "hb"}, {"t": "telemetry", "locality": "a"}, met(), {"t": "hb"})
         assert peer.answer(2 * len(HEARTBEAT_OK)) == 2 * HEARTBEAT_OK
         news, reports = mailbox.take(5)
-        assert not news and reports == [api.ServerMet("s-1", 0, 2, 1, 4000, 500_000, ())]
+        assert not news and reports == [model.ServerLoadReport("s-1", 0, 2, 1, 4000, 500_000, ())]
 
 
 def test_a_heartbeat_in_single_bytes_and_several_in_one_piece_are_answered():
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.node import relay as relay_module
 from rainpick.node.belief import Begun, Told
 from rainpick.node.codec import Merged, Ping, call
@@ -21,8 +21,8 @@
 
 
 def step(*tables, mark=None):
-    orders = [api.ClearTable(table) for table in tables]
-    return call(orders + ([api.Mark(mark, False)] if mark is not None else []))
+    orders = [model.ClearTable(table) for table in tables]
+    return call(orders + ([model.RequestAcknowledgement(mark, False)] if mark is not None else []))
 
 
 @pytest.mark.parametrize(
@@ -158,12 +158,12 @@
         relay.tell("done", node=1, nonce=5, latency=2.5)
         relay.tell("done", node=99, nonce=5, latency=2.5)  # nobody: dropped
         relay.tell("detach", node=2)
-        until(lambda: Told(1, api.ProxyLeft(2)) in found, "the last of them")
+        until(lambda: Told(1, model.ProxyLeft(2)) in found, "the last of them")
         assert events(found, 1) == [
-            api.ProxyJoined(1, True, 10.0, 0),
-            api.ProxyLeft(1),
-            api.Applied(1, 5, 2500),
-            api.ProxyLeft(2),
+            model.ProxyJoined(1, True, 10.0, 0),
+            model.ProxyLeft(1),
+            model.Acknowledged(1, 5, 2500),
+            model.ProxyLeft(2),
         ]
 
 
@@ -187,9 +187,9 @@
     with listening(relay) as (news, found):
         until(lambda: Told(1, Ping()) in found, "a heartbeat")
         news.move(other.address)
-        until(lambda: events(found, 2) == [api.ProxyJoined(2, True, 10.0, 0)], "who is joined there")
+        until(lambda: events(found, 2) == [model.ProxyJoined(2, True, 10.0, 0)], "who is joined there")
         relay.tell("done", node=2, nonce=5, latency=2.5)
-        until(lambda: events(found, 1) == [api.Applied(2, 5, 2500)], "what the old address still says")
+        until(lambda: events(found, 1) == [model.Acknowledged(2, 5, 2500)], "what the old address still says")
         relay.close()
         until(lambda: "Over 1" in turns(found), "its end")
         assert turns(found) == ["Begun 1", "Begun 2", "Over 1"] and news.streams == 2
--- a/tests/node/test_watch.py
+++ b/tests/node/test_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.http1.server import Answer
 from rainpick.node import watch as watch_module
 from tests.node.platform import Discovery, entry, following, states
@@ -20,9 +20,9 @@
     until(lambda: len(found) == 3, "the next")
     assert [news.full for news in found] == [True, False, False]
     assert states(found) == [
-        {"s-0001": api.READY, "s-0002": api.READY},
-        {"s-0001": api.DRAINING},
-        {"s-0001": api.GONE, "s-0003": api.READY},
+        {"s-0001": model.EndpointState.READY, "s-0002": model.EndpointState.READY},
+        {"s-0001": model.EndpointState.DRAINING},
+        {"s-0001": model.EndpointState.GONE, "s-0003": model.EndpointState.READY},
     ]
 
 
@@ -73,5 +73,5 @@
     watch.move(other.address)
     until(lambda: len(found) == 2, "the list there")
     assert found[1].full and watch.failed == 1
-    assert states(found)[1] == {"s-0001": api.READY, "s-0002": api.DRAINING}
+    assert states(found)[1] == {"s-0001": model.EndpointState.READY, "s-0002": model.EndpointState.DRAINING}
     other.close()
--- a/tests/play.py
+++ b/tests/play.py
@@ -12,7 +12,7 @@
     MS: met a TRIES DROPPED [MEAN_MS [SPAN_MS]]          a report of what the proxies met at a server
     MS: again MARK                                       what had this mark may have been written twice
     MS: calls P ROUTE N                                  a report of what came to a proxy in the last second
-    MS: probed a OUTCOME                                 a probe's end, by the interface's number
+    MS: probed a OUTCOME                                 a probe's end, by the number of its outcome
     MS: stall MS2                                        no batch before MS2; then all at once
     see ORDER...              this order was given since the last batch line began, ``*``: anything
     not ORDER...              none like this was given
@@ -26,11 +26,31 @@
 import fnmatch
 from heapq import heappop, heappush
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.wording import value as read
 
-STATES = {"": api.READY, "new": api.READY, "drain": api.DRAINING, "gone": api.GONE}
+# What scenarios call the commands.
+COMMAND_NAMES = {
+    model.SetWeight: "setline",
+    model.ClearTable: "cleartable",
+    model.SetWithdrawn: "withdraw",
+    model.RequestAcknowledgement: "mark",
+    model.BindProxy: "bind",
+    model.SetAdmission: "admit",
+    model.ProbeServer: "probe",
+    model.SendPeerMessage: "tell",
+    model.SetTimer: "settimer",
+    model.Subscribe: "subscribe",
+    model.FetchEndpoints: "fetchlist",
+    model.LogMessage: "note",
+}
+STATES = {
+    "": model.EndpointState.READY,
+    "new": model.EndpointState.READY,
+    "drain": model.EndpointState.DRAINING,
+    "gone": model.EndpointState.GONE,
+}
 
 
 class Play:
@@ -47,54 +67,58 @@
         started = self.now if state == "new" else old.started_us if old else 0
         zone = old.zone if old else len(self.listed) % 2
         fields = float(weight or 1), zone, started, name.isupper(), 0, name, STATES[state]
-        self.listed[name] = api.Server(*fields)
+        self.listed[name] = model.Endpoint(*fields)
         return self.listed[name]
 
     def event(self, verb, *words):
         if verb == "start":
             self.joined, self.table, self.shut, self.bells, self.director = {}, {}, set(), [], Director()
-            return api.Started(7, self.settings)
+            return model.Started(7, self.settings)
         if verb in ("cached", "full", "list"):
-            kind = {"cached": api.CACHED, "full": api.FULL, "list": api.DELTA}[verb]
-            return api.Listed(kind, tuple(self.server(word) for word in words), 1)
+            kind = {
+                "cached": model.UpdateKind.CACHED,
+                "full": model.UpdateKind.FULL,
+                "list": model.UpdateKind.DELTA,
+            }[verb]
+            return model.EndpointUpdate(kind, tuple(self.server(word) for word in words), 1)
         if verb in ("join", "back"):
             number, rate, zone = (*map(int, words), *(1, 0)[len(words) - 1 :])
             self.joined[number], self.writes[number] = None, []
-            return api.ProxyJoined(number, verb == "join", float(rate), zone)
+            return model.ProxyJoined(number, verb == "join", float(rate), zone)
         if verb == "left":
             del self.joined[int(words[0])]
-            return api.ProxyLeft(int(words[0]))
+            return model.ProxyLeft(int(words[0]))
         if verb == "met":
             tries, dropped, mean, span = (*map(int, words[1:]), *(50, 1000)[len(words) - 3 :])
-            return api.ServerMet(words[0], 0, tries, dropped, mean * 1000, span * 1000, ())
+            return model.ServerLoadReport(words[0], 0, tries, dropped, mean * 1000, span * 1000, ())
         if verb == "again":
-            return api.Repeated(int(words[0]))
+            return model.Retransmitted(int(words[0]))
         if verb == "calls":
-            return api.ProxyMet(*map(int, words), 0, 1_000_000)
+            return model.RouteLoadReport(*map(int, words), 0, 1_000_000)
         assert verb == "probed", f"no event is called {verb}"
-        return api.ProbeEnded(words[0], int(words[1]), 1000, ())
+        return model.ProbeCompleted(words[0], int(words[1]), 1000, ())
 
     def step(self, events):
         reached = set()
         for order in self.director.step(self.now, events):
-            name = type(order).__name__.lower()
-            if type(order) is api.SetTimer:
+            name = COMMAND_NAMES[type(order)]
+            if type(order) is model.SetTimer:
                 heappush(self.bells, (self.now + order.delay_us, order.token))
-            elif type(order) is api.Bind:
+            elif type(order) is model.BindProxy:
                 self.joined[order.proxy] = order.table
                 reached.add(order.proxy)
-            elif type(order) is api.SetLine:
+            elif type(order) is model.SetWeight:
                 lines = self.table.setdefault(order.table, {})
                 lines[order.server] = order.weight
                 if not order.weight:
                     del lines[order.server]
                 reached.update(number for number, table in self.joined.items() if table == order.table)
-            elif type(order) is api.Withdraw:
-                (self.shut.add if order.on else self.shut.discard)(order.server)
+            elif type(order) is model.SetWithdrawn:
+                (self.shut.add if order.withdrawn else self.shut.discard)(order.server)
                 reached.update(self.joined)
-            elif type(order) is api.Mark:
-                answers = [api.Applied(number, order.number, 0) for number in reached - self.deaf]
-                heappush(self.bells, (self.now + 300_000, -1, order.number, answers))
+            elif type(order) is model.RequestAcknowledgement:
+                answers = [model.Acknowledged(number, order.nonce, 0) for number in reached - self.deaf]
+                heappush(self.bells, (self.now + 300_000, -1, order.nonce, answers))
             self.seen.append(" ".join([name, *(str(field) for field in order)]))
         for number in reached:
             self.writes[number].append(self.now)
@@ -104,7 +128,7 @@
             due, token, *answers = heappop(self.bells)
             self.now = max(due, self.blocked, self.now)
             answers = [event for event in answers[-1] if event.proxy in self.joined] if answers else []
-            self.step(answers if token == -1 else [api.TimerDue(token)])
+            self.step(answers if token == -1 else [model.TimerFired(token)])
         self.now = moment
 
     def line(self, text):
--- a/tests/publish/test_follow.py
+++ b/tests/publish/test_follow.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.director.tables import HISTORY, Scale, Tables
 from rainpick.publish import payloads
 from rainpick.publish.follow import Follower, Writer, canonical_digest
@@ -25,7 +25,7 @@
     def __init__(self, servers=12):
         self.tables, self.writer, self.follower = Tables(Scale(16.0), lambda _: 1.0), Writer("e1"), Follower()
         for number in range(servers):
-            self.tables.carry_out(api.SetLine(0, key(number), 1.0))
+            self.tables.carry_out(model.SetWeight(0, key(number), 1.0))
         self.held = None
         self.follower.take(Orders("e1", 0, (), self.send()))
 
@@ -37,7 +37,7 @@
         return part
 
     def weight(self, number, weight):
-        self.tables.carry_out(api.SetLine(0, key(number), weight))
+        self.tables.carry_out(model.SetWeight(0, key(number), weight))
 
     def exact(self):
         return self.follower.lines == {
@@ -160,7 +160,7 @@
         elif step == "out":
             side.weight(number, 0.0)
         elif step in ("shut", "open"):
-            side.tables.carry_out(api.Withdraw(key(number), step == "shut"))
+            side.tables.carry_out(model.SetWithdrawn(key(number), step == "shut"))
         elif step == "send":
             queue.append(side.send())
             if chance.random() < 0.7:
@@ -230,7 +230,7 @@
         )
         self.tables.overlay = self.pins.overlay
         for number in range(4):
-            self.tables.carry_out(api.SetLine(0, key(number), 1.0))
+            self.tables.carry_out(model.SetWeight(0, key(number), 1.0))
         self.first = self.tables.current(0)
 
     def weights(self):
@@ -242,14 +242,14 @@
 def test_a_rollback_is_a_new_version_with_old_content_less_what_drained_or_went():
     fleet = Fleet()
     for number in range(4):
-        fleet.tables.carry_out(api.SetLine(0, key(number), 2.0))
+        fleet.tables.carry_out(model.SetWeight(0, key(number), 2.0))
     second = fleet.tables.current(0)
-    fleet.tables.carry_out(api.Withdraw(key(0), True))
+    fleet.tables.carry_out(model.SetWithdrawn(key(0), True))
     fleet.gone.add(key(1))
     fleet.pins.pin(0, fleet.first, "staff", "weights of the morning", 5)
     assert fleet.weights() == {2: 4096, 3: 4096}
     assert fleet.tables.current(0).version > second.version
-    fleet.tables.carry_out(api.SetLine(0, key(2), 0.5))
+    fleet.tables.carry_out(model.SetWeight(0, key(2), 0.5))
     assert fleet.weights() == {2: 4096, 3: 4096}, "pinned"
     fleet.pins.release(0)
     assert fleet.weights() == {1: 8192, 2: 2048, 3: 8192}
@@ -258,21 +258,21 @@
 def test_a_pin_never_gives_a_cold_server_more_than_the_decisions_do():
     fleet = Fleet()
     fleet.cold.add(key(3))
-    fleet.tables.carry_out(api.SetLine(0, key(3), 0.16))
+    fleet.tables.carry_out(model.SetWeight(0, key(3), 0.16))
     fleet.pins.pin(0, fleet.first, "staff", "why not", 5)
     assert fleet.weights()[3] == Scale(16.0)(0.16)
-    fleet.tables.carry_out(api.SetLine(0, key(3), 0.0))
+    fleet.tables.carry_out(model.SetWeight(0, key(3), 0.0))
     assert 3 not in fleet.weights()
 
 
 def test_when_nothing_open_is_left_the_ordinary_table_is_published():
     fleet = Fleet()
     fleet.pins.pin(0, fleet.first, "staff", "a test", 5)
-    fleet.tables.carry_out(api.SetLine(0, key(9), 1.0))
+    fleet.tables.carry_out(model.SetWeight(0, key(9), 1.0))
     for number in range(4):
-        fleet.tables.carry_out(api.Withdraw(key(number), True))
+        fleet.tables.carry_out(model.SetWithdrawn(key(number), True))
     assert fleet.weights() == {9: 4096} and fleet.pins.idle == {0}
-    fleet.tables.carry_out(api.Withdraw(key(2), False))
+    fleet.tables.carry_out(model.SetWithdrawn(key(2), False))
     assert fleet.weights() == {2: 4096} and not fleet.pins.idle
 
 
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -6,7 +6,7 @@
 import pytest
 from click.testing import CliRunner
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.cli import main
 from rainpick.record import inspect
 from rainpick.record.compare import POINTS, Compare, Series
@@ -28,26 +28,60 @@
 }
 
 
-def entry(address, state=api.READY, started_us=0, weight=1.0):
-    return api.Server(weight, 0, started_us, 0, 0, address, state)
+def entry(address, state=model.EndpointState.READY, started_us=0, weight=1.0):
+    return model.Endpoint(weight, 0, started_us, 0, 0, address, state)
 
 
 def view():
     one = View(WORDS)
-    one.hear(0, [api.Listed(api.CACHED, (entry(ONE), entry(TWO)), 1), api.ProxyJoined(7, True, 1.0, 0)])
-    one.take(0, [api.SetLine(0, ONE, 1.0), api.SetLine(0, TWO, 1.0), api.Bind(0, 1, 7), api.Mark(1, False)])
+    one.hear(
+        0,
+        [
+            model.EndpointUpdate(model.UpdateKind.CACHED, (entry(ONE), entry(TWO)), 1),
+            model.ProxyJoined(7, True, 1.0, 0),
+        ],
+    )
+    one.take(
+        0,
+        [
+            model.SetWeight(0, ONE, 1.0),
+            model.SetWeight(0, TWO, 1.0),
+            model.BindProxy(0, 1, 7),
+            model.RequestAcknowledgement(1, False),
+        ],
+    )
     return one
 
 
 def test_a_view_counts_what_users_ask_for():
     one = view()
-    one.hear(1_000_000, [api.Applied(7, 1, 5), api.Listed(api.DELTA, (entry(ONE, api.DRAINING),), 2)])
-    one.take(2_000_000, [api.Withdraw(ONE, True), api.Mark(2, False)])
+    one.hear(
+        1_000_000,
+        [
+            model.Acknowledged(7, 1, 5),
+            model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2),
+        ],
+    )
+    one.take(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
     assert one.nearest["drain"].part == 0.5 and one.nearest["drain"].who == "10.0.0.1:1"
-    one.take(2_500_000, [api.Withdraw(TWO, True), api.Mark(3, False)])
-    one.take(2_700_000, [api.Withdraw(TWO, False), api.SetLine(0, TWO, 0.25), api.Mark(4, False)])
+    one.take(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
+    one.take(
+        2_700_000,
+        [
+            model.SetWithdrawn(TWO, False),
+            model.SetWeight(0, TWO, 0.25),
+            model.RequestAcknowledgement(4, False),
+        ],
+    )
     one.hear(2_800_000, [])
-    one.take(2_800_000, [api.SetLine(0, TWO, 0.5), api.Admit(0, 1, 20.0, api.NO_RETRY), api.Mark(5, False)])
+    one.take(
+        2_800_000,
+        [
+            model.SetWeight(0, TWO, 0.5),
+            model.SetAdmission(0, 1, 20.0, model.RetryPolicy.NO_RETRY),
+            model.RequestAcknowledgement(5, False),
+        ],
+    )
     one.hear(5_800_000, [])
     found = one.counts
     assert (found["ejections"], found["returns"], found["drains and losses told"]) == (1, 1, 1)
@@ -58,42 +92,51 @@
 
 def test_a_cold_server_is_measured_by_what_it_surely_can_do():
     one = view()
-    one.hear(20_000_000, [api.Listed(api.DELTA, (entry(TWO, started_us=20_000_000),), 2)])
+    one.hear(
+        20_000_000, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(TWO, started_us=20_000_000),), 2)]
+    )
     one.take(20_000_000, [])
     assert one.nearest["cold"].part == pytest.approx(5.0)  # full weight, and it can do a fifth
-    one.take(20_000_000, [api.SetLine(0, TWO, 0.1)])
+    one.take(20_000_000, [model.SetWeight(0, TWO, 0.1)])
     assert one.nearest["cold"].part == pytest.approx(5.0)
 
 
 def test_a_drain_told_table_by_table_is_told_with_the_last():
     one = view()
-    one.take(0, [api.SetLine(1, ONE, 1.0)])
-    one.hear(0, [api.Listed(api.DELTA, (entry(ONE, api.DRAINING),), 2)])
-    one.take(500_000, [api.SetLine(0, ONE, 0.0)])
+    one.take(0, [model.SetWeight(1, ONE, 1.0)])
+    one.hear(
+        0, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2)]
+    )
+    one.take(500_000, [model.SetWeight(0, ONE, 0.0)])
     assert "drain" not in one.nearest
-    one.take(1_000_000, [api.SetLine(1, ONE, 0.0)])
+    one.take(1_000_000, [model.SetWeight(1, ONE, 0.0)])
     assert one.nearest["drain"].part == 0.5
 
 
 def test_shares_are_of_calls_and_follow_the_proxies():
     one = view()
     assert one.shares() == {ONE: 0.5, TWO: 0.5}
-    one.take(1, [api.SetLine(0, ONE, 3.0)])
+    one.take(1, [model.SetWeight(0, ONE, 3.0)])
     assert one.shares() == {ONE: 0.75, TWO: 0.25}
-    one.take(2, [api.Withdraw(ONE, True)])
+    one.take(2, [model.SetWithdrawn(ONE, True)])
     assert one.shares() == {TWO: 1.0}
-    one.hear(3, [api.ProxyLeft(7)])
+    one.hear(3, [model.ProxyLeft(7)])
     assert one.shares() == {}
 
 
 def test_where_the_two_part_too_far_the_replay_says_that_it_no_longer_tells():
     both = Compare(0, WORDS, WORDS)
-    first = [api.SetLine(0, ONE, 1.0), api.SetLine(0, TWO, 1.0), api.Bind(0, 1, 7), api.Mark(1, False)]
-    both.take(0, [api.ProxyJoined(7, True, 1.0, 0)], first, first)
+    first = [
+        model.SetWeight(0, ONE, 1.0),
+        model.SetWeight(0, TWO, 1.0),
+        model.BindProxy(0, 1, 7),
+        model.RequestAcknowledgement(1, False),
+    ]
+    both.take(0, [model.ProxyJoined(7, True, 1.0, 0)], first, first)
     for second in range(1, 20):
         both.take(second * 1_000_000, [], [], [])
     assert both.result().tells_until_s is None
-    both.take(20_000_000, [], [], [api.Withdraw(ONE, True)])
+    both.take(20_000_000, [], [], [model.SetWithdrawn(ONE, True)])
     for second in range(21, 40):
         both.take(second * 1_000_000, [], [], [])
     found = both.result()
--- a/tests/record/test_exchange.py
+++ b/tests/record/test_exchange.py
@@ -5,7 +5,7 @@
 import pytest
 from click.testing import CliRunner
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.cli import main
 from rainpick.record.clock import play_together, reach_together, reports_by_time, together, written
@@ -37,8 +37,8 @@
     lived(tmp_path / "day")
     log = Log(tmp_path / "day", sync=False)
     log.append(5, LOST, b"3")
-    rest = [api.Tell(None, b"x"), api.FetchList()]
-    log.append(6, STEP, write_step(Step(7, [api.PeerSaid(1, b"\x00\xff")], rest)))
+    rest = [model.SendPeerMessage(None, b"x"), model.FetchEndpoints()]
+    log.append(6, STEP, write_step(Step(7, [model.PeerMessageReceived(1, b"\x00\xff")], rest)))
     log.close()
     out = tmp_path / "day.jsonl"
     assert CliRunner().invoke(main, ["record", "export", str(tmp_path / "day"), str(out)]).exit_code == 0
@@ -84,7 +84,7 @@
 
 
 def ticks(*times):
-    return [Step(now, [api.TimerDue(0)], []) for now in times]
+    return [Step(now, [model.TimerFired(0)], []) for now in times]
 
 
 def test_two_records_are_shown_on_one_clock_each_in_its_own_order(tmp_path):
@@ -107,8 +107,8 @@
         return Told
 
     names = iter("ab")
-    start = [api.Started(7, {}), api.Listed(api.CACHED, (), 1)]
-    rows = [Step(0, start, [api.SetTimer(0, 250_000)]), *ticks(10, 20)]
+    start = [model.Started(7, {}), model.EndpointUpdate(model.UpdateKind.CACHED, (), 1)]
+    rows = [Step(0, start, [model.SetTimer(0, 250_000)]), *ticks(10, 20)]
     put(tmp_path / "a", 1_000, *rows)
     put(tmp_path / "b", 1_005, *rows, director=1)
     places = [tmp_path / "a", tmp_path / "b"]
@@ -133,7 +133,7 @@
 
 
 def met(span_us):
-    return api.ServerMet(("10.0.0.1", 1), 0, 3, 0, 5, span_us, ())
+    return model.ServerLoadReport(("10.0.0.1", 1), 0, 3, 0, 5, span_us, ())
 
 
 def test_reports_heard_out_of_order_are_told_with_both_places():
@@ -152,7 +152,7 @@
     place = next(at for at, row in enumerate(moved) if row[0] == "Withdraw")
     moved[place] = ["Withdraw", "why", "on", "server"]
     reader = Reader(moved)
-    assert reader.one([place, "x", True, ["h", 1]]) == api.Withdraw(("h", 1), True)
+    assert reader.one([place, "x", True, ["h", 1]]) == model.SetWithdrawn(("h", 1), True)
     moved[place] = ["Withdraw", "server"]
     with pytest.raises(StepError, match="Withdraw"):
         Reader(moved).one([place, ["h", 1]])
@@ -160,14 +160,14 @@
     moved[listed] = ["Listed", "version", "servers", "kind"]
     moved[-1] = ["Server", "address", "state", "weight", "zone", "started_us", "machine", "cell"]
     found = Reader(moved).one([listed, 4, [[["h", 1], 1, 2.0, 0, 0, 0, 0]], 1])
-    assert found == api.Listed(1, (api.Server(2.0, 0, 0, 0, 0, ("h", 1), 1),), 4)
+    assert found == model.EndpointUpdate(1, (model.Endpoint(2.0, 0, 0, 0, 0, ("h", 1), 1),), 4)
 
 
 def test_a_segment_missing_in_the_middle_is_a_hole_and_the_next_life_is_played(tmp_path):
     log = Log(tmp_path, segment_most=600, sync=False)
     log.append(1, LIFE, write_life(LIFE_))
     for number in range(40):
-        step = Step(number, [api.Started(7, {})] if not number else [api.TimerDue(0)], [])
+        step = Step(number, [model.Started(7, {})] if not number else [model.TimerFired(0)], [])
         log.append(number, STEP, write_step(step))
         log.flush()
     log.close()
@@ -185,7 +185,7 @@
 def test_a_disk_full_in_mid_block_loses_that_block_and_says_so(tmp_path):
     """The core goes on, what is lost is counted, and the replay of that life ends at the hole."""
     recorder = Recorder(tmp_path, LIFE_, 1 << 20, 0, 0, False)
-    recorder.step(1, [api.TimerDue(1)], [])
+    recorder.step(1, [model.TimerFired(1)], [])
     until(lambda: recorder.store.written >= 1)
     whole = recorder.store.write
 
@@ -195,10 +195,10 @@
 
     recorder.store.write = half
     for now in range(2, 12):
-        recorder.step(now, [api.TimerDue(now)], [])
+        recorder.step(now, [model.TimerFired(now)], [])
     until(lambda: recorder.lost >= 10)
     recorder.store.write = whole
-    recorder.step(50, [api.TimerDue(50)], [])
+    recorder.step(50, [model.TimerFired(50)], [])
     recorder.close()
     ((_, steps),) = lives(read(tmp_path))
     found = list(steps)
--- a/tests/record/test_replay.py
+++ b/tests/record/test_replay.py
@@ -11,7 +11,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.record.recorder import Recorder
 from rainpick.record.replay import Hole, lives, play
 from rainpick.record.schema import CODES
@@ -43,13 +43,13 @@
     for number in range(4):
         drive.join(number)
     drive.run(2)
-    drive.listed(server(1, api.DRAINING))
+    drive.listed(server(1, model.EndpointState.DRAINING))
     drive.run(1)
-    drive.listed(server(9, started_us=drive.now), server(2, api.GONE))
+    drive.listed(server(9, started_us=drive.now), server(2, model.EndpointState.GONE))
     drive.run(2)
     for tries in (30, 30):
-        drive.engine.met([api.ServerMet(("127.0.0.1", 9000), 0, tries, 29, 90_000, 1_000_000, ())])
-        drive.engine.met([api.ServerMet(("127.0.0.1", 9003), 0, 60, 0, 50_000, 1_000_000, ())])
+        drive.engine.met([model.ServerLoadReport(("127.0.0.1", 9000), 0, tries, 29, 90_000, 1_000_000, ())])
+        drive.engine.met([model.ServerLoadReport(("127.0.0.1", 9003), 0, 60, 0, 50_000, 1_000_000, ())])
         drive.run(1)
     drive.left(2)
     drive.run(seconds)
@@ -103,7 +103,7 @@
     lived(tmp_path)
     log = Log(tmp_path, sync=False)
     log.append(9, LOST, b"5")
-    log.append(10, STEP, write_step(Step(99_000_000, [api.TimerDue(0)], [api.Note("never")])))
+    log.append(10, STEP, write_step(Step(99_000_000, [model.TimerFired(0)], [model.LogMessage("never")])))
     log.close()
     (one,) = played(tmp_path)
     assert one.hole == Hole("5 steps were not recorded") and one.differing == 0
@@ -131,23 +131,23 @@
 )
 @hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
 def test_every_type_is_read_back_as_it_was(settings, address, number, now):
-    entry = api.Server(number, 1, now, 2, 3, address, api.READY)
+    entry = model.Endpoint(number, 1, now, 2, 3, address, model.EndpointState.READY)
     some = [
-        api.Started(now, settings),
-        api.Listed(api.FULL, (entry, entry), 7),
-        api.ServerMet(address, 1, 2, 3, 4, 5, (number,)),
-        api.SetLine(3, address, number),
-        api.PeerSaid(1, b"x\xff"),
-        api.Tell(None, b""),
-        api.FetchList(),
+        model.Started(now, settings),
+        model.EndpointUpdate(model.UpdateKind.FULL, (entry, entry), 7),
+        model.ServerLoadReport(address, 1, 2, 3, 4, 5, (number,)),
+        model.SetWeight(3, address, number),
+        model.PeerMessageReceived(1, b"x\xff"),
+        model.SendPeerMessage(None, b""),
+        model.FetchEndpoints(),
     ]
     step = Step(now, some, some[::-1])
     assert read_step(write_step(step)) == step
 
 
 def test_every_type_of_the_interface_can_be_recorded():
-    named = {one for one in vars(api).values() if isinstance(one, type) and hasattr(one, "_fields")}
-    assert named - {api.Server} == CODES.keys()
+    named = {one for one in vars(model).values() if isinstance(one, type) and hasattr(one, "_fields")}
+    assert named - {model.Endpoint} == CODES.keys()
 
 
 @pytest.mark.parametrize("data", [b"", b"\x93\x01\x90", b"\x93\x01\x91\x91\xcc\xff\x90", b"\xc1"])
@@ -178,7 +178,7 @@
     recorder.store.append = lambda *words: (time.sleep(0.05), slow(*words))
     begin = time.monotonic()
     for now in range(100):
-        recorder.step(now, [api.TimerDue(now)], [])
+        recorder.step(now, [model.TimerFired(now)], [])
     assert time.monotonic() - begin < 0.1 and recorder.lost > 50
     recorder.store.append = slow
     until(lambda: recorder.queue.empty())
--- a/tests/takeover/channel.py
+++ b/tests/takeover/channel.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from rainpick import interface as api
+from rainpick import model
 
 BIND_LINES = 1  # of a bind, beside the lines of its table
 
@@ -67,7 +67,7 @@
     def write(self, now: int, orders: list) -> list[tuple[float, Message]]:
         """Carry out a reply; the messages that it makes, each with the time at which it is applied."""
         messages: dict[int, Message] = {}
-        mark = next((order.number for order in orders if type(order) is api.Mark), None)
+        mark = next((order.nonce for order in orders if type(order) is model.RequestAcknowledgement), None)
 
         def reach(proxy: int, lines: int, change) -> None:
             message = messages.get(proxy)
@@ -92,15 +92,15 @@
 
     def take(self, order: object, reach) -> None:
         match order:
-            case api.SetLine(table, server, weight):
+            case model.SetWeight(table, server, weight):
                 self.set_line(table, server, weight, reach)
-            case api.Withdraw(server, on):
+            case model.SetWithdrawn(server, on):
                 self.withdraw(server, on, reach)
-            case api.Admit(table, routes, _, _):
+            case model.SetAdmission(table, routes, _, _):
                 self.levels[table].add(routes)
                 for proxy in self.users[table]:
                     reach(proxy, 1, None)
-            case api.Bind(table, _, proxy):
+            case model.BindProxy(table, _, proxy):
                 self.bind(table, proxy, reach)
 
     def set_line(self, table: int, server: str, weight: float, reach) -> None:
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -7,7 +7,7 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.balance import Director
 from rainpick.director.stepper import Stepper
 from tests.takeover.channel import Channel, Held
@@ -108,7 +108,9 @@
         self.day, self.alive, self.told = day, True, {}
         self.channel = Channel(shape.pace, shape.head, shape.late_us)
         self.stepper = Stepper(shape.seed + me, shape.settings(me), Director)
-        self.stepper.events.append(api.Listed(api.CACHED, tuple(day.listed.values()), 0))
+        self.stepper.events.append(
+            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(day.listed.values()), 0)
+        )
 
     def step(self, now: int) -> None:
         if not self.alive:
@@ -128,7 +130,7 @@
             return
         self.day.apply(message.proxy, held, message.changes)
         if message.mark is not None:
-            self.hear(api.Applied(message.proxy, message.mark, 0))
+            self.hear(model.Acknowledged(message.proxy, message.mark, 0))
 
     def hear(self, *events) -> None:
         self.stepper.events += events
@@ -147,17 +149,17 @@
         self.fresh = count(shape.servers)
         self.told: dict[str, int] = {}  # when a drain was told, by server
         self.proxies: dict[int, Held] = {}
-        self.changes: dict[str, api.Server] = {}  # that the next version of the list has
+        self.changes: dict[str, model.Endpoint] = {}  # that the next version of the list has
         self.drain_most = 0.0
         self.late = 0
         self.bare_since: dict[int, int] = {}
         self.bare_us = 0
         self.lives = [Life(self, me) for me in range(shape.directors)]
 
-    def server(self, name: str, started_us: int, state: int = api.READY) -> api.Server:
+    def server(self, name: str, started_us: int, state: int = model.EndpointState.READY) -> model.Endpoint:
         zone = self.random.randrange(self.shape.zones)
         kind = self.random.random() < 0.45
-        return api.Server(3.0 if kind else 2.0, zone, started_us, int(kind), 0, name, state)
+        return model.Endpoint(3.0 if kind else 2.0, zone, started_us, int(kind), 0, name, state)
 
     def at(self, moment: float, work) -> None:
         heappush(self.heap, (int(moment), next(self.numbers), work))
@@ -179,7 +181,7 @@
         self.late += used > 1
         return used > 1
 
-    def change(self, entry: api.Server) -> None:
+    def change(self, entry: model.Endpoint) -> None:
         if not self.changes:
             pause = self.shape.list_every_us
             self.at((self.now // pause + 1) * pause, self.publish)
@@ -188,21 +190,24 @@
     def publish(self) -> None:
         entries, self.changes = tuple(self.changes.values()), {}
         for entry in entries:
-            if entry.state != api.READY:
+            if entry.state != model.EndpointState.READY:
                 self.told.setdefault(entry.address, self.now)
             self.listed[entry.address] = entry
         for life in self.lives:
             if life.alive:
-                life.hear(api.Listed(api.DELTA, entries, 1))
+                life.hear(model.EndpointUpdate(model.UpdateKind.DELTA, entries, 1))
 
     def replace(self, wave: Wave) -> None:
-        ready = [entry for entry in self.listed.values() if entry.state == api.READY]
+        ready = [entry for entry in self.listed.values() if entry.state == model.EndpointState.READY]
         for entry in self.random.sample(ready, min(wave.servers, len(ready) // 2)):
             notice_us = self.random.randrange(1_500_000)
-            self.at(self.now + notice_us, lambda entry=entry: self.change(entry._replace(state=api.DRAINING)))
+            self.at(
+                self.now + notice_us,
+                lambda entry=entry: self.change(entry._replace(state=model.EndpointState.DRAINING)),
+            )
             self.at(
                 self.now + notice_us + wave.gone_after_us,
-                lambda entry=entry: self.change(entry._replace(state=api.GONE)),
+                lambda entry=entry: self.change(entry._replace(state=model.EndpointState.GONE)),
             )
             new = self.server(f"s-{next(self.fresh):04x}", self.now)
             self.at(self.now + notice_us + 500_000, lambda new=new: self.change(new))
@@ -212,7 +217,7 @@
         held.joined_us = self.now
         life.channel.join(proxy, held)
         fresh = not held.lines
-        life.hear(api.ProxyJoined(proxy, fresh, held.rate, held.zone))
+        life.hear(model.ProxyJoined(proxy, fresh, held.rate, held.zone))
 
     def kill(self) -> None:
         """All but the last director die; their proxies dial the last one."""
@@ -234,7 +239,7 @@
             self.proxies[proxy] = held
             life = self.lives[proxy % shape.directors]
             life.channel.join(proxy, held)
-            life.stepper.events.append(api.ProxyJoined(proxy, True, held.rate, held.zone))
+            life.stepper.events.append(model.ProxyJoined(proxy, True, held.rate, held.zone))
         for life in self.lives:
             self.at(0, lambda life=life: life.step(self.now))
         for wave in shape.waves:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,7 +1,6 @@
 """What the module reckons and no scenario can see."""
 
-from rainpick import balance
-from rainpick import interface as api
+from rainpick import balance, model
 from rainpick.balance import Director
 
 SETTINGS = {
@@ -12,15 +11,20 @@
     "proxies.lines_per_s": 1000,
     "rules.drain_grace_us": 2_000_000,
 }
-SERVERS = tuple(api.Server(1.0, 0, 0, 0, 0, name, api.READY) for name in "abcd")
+SERVERS = tuple(model.Endpoint(1.0, 0, 0, 0, 0, name, model.EndpointState.READY) for name in "abcd")
 
 
 def begun():
     director = Director()
     orders = director.step(
-        0, [api.Started(1, SETTINGS), api.Listed(api.CACHED, SERVERS, 1), api.ProxyJoined(1, True, 5.0, 0)]
+        0,
+        [
+            model.Started(1, SETTINGS),
+            model.EndpointUpdate(model.UpdateKind.CACHED, SERVERS, 1),
+            model.ProxyJoined(1, True, 5.0, 0),
+        ],
     )
-    (mark,) = [order.number for order in orders if type(order) is api.Mark]
+    (mark,) = [order.nonce for order in orders if type(order) is model.RequestAcknowledgement]
     return director, mark
 
 
@@ -30,18 +34,18 @@
     director, _ = begun()
     once = director.queue.waiting
     assert once > 0
-    orders = director.step(100_000, [api.ProxyJoined(1, False, 5.0, 0)])
+    orders = director.step(100_000, [model.ProxyJoined(1, False, 5.0, 0)])
     assert director.queue.waiting == 2 * once
-    (mark,) = [order.number for order in orders if type(order) is api.Mark]
-    director.step(400_000, [api.Applied(1, mark, 0)])
+    (mark,) = [order.nonce for order in orders if type(order) is model.RequestAcknowledgement]
+    director.step(400_000, [model.Acknowledged(1, mark, 0)])
     assert director.queue.waiting == 0, "the answer to the later message is one to the earlier, too"
 
 
 def test_lines_of_a_proxy_that_left_wait_no_more():
     director, mark = begun()
-    director.step(100_000, [api.ProxyLeft(1)])
+    director.step(100_000, [model.ProxyLeft(1)])
     assert director.queue.waiting == 0
-    director.step(200_000, [api.Applied(1, mark, 0)])
+    director.step(200_000, [model.Acknowledged(1, mark, 0)])
     assert director.queue.waiting == 0
 
 
@@ -49,12 +53,22 @@
     """A server drains, is gone, and another one takes its place; the clock after a tick or so."""
 
     def listed(name, state, started):
-        return api.Listed(api.DELTA, (api.Server(1.0, 0, started, 0, 0, name, state),), 2)
+        return model.EndpointUpdate(
+            model.UpdateKind.DELTA, (model.Endpoint(1.0, 0, started, 0, 0, name, state),), 2
+        )
 
     found = []
-    for change in (listed(old, api.DRAINING, 0), listed(old, api.GONE, 0), listed(new, api.READY, now)):
-        orders = director.step(now, [change, api.TimerDue(0)])
-        marks = [api.Applied(1, order.number, 0) for order in orders if type(order) is api.Mark]
+    for change in (
+        listed(old, model.EndpointState.DRAINING, 0),
+        listed(old, model.EndpointState.GONE, 0),
+        listed(new, model.EndpointState.READY, now),
+    ):
+        orders = director.step(now, [change, model.TimerFired(0)])
+        marks = [
+            model.Acknowledged(1, order.nonce, 0)
+            for order in orders
+            if type(order) is model.RequestAcknowledgement
+        ]
         found += orders + director.step(now + 300_000, marks)
         now += 1_000_000
     return now, found
@@ -65,7 +79,7 @@
     that comes back under its old id has to be readmitted, or nobody would ever use it again."""
     monkeypatch.setattr(balance, "PAST", 20)
     director, mark = begun()
-    now, found = 1_000_000, director.step(500_000, [api.Applied(1, mark, 0)])
+    now, found = 1_000_000, director.step(500_000, [model.Acknowledged(1, mark, 0)])
     for number in range(100):
         now, found = replaced(director, now, "abcd"[number] if number < 4 else f"s{number - 4}", f"s{number}")
         assert len(director.servers) <= 4 + 1 + balance.FORGET_TICKS
@@ -74,9 +88,14 @@
     now, found = replaced(director, now, "s98", last)
     for _ in range(12):
         now += 1_000_000
-        orders = director.step(now, [api.TimerDue(0)])
+        orders = director.step(now, [model.TimerFired(0)])
         found += orders
         director.step(
-            now + 300_000, [api.Applied(1, order.number, 0) for order in orders if type(order) is api.Mark]
+            now + 300_000,
+            [
+                model.Acknowledged(1, order.nonce, 0)
+                for order in orders
+                if type(order) is model.RequestAcknowledgement
+            ],
         )
-    assert api.Withdraw(last, False) in found and last not in director.past
+    assert model.SetWithdrawn(last, False) in found and last not in director.past
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rainpick import interface as api
+from rainpick import model
 from rainpick.simhost import wire
 
 HOST = bytes.fromhex("0a124a072bc3")
@@ -28,35 +28,35 @@
     "03f2 00000003 00 00000000 000000000000002a",
 )
 EVENTS = {
-    "0442 00000003 00 0a124a07 2bc3 00000001 0000bc7a 000f4240 0000000e 02 3f00000040400000": api.ServerMet(
-        HOST, 0, 14, 1, 48250, 1_000_000, (0.5, 3.0)
+    "0442 00000003 00 0a124a07 2bc3 00000001 0000bc7a 000f4240 0000000e 02 3f00000040400000": (
+        model.ServerLoadReport(HOST, 0, 14, 1, 48250, 1_000_000, (0.5, 3.0))
     ),
-    "03fc 00000003 000000000000004d": api.TimerDue(77),
-    "042e 00000003 0029": api.ProxyLeft(41),
-    "0410 00000003 0002 0004 68692037": api.PeerSaid(2, b"hi 7"),
-    "0438 00000003 0029 000000000000000c 00064b54": api.Applied(41, 12, 412500),
-    "0456 00000003 0075 00 00000017 00000002 000f4240": api.SliceMet(117, 0, 23, 2, 1_000_000),
-    "044c 00000003 0029 00 00000009 00000000 001e8480": api.ProxyMet(41, 0, 9, 0, 2_000_000),
-    "046a 00000003 0075 0a124a07 2bc3 3f800000": api.SliceLine(117, HOST, 1.0),
-    "0424 00000003 01 40d00000 0029 00": api.ProxyJoined(41, True, 6.5, 0),
-    "0460 00000003 01 0075": api.SliceGiven(117, True),
-    "0406 00000003 00000578 0a124a07 2bc3 00 01 3f000000": api.ProbeEnded(HOST, 0, 1400, (0.5,)),
+    "03fc 00000003 000000000000004d": model.TimerFired(77),
+    "042e 00000003 0029": model.ProxyLeft(41),
+    "0410 00000003 0002 0004 68692037": model.PeerMessageReceived(2, b"hi 7"),
+    "0438 00000003 0029 000000000000000c 00064b54": model.Acknowledged(41, 12, 412500),
+    "0456 00000003 0075 00 00000017 00000002 000f4240": model.KeyRangeLoadReport(117, 0, 23, 2, 1_000_000),
+    "044c 00000003 0029 00 00000009 00000000 001e8480": model.RouteLoadReport(41, 0, 9, 0, 2_000_000),
+    "046a 00000003 0075 0a124a07 2bc3 3f800000": model.KeyRangeWeight(117, HOST, 1.0),
+    "0424 00000003 01 40d00000 0029 00": model.ProxyJoined(41, True, 6.5, 0),
+    "0460 00000003 01 0075": model.KeyRangeAssigned(117, True),
+    "0406 00000003 00000578 0a124a07 2bc3 00 01 3f000000": model.ProbeCompleted(HOST, 0, 1400, (0.5,)),
     "041a 00000003": None,
-    "03e8 00000003 0000000000000009 00000009" + b"az=1\nx=yy".hex(): api.Started(9, {"zone": 1, "x": "yy"}),
+    "03e8 00000003 0000000000000009 00000009" + b"az=1\nx=yy".hex(): model.Started(9, {"zone": 1, "x": "yy"}),
 }
 ORDERS = {
-    "041a 00000003 0075 0a124a07 2bc3 3f400000": api.SetLine(117, HOST, 0.75),
-    "03e8 00000003 0075": api.ClearTable(117),
-    "0406 00000003 000000000000000c 00": api.Mark(12, False),
-    "0438 00000003 0a124a07 2bc3": api.Probe(HOST),
-    "03fc 00000003 0a124a07 2bc3 01": api.Withdraw(HOST, True),
-    "0460 00000003 0075 0002 3f400000 01": api.Admit(117, 2, 0.75, api.ON_PROOF),
-    "042e 00000003": api.FetchList(),
-    "0456 00000003 000000000000004d 0007a120": api.SetTimer(77, 500_000),
-    "044c 00000003 ffff 0004 68692037": api.Tell(None, b"hi 7"),
-    "03f2 00000003 0002 6f6b": api.Note("ok"),
-    "0410 00000003 0075 0000 0029": api.Bind(117, api.ALL_ROUTES, 41),
-    "0424 00000003 01": api.Subscribe(True),
+    "041a 00000003 0075 0a124a07 2bc3 3f400000": model.SetWeight(117, HOST, 0.75),
+    "03e8 00000003 0075": model.ClearTable(117),
+    "0406 00000003 000000000000000c 00": model.RequestAcknowledgement(12, False),
+    "0438 00000003 0a124a07 2bc3": model.ProbeServer(HOST),
+    "03fc 00000003 0a124a07 2bc3 01": model.SetWithdrawn(HOST, True),
+    "0460 00000003 0075 0002 3f400000 01": model.SetAdmission(117, 2, 0.75, model.RetryPolicy.ON_PROOF),
+    "042e 00000003": model.FetchEndpoints(),
+    "0456 00000003 000000000000004d 0007a120": model.SetTimer(77, 500_000),
+    "044c 00000003 ffff 0004 68692037": model.SendPeerMessage(None, b"hi 7"),
+    "03f2 00000003 0002 6f6b": model.LogMessage("ok"),
+    "0410 00000003 0075 0000 0029": model.BindProxy(117, model.ALL_ROUTES, 41),
+    "0424 00000003 01": model.Subscribe(True),
 }
 
 
@@ -67,9 +67,16 @@
 
 def test_a_list_number_means_the_list_sent_last():
     (_, first), (_, second) = read(*LISTS)
-    assert (first.kind, [server.state for server in first.servers]) == (api.CACHED, [api.READY])
-    (server,) = second.servers
-    assert (second.kind, server.started_us, server.state) == (api.DELTA, 6100000, api.DRAINING)
+    assert (first.kind, [server.state for server in first.endpoints]) == (
+        model.UpdateKind.CACHED,
+        [model.EndpointState.READY],
+    )
+    (server,) = second.endpoints
+    assert (second.kind, server.started_us, server.state) == (
+        model.UpdateKind.DELTA,
+        6100000,
+        model.EndpointState.DRAINING,
+    )
 
 
 def test_orders_are_written():
