--- /dev/null
+++ b/tests/compat/__init__.py
@@ -0,0 +1,1 @@
+"""What users have stored stays readable, whatever is renamed in the code."""
