--- a/rainpick/cli/show.py
+++ b/rainpick/cli/show.py
@@ -281,6 +281,7 @@
     """Steps of all records on the wall's clock: seconds, director, place in its record, what, how."""
     from rainpick.record.clock import together
     from rainpick.record.replay import Hole
+    from rainpick.record.schema import describe
 
     first = None
     for moment in together(folders):
@@ -296,13 +297,14 @@
             continue
         for word, rows in (("heard", moment.step.events), ("ordered", moment.step.orders)):
             for row in rows:
-                click.echo(f"{head} {word:<8} {row}")
+                click.echo(f"{head} {word:<8} {describe(row)}")
 
 
 def reports_by_time(folders: list[Path]) -> None:
     """Reports by when what they tell of began."""
     from rainpick.record.clock import reports_by_time as ordered
     from rainpick.record.replay import lives
+    from rainpick.record.schema import describe
     from rainpick.store import read
 
     for folder in folders:
@@ -312,7 +314,7 @@
                 after = (late.heard_us - late.began_us) / 1e6
                 click.echo(
                     f"{second:10.3f} {life.director} {placed:>7} heard as {heard:>7}, {after:.3f} s "
-                    f"after its begin: {late.event}"
+                    f"after its begin: {describe(late.event)}"
                 )
 
 
@@ -369,6 +371,8 @@
 
 
 def replay_json(one: Any) -> dict[str, Any]:
+    from rainpick.record.schema import describe
+
     told, begin = one.compared, one.life.now
     row: dict[str, Any] = {
         "director": one.life.director,
@@ -381,7 +385,7 @@
         and {
             "second": (one.first.now - begin) / 1e6,
             **{
-                name: [repr(each) for each in rows[:8]]
+                name: [describe(each) for each in rows[:8]]
                 for name, rows in (
                     ("heard_before", one.first.before),
                     ("heard", one.first.heard),
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -11,6 +11,7 @@
 from pygal.style import Style
 
 from rainpick.record.replay import Played
+from rainpick.record.schema import describe
 
 STYLE = Style(
     background="transparent",
@@ -117,7 +118,7 @@
     if one.first:
         found["first_s"] = f"{(one.first.now - one.life.now) / 1e6:.2f}"
         found["first"] = [
-            (word, [repr(each) for each in rows[:8]])
+            (word, [describe(each) for each in rows[:8]])
             for word, rows in (
                 ("heard before", one.first.before),
                 ("heard", one.first.heard),
--- a/rainpick/record/schema.py
+++ b/rainpick/record/schema.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from enum import IntEnum
 from typing import Any, NamedTuple
 
 from rainpick import model
@@ -63,5 +64,24 @@
 CODES = {row.type: code for code, row in enumerate(STORED_TYPES)}
 STORED_NAMES = {row.type: row.name for row in STORED_TYPES}
 BY_STORED_NAME = {row.name: row for row in (*STORED_TYPES, STORED_ENTRY)}
+ROWS = {row.type: row for row in (*STORED_TYPES, STORED_ENTRY)}
 # What a record says of the types in it: stored name and fields, by number.
 TYPE_ROWS = tuple((row.name, *row.fields) for row in (*STORED_TYPES, STORED_ENTRY))
+
+
+def describe(value: Any) -> str:
+    """A value as people read it, by its stored names: what is printed does not change with the program.
+
+    >>> describe(model.TimerFired(3))
+    'TimerDue(token=3)'
+    >>> describe(model.EndpointUpdate(model.UpdateKind.FAILED, (), 0))
+    'Listed(kind=3, servers=(), version=0)'
+    """
+    row = ROWS.get(type(value))
+    if row is not None:
+        pairs = zip(row.fields, value, strict=True)
+        return f"{row.name}({', '.join(f'{name}={describe(field)}' for name, field in pairs)})"
+    if type(value) is tuple:
+        inner = ", ".join(map(describe, value))
+        return f"({inner},)" if len(value) == 1 else f"({inner})"
+    return repr(int(value) if isinstance(value, IntEnum) else value)
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -16,7 +16,7 @@
 import pytest
 
 from rainpick.director.listing import ListCache, read_cache, read_list
-from rainpick.interface import Server
+from rainpick.model import Endpoint
 from rainpick.record.replay import Hole, lives, play
 from rainpick.settings import load, plain_map
 from rainpick.standins.scenario import Scenario
@@ -202,7 +202,7 @@
 
 def test_the_list_cache_is_written_with_the_same_bytes(every_setting, tmp_path):
     rows = json.loads((STORED / "list" / "entries.json").read_text())
-    servers = tuple(Server(*values, tuple(address), state) for *values, address, state in rows)
+    servers = tuple(Endpoint(*values, tuple(address), state) for *values, address, state in rows)
     cache = ListCache(str(tmp_path / "cache.json"), every_setting)
     cache.keep(servers, NOW_US, WALL_US)
     cache.close()
