--- a/rainpick/decisions/__init__.py
+++ b/rainpick/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a director, one job a module; ``rainpick.balance`` wires them."""
+"""Decisions of a director, one job a module; ``rainpick.decisions.director`` wires them."""
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -17,7 +17,7 @@
 import structlog
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.engine import Engine, Write
 from rainpick.director.listing import ListCache
 from rainpick.director.membership import Filed, Membership, RefusedMemberError
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.core import Core
 from rainpick.director.listing import read_cache, read_list
 from rainpick.director.status import handler
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.channel import Channel
 from rainpick.director.stepper import Stepper
 from rainpick.director.tables import Scale, Snapshot, Tables, Way
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 
 
 class Stepper:
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.engine import Engine, Write
 from rainpick.director.tables import Key
 from rainpick.emulator.chance import Chance
--- a/rainpick/node/core.py
+++ b/rainpick/node/core.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.director.stepper import Stepper
 from rainpick.node.belief import Listing, Roster
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.record.replay import Hole, Played, Playing, lives
 from rainpick.record.steps import Life, Step
 from rainpick.store import read
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.model import EndpointState
 from rainpick.record.replay import Hole, Playing
 from rainpick.record.steps import Life, Step
--- a/rainpick/record/load.py
+++ b/rainpick/record/load.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 
 
 class ModuleError(ValueError):
--- a/rainpick/record/recorder.py
+++ b/rainpick/record/recorder.py
@@ -10,7 +10,7 @@
 import structlog
 from xxhash import xxh3_128_hexdigest
 
-from rainpick import balance
+from rainpick.decisions import director as decisions
 from rainpick.record.steps import LIFE, LOST, STEP, Life, Step, write_life, write_step
 from rainpick.store import FullError, Log
 
@@ -18,7 +18,7 @@
 FLUSH_S = 0.5
 
 
-def module_digest(path: str | Path = balance.__file__) -> str:
+def module_digest(path: str | Path = decisions.__file__) -> str:
     return xxh3_128_hexdigest(Path(path).read_bytes())
 
 
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.record.compare import Compare, Compared
 from rainpick.record.steps import LIFE, LOST, STEP, Life, Reader, Step, StepError, read_life
 from rainpick.store import Damage, Gap, Record, Torn
--- a/rainpick/simhost/__main__.py
+++ b/rainpick/simhost/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.model import Started
 from rainpick.simhost import wire
 
--- a/tests/compat/drawn_day.py
+++ b/tests/compat/drawn_day.py
@@ -12,7 +12,7 @@
 from itertools import count
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 
 ROUND_US = 250_000
 ROUNDS = 200
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.channel import GRAIN_US
 from tests.director.drive import Drive, server
 
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.tables import OPEN, SHUT, Line
 from rainpick.emulator.chance import Chance
 from rainpick.emulator.proxy import Proxy
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.daemon import Daemon
 from rainpick.settings import Settings, parse
 from rainpick.standins.day import Day, Local
--- a/tests/node/test_core.py
+++ b/tests/node/test_core.py
@@ -4,7 +4,7 @@
 import time
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.node.clock import Clock
 from rainpick.node.codec import Call, Doubt, Merged, members
--- a/tests/play.py
+++ b/tests/play.py
@@ -27,7 +27,7 @@
 from heapq import heappop, heappush
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.wording import value as read
 
 # What scenarios call the commands.
--- a/tests/record/test_exchange.py
+++ b/tests/record/test_exchange.py
@@ -6,8 +6,8 @@
 from click.testing import CliRunner
 
 from rainpick import model
-from rainpick.balance import Director
 from rainpick.cli import main
+from rainpick.decisions.director import Director
 from rainpick.record.clock import play_together, reach_together, reports_by_time, together, written
 from rainpick.record.exchange import ExchangeError, import_file, write
 from rainpick.record.recorder import Recorder
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -8,7 +8,7 @@
 from itertools import count
 
 from rainpick import model
-from rainpick.balance import Director
+from rainpick.decisions.director import Director
 from rainpick.director.stepper import Stepper
 from tests.takeover.channel import Channel, Held
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,7 +1,7 @@
 """What the module reckons and no scenario can see."""
 
-from rainpick import balance, model
-from rainpick.balance import Director
+from rainpick import model
+from rainpick.decisions.director import Director
 
 SETTINGS = {
     "routes.count": 1,
@@ -77,12 +77,12 @@
 def test_servers_long_gone_are_forgotten_but_for_being_shut_out(monkeypatch):
     """Two thousand replaced servers made each step four times as dear; the relay keeps them shut out, so one
     that comes back under its old id has to be readmitted, or nobody would ever use it again."""
-    monkeypatch.setattr(balance, "PAST", 20)
+    monkeypatch.setattr(decisions, "PAST", 20)
     director, mark = begun()
     now, found = 1_000_000, director.step(500_000, [model.Acknowledged(1, mark, 0)])
     for number in range(100):
         now, found = replaced(director, now, "abcd"[number] if number < 4 else f"s{number - 4}", f"s{number}")
-        assert len(director.servers) <= 4 + 1 + balance.FORGET_TICKS
+        assert len(director.servers) <= 4 + 1 + decisions.FORGET_TICKS
     assert len(director.past) == 20
     last = list(director.past)[-1]
     now, found = replaced(director, now, "s98", last)
