--- /dev/null
+++ b/tests/compat/forms.py
@@ -0,0 +1,160 @@
+"""Values of today's types in a form without names of the program, as the data files under ``wire`` hold them.
+
+A value of one of the types below is written as its neutral name and its fields in order, and is made from
+these by position: another name for a type is another line here, another name for a field is nothing, and the
+data files stay as they are.
+"""
+
+import msgspec
+
+from rainpick import interface as api
+from rainpick.director import reports
+from rainpick.http1 import server as http
+from rainpick.mqtt import codec as mqtt
+from rainpick.net import Ended
+from rainpick.node import belief, configuration
+from rainpick.node import codec as platform
+from rainpick.publish import payloads
+from rainpick.sasp import codec as sasp
+
+TYPES = {
+    "event: begun": api.Started,
+    "event: list": api.Listed,
+    "event: timer": api.TimerDue,
+    "event: probe ended": api.ProbeEnded,
+    "event: peer": api.PeerSaid,
+    "event: proxy joined": api.ProxyJoined,
+    "event: proxy left": api.ProxyLeft,
+    "event: applied": api.Applied,
+    "event: repeated": api.Repeated,
+    "event: server report": api.ServerMet,
+    "event: proxy report": api.ProxyMet,
+    "event: slice report": api.SliceMet,
+    "event: slice given": api.SliceGiven,
+    "event: slice line": api.SliceLine,
+    "list entry": api.Server,
+    "order: line": api.SetLine,
+    "order: clear": api.ClearTable,
+    "order: withdraw": api.Withdraw,
+    "order: mark": api.Mark,
+    "order: bind": api.Bind,
+    "order: admit": api.Admit,
+    "order: probe": api.Probe,
+    "order: tell": api.Tell,
+    "order: timer": api.SetTimer,
+    "order: subscribe": api.Subscribe,
+    "order: fetch": api.FetchList,
+    "order: note": api.Note,
+    "platform: heartbeat": platform.Heartbeat,
+    "platform: collector": platform.Collector,
+    "platform: dropped": platform.Malformed,
+    "platform: ping": platform.Ping,
+    "platform: call": platform.Call,
+    "platform: merged": platform.Merged,
+    "platform: doubt": platform.Doubt,
+    "platform: taken": platform.Taken,
+    "platform: not taken": platform.NotTaken,
+    "platform: discovery": platform.Members,
+    "platform: names": configuration.Names,
+    "platform: configuration": configuration.Configuration,
+    "platform: stream begun": belief.Begun,
+    "platform: stream told": belief.Told,
+    "stream ended": Ended,
+    "mqtt: will": mqtt.Will,
+    "mqtt: connect": mqtt.Connect,
+    "mqtt: connack": mqtt.Connack,
+    "mqtt: publish": mqtt.Publish,
+    "mqtt: puback": mqtt.Puback,
+    "mqtt: subscribe": mqtt.Subscribe,
+    "mqtt: suback": mqtt.Suback,
+    "mqtt: unsubscribe": mqtt.Unsubscribe,
+    "mqtt: unsuback": mqtt.Unsuback,
+    "mqtt: ping": mqtt.Ping,
+    "mqtt: disconnect": mqtt.Disconnect,
+    "payload: line": payloads.Line,
+    "payload: whole": payloads.Whole,
+    "payload: change": payloads.Change,
+    "payload: level": payloads.Level,
+    "payload: orders": payloads.Orders,
+    "payload: presence": payloads.Presence,
+    "payload: trouble": payloads.Trouble,
+    "payload: tries": payloads.Tries,
+    "payload: calls": payloads.Came,
+    "payload: met": payloads.Met,
+    "sasp: member": sasp.Member,
+    "sasp: group": sasp.Group,
+    "sasp: weight": sasp.Weight,
+    "sasp: member state": sasp.MemberState,
+    "sasp: members": sasp.Members,
+    "sasp: weights": sasp.Weights,
+    "sasp: states": sasp.States,
+    "sasp: registration": sasp.Registration,
+    "sasp: deregistration": sasp.Deregistration,
+    "sasp: get weights": sasp.GetWeights,
+    "sasp: send weights": sasp.SendWeights,
+    "sasp: set lb state": sasp.SetLbState,
+    "sasp: set member state": sasp.SetMemberState,
+    "sasp: reply": sasp.Reply,
+    "sasp: get weights reply": sasp.GetWeightsReply,
+    "otlp: point": reports.Point,
+    "http: asked": http.Asked,
+    "http: answer": http.Answer,
+}
+NEUTRAL = {kind: name for name, kind in TYPES.items()}
+
+
+def shown_bytes(data):
+    """Readable where that is exact: printable ASCII and ends of lines; else hexadecimal digits."""
+    if data and all(32 <= byte < 127 or byte in b"\r\n" for byte in data):
+        return {"text": data.decode("ascii")}
+    return {"hex": data.hex()}
+
+
+def shown(value):
+    """The neutral form, of JSON's kinds only."""
+    kind = type(value)
+    if value is None or kind in (bool, int, float, str):
+        return value
+    if kind in (bytes, bytearray):
+        return shown_bytes(bytes(value))
+    if kind in NEUTRAL:
+        fields = msgspec.structs.astuple(value) if isinstance(value, msgspec.Struct) else tuple(value)
+        if kind in (mqtt.Connect, mqtt.Connack, mqtt.Publish, mqtt.Disconnect):
+            fields = tuple(numbered(field) if type(field) is dict else field for field in fields)
+        return {"is": NEUTRAL[kind], "values": [shown(field) for field in fields]}
+    if kind in (set, frozenset):
+        return sorted(map(shown, value))
+    if kind in (list, tuple):
+        return [shown(item) for item in value]
+    if kind is dict:
+        return {"map": [[shown(name), shown(item)] for name, item in value.items()]}
+    raise TypeError(f"{kind.__name__} has no neutral name")
+
+
+def numbered(properties):
+    """The properties of a packet by the standard's identifiers, not by our names for them."""
+    return {mqtt.IDENTIFIERS[name][0]: value for name, value in properties.items()}
+
+
+def named(properties):
+    """The reverse of ``numbered``."""
+    return {mqtt.PROPERTIES[number][0]: value for number, value in properties.items()}
+
+
+def made(form):
+    """The value of a neutral form; lists become tuples."""
+    if isinstance(form, list):
+        return tuple(made(item) for item in form)
+    if not isinstance(form, dict):
+        return form
+    if "text" in form:
+        return form["text"].encode("ascii")
+    if "hex" in form:
+        return bytes.fromhex(form["hex"])
+    if "map" in form:
+        return {made(name): made(item) for name, item in form["map"]}
+    kind = TYPES[form["is"]]
+    fields = [made(field) for field in form["values"]]
+    if kind in (mqtt.Connect, mqtt.Connack, mqtt.Publish, mqtt.Disconnect):
+        fields = [named(field) if type(field) is dict else field for field in fields]
+    return kind(*fields)
