--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from tests.compat import operations_platform
+from tests.compat import operations_platform, operations_simhost
 from tests.compat.forms import made, shown
 
 WIRE = Path(__file__).parent / "wire"
-PROTOCOLS = {"platform": operations_platform}
+PROTOCOLS = {"platform": operations_platform, "simhost": operations_simhost}
 CASES = [
     (protocol, json.loads(line))
     for protocol in PROTOCOLS
