--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -9,11 +9,23 @@
 
 import pytest
 
-from tests.compat import operations_platform, operations_simhost
+from tests.compat import (
+    operations_mqtt,
+    operations_otlp,
+    operations_platform,
+    operations_sasp,
+    operations_simhost,
+)
 from tests.compat.forms import made, shown
 
 WIRE = Path(__file__).parent / "wire"
-PROTOCOLS = {"platform": operations_platform, "simhost": operations_simhost}
+PROTOCOLS = {
+    "platform": operations_platform,
+    "simhost": operations_simhost,
+    "mqtt": operations_mqtt,
+    "sasp": operations_sasp,
+    "otlp": operations_otlp,
+}
 CASES = [
     (protocol, json.loads(line))
     for protocol in PROTOCOLS
