--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -10,11 +10,13 @@
 import pytest
 
 from tests.compat import (
+    operations_command,
     operations_mqtt,
     operations_otlp,
     operations_platform,
     operations_sasp,
     operations_simhost,
+    operations_status,
 )
 from tests.compat.forms import made, shown
 
@@ -25,6 +27,8 @@
     "mqtt": operations_mqtt,
     "sasp": operations_sasp,
     "otlp": operations_otlp,
+    "status": operations_status,
+    "command": operations_command,
 }
 CASES = [
     (protocol, json.loads(line))
