--- a/Makefile
+++ b/Makefile
@@ -20,6 +20,7 @@
 lint: setup
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
+	$(BIN)/mypy
 
 test: lint
 	$(BIN)/python -m pytest -n 6
