--- /dev/null
+++ b/rainpick/decisions/concentration.py
@@ -0,0 +1,46 @@
+"""Protects servers that warm up from being sent too much by the tables of few busy proxies.
+
+Each director knows of its own proxies alone, and some of them are far busier than the rest: their tables
+could send a server that has just started several times its part of all requests.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+from rainpick.decisions.fleet import Fleet
+from rainpick.decisions.servers import ServerState
+from rainpick.decisions.table_assignment import TableAssignment
+from rainpick.decisions.tables import Table
+
+
+def update_concentration(fleet: Fleet, assignment: TableAssignment) -> None:
+    """Set the concentration factor of each server that warms up to what its fair part asks for."""
+    rates = {table: sum(proxy.request_rate for proxy in table.proxies.values()) for table in fleet.tables}
+    weights = table_weights(fleet, assignment)
+    total_rate = sum(proxy.request_rate for proxy in fleet.proxies.values())
+    usable = [server.effective_weight() for server in fleet.servers.values() if not server.withdrawn]
+    missing_proxies = max(1, fleet.settings.expected_proxies / max(1, len(fleet.proxies)))
+    rate_per_weight = total_rate * missing_proxies / (sum(usable) or 1.0)
+    for server in fleet.servers.values():
+        if server.percentage and not server.is_warm:
+            brought = sum(
+                rates[table] * assignment.weight(server, table) / (weights[table] or 1.0)
+                for table in server.tables
+            )
+            fair = rate_per_weight * server.effective_weight()
+            server.concentration_factor = fair / brought if brought > fair else 1.0
+
+
+def table_weights(fleet: Fleet, assignment: TableAssignment) -> dict[Table, float]:
+    """By table, the weight of its servers that are not withdrawn, without concentration factors."""
+    weights: dict[Table, float] = defaultdict(float)
+
+    def add(server: ServerState) -> None:
+        server.concentration_factor = 1.0
+        for table in server.tables:
+            weights[table] += 0 if server.withdrawn else assignment.weight(server, table)
+
+    for server in fleet.servers.values():
+        add(server)
+    return weights
--- /dev/null
+++ b/rainpick/decisions/locality.py
@@ -0,0 +1,51 @@
+"""Zone preference and spill-over: how much the tables of a zone use servers of other zones."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable
+
+from rainpick.decisions.fleet import Fleet
+from rainpick.decisions.servers import ServerState
+from rainpick.decisions.tables import Table
+
+SPILL_STEP = 0.25  # steps in which a zone's tables use servers of other zones
+
+
+class Locality:
+    """The part of their weight that servers of other zones have in the tables of each zone.
+
+    0: the zone can do all its own requests; 1: its tables use all zones alike.
+    """
+
+    def __init__(self, fleet: Fleet):
+        self.fleet = fleet
+        self.spill: dict[int | None, float] = {}
+
+    def is_remote(self, server: ServerState, table: Table) -> bool:
+        """Whether a server is of another zone than a table."""
+        return table.zone not in (None, server.endpoint.zone)
+
+    def update(self, zones: Iterable[int | None]) -> None:
+        """Work out the spill-over of each zone that has tables, in steps."""
+        for zone, wanted in self.wanted_spill(zones).items():
+            if abs(wanted - self.spill.setdefault(zone, 0.0)) > SPILL_STEP:
+                self.spill[zone] = round(wanted / SPILL_STEP) * SPILL_STEP
+
+    def wanted_spill(self, zones: Iterable[int | None]) -> dict[int | None, float]:
+        """What each zone's proxies ask beyond what its usable servers can do, from 0 to 1."""
+        fleet, settings = self.fleet, self.fleet.settings
+        usable: dict[int | None, float] = defaultdict(float)
+        requested: dict[int | None, float] = defaultdict(float)
+        for server in fleet.servers.values():
+            usable[server.endpoint.zone] += server.effective_weight() * (not server.withdrawn)
+        for proxy in fleet.proxies.values():
+            requested[proxy.zone] += proxy.request_rate
+        rate_per_proxy = sum(requested.values()) / max(1, len(fleet.proxies)) or 1.0
+        wanted = {}
+        for zone in zones:
+            own = settings.proxies_by_zone and zone == settings.zone
+            ratio = requested[zone] * (1 if own else settings.directors) / rate_per_proxy
+            ratio *= sum(usable.values()) / max(1, settings.expected_proxies) / max(usable[zone], 1e-9)
+            wanted[zone] = min(1.0, max(0.0, ratio - 1))
+        return wanted
--- /dev/null
+++ b/rainpick/decisions/proxy_membership.py
@@ -0,0 +1,50 @@
+"""Follows which proxies are joined, and which of them wait for a table."""
+
+from __future__ import annotations
+
+from rainpick.decisions.fleet import Fleet
+from rainpick.decisions.proxies import ProxyState
+from rainpick.decisions.send_queue import SendQueue
+from rainpick.decisions.sliding_window import SlidingWindow
+from rainpick.decisions.table_assignment import TableAssignment
+from rainpick.model import ProxyJoined, ProxyLeft, RouteLoadReport
+
+
+class ProxyMembership:
+    """Applies what is heard of proxies to the fleet and to the send queue."""
+
+    def __init__(self, fleet: Fleet, assignment: TableAssignment, queue: SendQueue):
+        self.fleet = fleet
+        self.assignment = assignment
+        self.queue = queue
+
+    def joined(self, event: ProxyJoined) -> None:
+        """A proxy joined, perhaps once more and unseen: it waits for a table."""
+        former = self.fleet.proxies.get(event.proxy)
+        proxy = ProxyState(event, self.fleet.clock.now, self.fleet.unbound)
+        self.remove(event.proxy)
+        if former:
+            proxy.inherit(former)
+            self.queue.restore(proxy.unacknowledged_lines())
+        if not event.newly_started and self.fleet.tables:
+            proxy.group = self.assignment.home(proxy).unbound
+        self.fleet.proxies[event.proxy] = proxy
+        proxy.group.proxies[event.proxy] = proxy
+
+    def left(self, event: ProxyLeft) -> None:
+        """A proxy left."""
+        self.remove(event.proxy)
+
+    def remove(self, number: int) -> None:
+        """Forget a proxy, and what it was sent."""
+        proxy = self.fleet.proxies.pop(number, None)
+        if proxy:
+            self.queue.forget(proxy.unacknowledged_lines())
+            proxy.group.proxies.pop(number)
+
+    def reported(self, report: RouteLoadReport) -> None:
+        """A report on the requests of a route that reached a proxy."""
+        proxy = self.fleet.proxies.get(report.proxy)
+        if proxy:
+            window = proxy.requests.setdefault(report.route, SlidingWindow(2))
+            window.add(self.fleet.clock.bucket, report.requests, report.interval_us)
--- a/rainpick/decisions/send_queue.py
+++ b/rainpick/decisions/send_queue.py
@@ -14,7 +14,7 @@
 from collections.abc import Hashable
 from typing import NamedTuple
 
-MARKS_KEPT = 1_024  # marks whose place in the queue is remembered; answers are due long before so many more
+REPLIES_MAX = 1_024  # replies that are remembered; acknowledgements are due long before so many more
 
 
 class Claim(NamedTuple):
@@ -32,7 +32,8 @@
     drain: Claim
     bind: Claim
     ejection: Claim
-    ramp: Claim
+    admission: Claim
+    update: Claim
 
 
 class ChannelState(NamedTuple):
@@ -48,11 +49,11 @@
     takeover: bool  # more proxies wait to be bound than can be at once
 
 
-class Written(NamedTuple):
+class Reply(NamedTuple):
     """The messages of one reply."""
 
     start: int  # lines written before it
-    answered: int  # of its own lines
+    acknowledged: int  # of its own lines
 
 
 class SendQueue:
@@ -62,8 +63,8 @@
         self.limit, self.span = limit, min(limit, span)
         self.waiting = 0  # lines that no proxy has answered for
         self.total = self.left = 0  # lines written in all; those known to have left the channel
-        self.planned = 0  # lines of the reply that is being made
-        self.marks: dict[Hashable, Written] = {}  # by mark, the newest last
+        self.planned: float = 0  # lines of the reply that is being made
+        self.replies: dict[Hashable, Reply] = {}  # by nonce, the newest last
 
     def backlog(self) -> int:
         """Lines that have not left the channel, as far as answers tell."""
@@ -79,7 +80,7 @@
         >>> queue = SendQueue(limit=100, span=20)
         >>> [queue.fits(lines, Claim(1, 0, share)) for lines, share in ((20, 1.0), (21, 1.0), (21, None))]
         [True, True, True]
-        >>> queue.write("a mark", 5)
+        >>> queue.write("a nonce", 5)
         >>> [queue.fits(lines, Claim(1, 0, share)) for lines, share in ((15, 1.0), (16, 1.0), (16, None))]
         [True, False, True]
         """
@@ -96,27 +97,27 @@
         """A new reply is made."""
         self.planned = 0
 
-    def write(self, mark: Hashable, lines: int) -> None:
+    def write(self, nonce: Hashable, lines: int) -> None:
         """The messages of a reply have been written."""
-        self.marks.pop(mark, None)
-        self.marks[mark] = Written(self.total, 0)
+        self.replies.pop(nonce, None)
+        self.replies[nonce] = Reply(self.total, 0)
         self.total += lines
         self.waiting += lines
         self.planned = 0
-        while len(self.marks) > MARKS_KEPT:
-            del self.marks[next(iter(self.marks))]
+        while len(self.replies) > REPLIES_MAX:
+            del self.replies[next(iter(self.replies))]
 
-    def repeat(self, lines: int) -> None:
+    def retransmit(self, lines: int) -> None:
         """A message that may have been written is written again."""
         self.total += lines
         self.waiting += lines
 
-    def answer(self, mark: Hashable, lines: int) -> None:
+    def acknowledge(self, nonce: Hashable, lines: int) -> None:
         """A proxy has applied a message: all that was written before it has left the channel."""
         self.waiting -= lines
-        if written := self.marks.get(mark):
-            written = self.marks[mark] = Written(written.start, written.answered + lines)
-            self.left = min(self.total, max(self.left, written.start + written.answered))
+        if reply := self.replies.get(nonce):
+            reply = self.replies[nonce] = Reply(reply.start, reply.acknowledged + lines)
+            self.left = min(self.total, max(self.left, reply.start + reply.acknowledged))
 
     def forget(self, lines: int) -> None:
         """A proxy has left: what it was written is no longer counted."""
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -11,6 +11,9 @@
 from typing import Any, NamedTuple
 
 from rainpick.decisions.director import Director
+from rainpick.decisions.servers import ServerState
+from rainpick.decisions.slow_start import Conditions
+from rainpick.decisions.tables import Table
 from rainpick.model import EndpointState
 from rainpick.record.replay import Hole, Playing
 from rainpick.record.steps import Life, Step
@@ -63,11 +66,13 @@
     raise InspectError(f"{words!r} is not fleet, server=HOST:PORT, table=N or proxy=N")
 
 
-def find(director: Director, words: str) -> Any:
-    for address, held in director.servers.items():
+def find(director: Director, words: str) -> ServerState:
+    """The server whose address is printed so; ``InspectError`` if there is none."""
+    servers = director.fleet.servers
+    for address, server_state in servers.items():
         if named(address) == words:
-            return held
-    raise InspectError(f"no server {words!r} is held; there are " + some(map(named, director.servers)))
+            return server_state
+    raise InspectError(f"no server {words!r} is held; there are " + some(map(named, servers)))
 
 
 def some(names: Iterable[Any]) -> str:
@@ -75,158 +80,158 @@
     return ", ".join(names[:8]) + (f" and {len(names) - 8} more" if len(names) > 8 else "") or "none"
 
 
-def asked(director: Director, held: Any) -> float:
-    """The percentage that the module gives it; the question leaves no trace."""
-    return director.percentage(copy.copy(held))
+def percentage(director: Director, server: ServerState, conditions: Conditions) -> float:
+    """The percentage that the decisions give a server under some conditions; asking leaves no trace."""
+    return director.slow_start.advance(copy.copy(server), conditions)
 
 
-def factors(director: Director, held: Any) -> list[Factor]:
-    """The causes of a server's percentage, in the module's order; their product is the percentage."""
-    bare, free = copy.copy(director), copy.copy(held)
-    bare.kinds, bare.answering, bare.load, bare.cold_part = {}, 1.0, 0.0, 1.0
-    free.entry = free.entry._replace(started_us=0)
-    free.health, free.back_us, free.eject_until = 1.0, None, 0
+def factors(director: Director, server: ServerState) -> list[Factor]:
+    """The causes of a server's percentage, in the decisions' order; their product is the percentage.
 
-    def on_list() -> None:
-        free.state = held.state
-
-    def shut_out() -> None:
-        free.eject_until = held.eject_until
-
-    def eased() -> None:
-        free.health = held.health
-
-    def kind_eased() -> None:
-        bare.kinds = director.kinds
-
-    def back() -> None:
-        free.back_us, free.relapses = held.back_us, held.relapses
-
-    def cold() -> None:
-        free.entry = held.entry
-
-    def jam() -> None:
-        bare.answering, bare.load = director.answering, director.load
-
-    def few_warm() -> None:
-        bare.cold_part = director.cold_part
-
-    found, before = [], 1.0
-    free.state = EndpointState.READY
-    for cause, give in (
-        ("its state on the list", on_list),
-        ("ejected on evidence", shut_out),
-        ("the server is eased", eased),
-        ("its machine type is eased", kind_eased),
-        ("back from a drain or an ejection", back),
-        ("it has just started", cold),
-        ("cold, and the fleet is in a jam", jam),
-        ("cold, and few are warm", few_warm),
-    ):
-        give()
-        now = asked(bare, free)
-        found.append(Factor(cause, now / before if before else 1.0))
+    A cause is put back into a copy of the server, or into the conditions, after another.
+    """
+    actual = director.conditions()
+    conditions = Conditions({}, 1.0, 0.0, 1.0)
+    probe = copy.copy(server)
+    probe.endpoint = probe.endpoint._replace(started_us=0)
+    probe.status, probe.capacity_factor = EndpointState.READY, 1.0
+    probe.recovering_since_us, probe.ejected_until_us = None, 0
+    recovery = {
+        "recovering_since_us": server.recovering_since_us,
+        "consecutive_ejections": server.consecutive_ejections,
+    }
+    congestion = {"success_ratio": actual.success_ratio, "latency_ratio": actual.latency_ratio}
+    causes: tuple[tuple[str, dict[str, Any], dict[str, Any]], ...] = (
+        ("its state on the list", {"status": server.status}, {}),
+        ("ejected on evidence", {"ejected_until_us": server.ejected_until_us}, {}),
+        ("the server is eased", {"capacity_factor": server.capacity_factor}, {}),
+        ("its machine type is eased", {}, {"machine_type_factors": actual.machine_type_factors}),
+        ("back from a drain or an ejection", recovery, {}),
+        ("it has just started", {"endpoint": server.endpoint}, {}),
+        ("cold, and the fleet is in a jam", {}, congestion),
+        ("cold, and few are warm", {}, {"warming_fraction": actual.warming_fraction}),
+    )
+    result, before = [], 1.0
+    for cause, of_server, of_conditions in causes:
+        for name, value in of_server.items():
+            setattr(probe, name, value)
+        conditions = conditions._replace(**of_conditions)
+        now = percentage(director, probe, conditions)
+        result.append(Factor(cause, now / before if before else 1.0))
         before = now
-    return found
+    return result
 
 
-def by_table(director: Director, held: Any, table: Any) -> list[Factor]:
+def table_factors(director: Director, server: ServerState, table: Table) -> list[Factor]:
     """What a table multiplies a server's weight by, beside its percentage."""
-    laid, near = held.laid(), copy.copy(table)
-    near.cold_part = 1.0
-    if not laid:
+    effective_weight = server.effective_weight()
+    if not effective_weight:
         return []
-    far = director.weight(held, near) / laid
-    rest = director.weight(held, table) / laid / far if far else 1.0
-    return [Factor("of another zone", far), Factor("cold, and few of the table are warm", rest)]
+    without_warming = copy.copy(table)
+    without_warming.warming_fraction = 1.0
+    local = director.assignment.weight(server, without_warming) / effective_weight
+    weight = director.assignment.weight(server, table)
+    rest = weight / effective_weight / local if local else 1.0
+    return [Factor("of another zone", local), Factor("cold, and few of the table are warm", rest)]
 
 
 def server(director: Director, words: str) -> dict[str, Any]:
-    """All that is held of a server. ``words``: its address as it is printed."""
-    held = find(director, words)
-    now, entry = director.now, held.entry
-    tables = {table.number: table for table in held.tables}
-    tries, lost, took = held.drops.sums(director.bucket)
+    """All that is known of a server. ``words``: its address as it is printed."""
+    state = find(director, words)
+    clock, entry = director.fleet.clock, state.endpoint
+    now = clock.now
+    attempts, failures, latency_us = state.observations.sums(clock.bucket)
     return {
         "server": words,
-        "state": STATES.get(held.state, "dropped by a list that may be wrong"),
+        "state": STATES.get(state.status, "dropped by a list that may be wrong"),
         "listed_weight": entry.weight,
         "zone": entry.zone,
         "machine": entry.machine_type,
         "age_s": (now - entry.started_us) / 1e6 if entry.started_us else None,
-        "percentage": asked(director, held),
-        "because": factors(director, held),
-        "shut": held.shut,
-        "ejected_for_s": max(0.0, (held.eject_until - now) / 1e6) if held.eject_until else 0.0,
-        "relapses": held.relapses,
-        "heard_ago_s": (now - held.heard_us) / 1e6 if held.heard_us else None,
-        "lately": {"tries": tries, "dropped": lost, "mean_ms": took / max(1, tries - lost) / 1e3},
+        "percentage": percentage(director, state, director.conditions()),
+        "because": factors(director, state),
+        "shut": state.withdrawn,
+        "ejected_for_s": max(0.0, (state.ejected_until_us - now) / 1e6) if state.ejected_until_us else 0.0,
+        "relapses": state.consecutive_ejections,
+        "heard_ago_s": (now - state.last_report_us) / 1e6 if state.last_report_us else None,
+        "lately": {
+            "tries": attempts,
+            "dropped": failures,
+            "mean_ms": latency_us / max(1, attempts - failures) / 1e3,
+        },
         "tables": {
-            number: {
-                "told": held.told.get(number, 0.0),
-                "wants": director.weight(held, table),
-                "because": by_table(director, held, table),
+            table.number: {
+                "told": state.published_weights.get(table.number, 0.0),
+                "wants": director.assignment.weight(state, table),
+                "because": table_factors(director, state, table),
             }
-            for number, table in sorted(tables.items())
+            for table in sorted(state.tables, key=lambda table: table.number)
         },
     }
 
 
 def table(director: Director, number: int) -> dict[str, Any]:
-    for one in director.tables:
-        if one.number == number:
-            break
-    else:
-        raise InspectError(f"there is no table {number}; there are {len(director.tables)}")
-    members = {named(address): held for address, held in director.servers.items() if number in held.told}
-    told = {name: held.told[number] for name, held in members.items()}
-    shut = [name for name, held in members.items() if held.shut]
+    """All that is known of a table."""
+    tables = director.fleet.tables
+    state = next((table for table in tables if table.number == number), None)
+    if state is None:
+        raise InspectError(f"there is no table {number}; there are {len(tables)}")
+    members = {
+        named(address): server
+        for address, server in director.fleet.servers.items()
+        if number in server.published_weights
+    }
     return {
         "table": number,
-        "zone": one.zone,
-        "used": one.used,
-        "proxies": sorted(one.proxies),
-        "warm_weight": one.warm,
-        "most_warm_weight": one.most,
-        "left_to_the_cold": one.cold_part,
-        "levels": {str(route): level for route, level in one.said.items()},
-        "told": told,
-        "shut": shut,
+        "zone": state.zone,
+        "used": state.used,
+        "proxies": sorted(state.proxies),
+        "warm_weight": state.warm_weight,
+        "most_warm_weight": state.peak_warm_weight,
+        "left_to_the_cold": state.warming_fraction,
+        "levels": {str(route): rate for route, rate in state.published_admission.items()},
+        "told": {name: server.published_weights[number] for name, server in members.items()},
+        "shut": [name for name, server in members.items() if server.withdrawn],
     }
 
 
 def proxy(director: Director, number: int) -> dict[str, Any]:
-    held = director.proxies.get(number)
-    if held is None:
-        raise InspectError(f"proxy {number} has not joined; there are {some(sorted(director.proxies))}")
-    tokens = director.tokens(copy.copy(held))
+    """All that is known of a proxy."""
+    fleet = director.fleet
+    state = fleet.proxies.get(number)
+    if state is None:
+        raise InspectError(f"proxy {number} has not joined; there are {some(sorted(fleet.proxies))}")
+    available = director.publisher.available_messages(copy.copy(state))
     return {
         "proxy": number,
-        "zone": held.zone,
-        "table": held.place.number,
-        "home": director.home(held).number if director.tables else None,
-        "joined_ago_s": (director.now - held.joined_us) / 1e6,
-        "usual_calls_per_s": held.rate,
-        "messages_left": None if director.get("proxies.pushes_allowed", 0) <= 1 else tokens,
-        "unread": [{"mark": mark, "lines": lines} for mark, lines in held.unread],
+        "zone": state.zone,
+        "table": state.group.number if isinstance(state.group, Table) else None,
+        "home": director.assignment.home(state).number if fleet.tables else None,
+        "joined_ago_s": (fleet.clock.now - state.joined_us) / 1e6,
+        "usual_calls_per_s": state.request_rate,
+        "messages_left": None if fleet.settings.messages_max <= 1 else available,
+        "unread": [{"mark": message.nonce, "lines": message.lines} for message in state.unacknowledged],
     }
 
 
 def fleet(director: Director) -> dict[str, Any]:
-    states = [STATES.get(held.state, "missing") for held in director.servers.values()]
+    """How the fleet stands as a whole."""
+    fleet, load, capacity = director.fleet, director.load, director.capacity
+    states = [STATES.get(server.status, "missing") for server in fleet.servers.values()]
+    factors = director.overload.machine_type_factors
     return {
-        "proxies": len(director.proxies),
-        "not_bound": len(director.unbound()),
+        "proxies": len(fleet.proxies),
+        "not_bound": len(fleet.unbound_proxies()),
         "servers": {state: states.count(state) for state in sorted(set(states))},
-        "tables": sum(one.used for one in director.tables),
-        "lines_waiting": director.queue.waiting,
-        "queue": director.pending,
-        "answering": director.answering,
-        "load_in_slo_times": director.load,
-        "warm_weight": director.warm_now,
-        "most_warm_weight": director.warm_most,
-        "left_to_the_cold": director.cold_part,
-        "limit_of_calls": director.limit,
-        "eased_types": {str(kind): part for kind, part in director.kinds.items() if part < 1},
-        "ejected": [named(address) for address, held in director.servers.items() if held.eject_until],
+        "tables": sum(table.used for table in fleet.tables),
+        "lines_waiting": director.publisher.queue.waiting,
+        "queue": fleet.settings.channel_lines_max,
+        "answering": load.success_ratio,
+        "load_in_slo_times": load.latency_ratio,
+        "warm_weight": capacity.warm_weight,
+        "most_warm_weight": capacity.peak_warm_weight,
+        "left_to_the_cold": capacity.warming_fraction,
+        "limit_of_calls": director.admission.limit,
+        "eased_types": {str(number): factor for number, factor in factors.items() if factor < 1},
+        "ejected": [named(address) for address, server in fleet.servers.items() if server.ejected_until_us],
     }
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -161,7 +161,7 @@
 def test_another_text_of_the_module_is_told_by_what_it_does(tmp_path):
     lived(tmp_path / "day")
     text = Path(__file__).parents[2] / "rainpick" / "decisions" / "director.py"
-    (tmp_path / "slow.py").write_text(text.read_text().replace(" = 4, 1.6, 0.6", " = 10**9, 1.6, 0.6"))
+    (tmp_path / "slow.py").write_text(text.read_text().replace("clock.now + TICK_US", "clock.now + 10**12"))
     (one,) = [
         play(life, steps, module(tmp_path / "slow.py"), compare=True)
         for life, steps in lives(read(tmp_path / "day"))
@@ -190,22 +190,26 @@
     lived(tmp_path)
     life, steps = nth(lambda: read(tmp_path), -1)
     director = inspect.reach(life, steps, life.now + 6_000_000)
-    before = {address: vars(held).copy() for address, held in director.servers.items()}
-    for address, held in director.servers.items():
+    before = {address: vars(held).copy() for address, held in director.fleet.servers.items()}
+    for address, held in director.fleet.servers.items():
         found = inspect.server(director, f"{address[0]}:{address[1]}")
         product = 1.0
         for _, times in found["because"]:
             product *= times
-        assert product == pytest.approx(found["percentage"]) == pytest.approx(director.percentage(held))
+        assert (
+            product
+            == pytest.approx(found["percentage"])
+            == pytest.approx(inspect.percentage(director, held, director.conditions()))
+        )
     cold = dict(inspect.server(director, "127.0.0.1:9009")["because"])
     assert 0 < cold["it has just started"] < 1 and cold["the server is eased"] == 1.0
     assert dict(inspect.server(director, "127.0.0.1:9001")["because"])["its state on the list"] == 0.0
     # Asking leaves no trace: the module ends a ramp that is done when it works out a percentage.
-    assert all(vars(held) == before[address] for address, held in director.servers.items())
-    held = director.servers["127.0.0.1", 9003]
-    held.back_us = director.now - 60_000_000
+    assert all(vars(held) == before[address] for address, held in director.fleet.servers.items())
+    held = director.fleet.servers["127.0.0.1", 9003]
+    held.recovering_since_us = director.fleet.clock.now - 60_000_000
     inspect.server(director, "127.0.0.1:9003")
-    assert held.back_us == director.now - 60_000_000
+    assert held.recovering_since_us == director.fleet.clock.now - 60_000_000
 
 
 def test_inspection_reaches_the_moment_asked_for_and_no_later(tmp_path):
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,7 +1,7 @@
 """What the module reckons and no scenario can see."""
 
 from rainpick import model
-from rainpick.decisions import director as decisions
+from rainpick.decisions import endpoint_list
 from rainpick.decisions.director import Director
 
 SETTINGS = {
@@ -33,21 +33,21 @@
     """After a break in the news a proxy is told as joining anew, though its stream may never have ended: what
     it was written is in the channel yet. Counted as gone, as much again was ordered, over the queue's end."""
     director, _ = begun()
-    once = director.queue.waiting
+    once = director.publisher.queue.waiting
     assert once > 0
     orders = director.step(100_000, [model.ProxyJoined(1, False, 5.0, 0)])
-    assert director.queue.waiting == 2 * once
+    assert director.publisher.queue.waiting == 2 * once
     (mark,) = [order.nonce for order in orders if type(order) is model.RequestAcknowledgement]
     director.step(400_000, [model.Acknowledged(1, mark, 0)])
-    assert director.queue.waiting == 0, "the answer to the later message is one to the earlier, too"
+    assert director.publisher.queue.waiting == 0, "the answer to the later message is one to the earlier, too"
 
 
 def test_lines_of_a_proxy_that_left_wait_no_more():
     director, mark = begun()
     director.step(100_000, [model.ProxyLeft(1)])
-    assert director.queue.waiting == 0
+    assert director.publisher.queue.waiting == 0
     director.step(200_000, [model.Acknowledged(1, mark, 0)])
-    assert director.queue.waiting == 0
+    assert director.publisher.queue.waiting == 0
 
 
 def replaced(director, now, old, new):
@@ -78,14 +78,14 @@
 def test_servers_long_gone_are_forgotten_but_for_being_shut_out(monkeypatch):
     """Two thousand replaced servers made each step four times as dear; the relay keeps them shut out, so one
     that comes back under its old id has to be readmitted, or nobody would ever use it again."""
-    monkeypatch.setattr(decisions, "PAST", 20)
+    monkeypatch.setattr(endpoint_list, "FORGOTTEN_MAX", 20)
     director, mark = begun()
     now, found = 1_000_000, director.step(500_000, [model.Acknowledged(1, mark, 0)])
     for number in range(100):
         now, found = replaced(director, now, "abcd"[number] if number < 4 else f"s{number - 4}", f"s{number}")
-        assert len(director.servers) <= 4 + 1 + decisions.FORGET_TICKS
-    assert len(director.past) == 20
-    last = list(director.past)[-1]
+        assert len(director.fleet.servers) <= 4 + 1 + endpoint_list.FORGET_TICKS
+    assert len(director.endpoint_list.forgotten) == 20
+    last = list(director.endpoint_list.forgotten)[-1]
     now, found = replaced(director, now, "s98", last)
     for _ in range(12):
         now += 1_000_000
@@ -99,4 +99,4 @@
                 if type(order) is model.RequestAcknowledgement
             ],
         )
-    assert model.SetWithdrawn(last, False) in found and last not in director.past
+    assert model.SetWithdrawn(last, False) in found and last not in director.endpoint_list.forgotten
