--- a/rainpick/decisions/binding.py
+++ b/rainpick/decisions/binding.py
@@ -8,6 +8,7 @@
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.proxies import ProxyState
 from rainpick.decisions.publisher import Publisher
+from rainpick.decisions.servers import ServerState
 from rainpick.decisions.table_assignment import TableAssignment
 from rainpick.decisions.tables import Table
 from rainpick.decisions.withdrawals import Withdrawals
@@ -38,11 +39,8 @@
         ending, withdrawn = withdrawals.ending_by_table(), withdrawals.withdrawn_by_table()
         sizes = self.table_lines()
 
-        def urgency(table: Table) -> tuple[int, float, int]:
-            busiest = max((proxy.request_rate for proxy in waiting[table]), default=0.0)
-            return withdrawals.deadline(ending[table], waiting[table]), -busiest, table.number
-
-        for table in sorted(waiting.keys() | ending.keys(), key=urgency):
+        tables = waiting.keys() | ending.keys()
+        for table in sorted(tables, key=lambda table: self.urgency(table, waiting[table], ending[table])):
             if ending[table] and withdrawals.remove(table, ending[table], claims.drain):
                 sizes[table.number] -= len(ending[table])
             if (
@@ -53,6 +51,13 @@
                 sizes[table.number] -= 2 * len(withdrawn[table])
             self.bind_to(table, waiting[table], sizes[table.number])
 
+    def urgency(
+        self, table: Table, waiting: Sequence[ProxyState], ending: Sequence[ServerState]
+    ) -> tuple[int, float, int]:
+        """Tables with the earliest deadline come first, then those with the busiest proxy that waits."""
+        busiest = max((proxy.request_rate for proxy in waiting), default=0.0)
+        return self.withdrawals.deadline(ending, waiting), -busiest, table.number
+
     def table_lines(self) -> Counter[int]:
         """By table, the lines that a bind carries: its servers, and again those that are withdrawn."""
         servers = self.fleet.servers.values()
--- a/rainpick/decisions/concentration.py
+++ b/rainpick/decisions/concentration.py
@@ -9,7 +9,6 @@
 from collections import defaultdict
 
 from rainpick.decisions.fleet import Fleet
-from rainpick.decisions.servers import ServerState
 from rainpick.decisions.table_assignment import TableAssignment
 from rainpick.decisions.tables import Table
 
@@ -33,14 +32,10 @@
 
 
 def table_weights(fleet: Fleet, assignment: TableAssignment) -> dict[Table, float]:
-    """By table, the weight of its servers that are not withdrawn, without concentration factors."""
+    """Reset all concentration factors; by table, the weight of its servers that are not withdrawn."""
     weights: dict[Table, float] = defaultdict(float)
-
-    def add(server: ServerState) -> None:
+    for server in fleet.servers.values():
         server.concentration_factor = 1.0
         for table in server.tables:
             weights[table] += 0 if server.withdrawn else assignment.weight(server, table)
-
-    for server in fleet.servers.values():
-        add(server)
     return weights
--- a/rainpick/decisions/fleet.py
+++ b/rainpick/decisions/fleet.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 
 from rainpick.decisions.clock import StepClock
-from rainpick.decisions.proxies import ProxyState
+from rainpick.decisions.proxies import ProxyGroup, ProxyState
 from rainpick.decisions.servers import ServerState
 from rainpick.decisions.settings import DecisionSettings
-from rainpick.decisions.tables import ProxyGroup, Table
+from rainpick.decisions.tables import Table
 from rainpick.model import Address
 
 
--- a/rainpick/decisions/proxies.py
+++ b/rainpick/decisions/proxies.py
@@ -3,15 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from rainpick.decisions.settings import DecisionSettings
 from rainpick.decisions.sliding_window import SlidingWindow
 from rainpick.model import ProxyJoined
 
-if TYPE_CHECKING:
-    from rainpick.decisions.tables import ProxyGroup
-
 BURST_FRACTION = 0.4  # of the messages that a proxy may be sent, this part may go out at once
 
 
@@ -47,6 +44,17 @@
         return sum(message.lines for message in self.unacknowledged)
 
 
+class ProxyGroup:
+    """Proxies that the same commands reach.
+
+    ``pending_lines`` counts the lines that the step under way writes to each of them, the head left out.
+    """
+
+    def __init__(self) -> None:
+        self.proxies: dict[int, ProxyState] = {}
+        self.pending_lines = 0
+
+
 class MessageLimit:
     """The cap of messages to one proxy within a window of time, as a token bucket.
 
--- a/rainpick/decisions/publisher.py
+++ b/rainpick/decisions/publisher.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Sequence
 
 from rainpick.decisions.fleet import Fleet
-from rainpick.decisions.proxies import MessageLimit, ProxyState, SentMessage
+from rainpick.decisions.proxies import MessageLimit, ProxyGroup, ProxyState, SentMessage
 from rainpick.decisions.send_queue import Claim, Claims, SendQueue
 from rainpick.decisions.settings import UPDATE_INTERVAL_US, DecisionSettings
-from rainpick.decisions.tables import ProxyGroup, Table
+from rainpick.decisions.tables import Table
 from rainpick.model import (
     ALL_ROUTES,
     Acknowledged,
--- a/rainpick/decisions/tables.py
+++ b/rainpick/decisions/tables.py
@@ -1,19 +1,8 @@
-"""Shared tables, and groups of proxies that are sent the same messages."""
+"""Shared tables: proxies that are bound to one hold the same servers at the same weights."""
 
 from __future__ import annotations
 
-from rainpick.decisions.proxies import ProxyState
-
-
-class ProxyGroup:
-    """Proxies that the same commands reach.
-
-    ``pending_lines`` counts the lines that the step under way writes to each of them, the head left out.
-    """
-
-    def __init__(self) -> None:
-        self.proxies: dict[int, ProxyState] = {}
-        self.pending_lines = 0
+from rainpick.decisions.proxies import ProxyGroup
 
 
 class Table(ProxyGroup):
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -6,11 +6,12 @@
 from collections.abc import Collection, Iterable, Sequence
 
 from rainpick.decisions.fleet import Fleet
+from rainpick.decisions.proxies import ProxyGroup
 from rainpick.decisions.publisher import Publisher, TableCommand
 from rainpick.decisions.send_queue import Claim
 from rainpick.decisions.servers import GONE, ServerState
 from rainpick.decisions.table_assignment import TableAssignment
-from rainpick.decisions.tables import ProxyGroup, Table
+from rainpick.decisions.tables import Table
 from rainpick.model import SetWeight, SetWithdrawn
 
 LOWERED_MULTIPLE = 1.5  # a published weight over so many times the wanted one is lowered without delay
--- a/tests/compat/test_decisions.py
+++ b/tests/compat/test_decisions.py
@@ -13,15 +13,15 @@
 import pytest
 
 from rainpick.director.stepper import Stepper
-from tests import play as scenarios
 from tests.compat.drawn_day import Digest, DrawnDay
+from tests.decisions import scenario_player as scenarios
 from tests.takeover import day as takeovers
 from tests.takeover.test_takeover import SMALL
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent.parent
 EXPECTED = json.loads((HERE / "decisions" / "digests.json").read_text())
-SCENARIOS = HERE.parent / "scenarios"
+SCENARIOS = HERE.parent / "decisions" / "scenarios"
 
 
 def drawn_digest(seed: int) -> dict:
--- a/tests/test_scenarios.py
+++ b/tests/decisions/test_scenarios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.play import play
+from tests.decisions.scenario_player import play
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 
