--- a/tests/decisions/scenario_player.py
+++ b/tests/decisions/scenario_player.py
@@ -24,6 +24,7 @@
 """
 
 import fnmatch
+from functools import partial
 from heapq import heappop, heappush
 
 from rainpick import model
@@ -53,124 +54,201 @@
 }
 
 
-class Play:
+class ScenarioPlayer:
+    """One director, what it ordered, and what its proxies hold.
+
+    ``checks`` and ``events`` map the words of a scenario to the methods that play them.
+    """
+
     def __init__(self):
         self.settings = {"routes.count": 1, "routes.0.slo_time_us": 500_000}
-        self.director, self.now, self.blocked = Director(), 0, 0
-        self.bells, self.listed, self.seen, self.kept = [], {}, [], {}
-        self.joined, self.table, self.shut, self.writes, self.deaf = {}, {}, set(), {}, set()
+        self.director = Director()
+        self.now = 0
+        self.stalled_until = 0  # no step before that time
+        self.entries = {}  # the endpoint list, by name
+        self.commands = []  # what was ordered since the last line of events
+        self.first_seen = {}  # by proxy, what "keeps" noted
+        self.sent = {}  # by proxy, when messages were written to it
+        self.deaf = set()  # proxies that acknowledge nothing
+        self.forget_director()
+        self.checks = {
+            "set": self.set,
+            "see": self.see,
+            "not": self.see_not,
+            "picks": self.picks,
+            "lines": self.count_lines,
+            "keeps": self.keeps,
+            "part": self.part,
+            "messages": self.messages,
+        }
+        self.events = {
+            "start": self.start,
+            "cached": partial(self.update, model.UpdateKind.CACHED),
+            "full": partial(self.update, model.UpdateKind.FULL),
+            "list": partial(self.update, model.UpdateKind.DELTA),
+            "join": partial(self.join, True),
+            "back": partial(self.join, False),
+            "left": self.left,
+            "met": self.met,
+            "again": self.again,
+            "calls": self.calls,
+            "probed": self.probed,
+        }
+
+    def forget_director(self):
+        """Whatever the director set up is gone with it."""
+        self.timers = []
+        self.bound = {}  # by joined proxy, its table
+        self.tables = {}  # by table, the weights in it
+        self.withdrawn = set()
 
-    def server(self, word):
+    # Events
+
+    def start(self):
+        self.forget_director()
+        self.director = Director()
+        return model.Started(7, dict(self.settings))
+
+    def entry(self, word):
+        """An entry of the list as a scenario names it: ``a``, ``a:new``, ``a:drain*2``."""
         name, _, rest = word.partition(":")
         state, _, weight = rest.partition("*")
-        old = self.listed.get(name)
+        old = self.entries.get(name)
         started = self.now if state == "new" else old.started_us if old else 0
-        zone = old.zone if old else len(self.listed) % 2
+        zone = old.zone if old else len(self.entries) % 2
         fields = float(weight or 1), zone, started, name.isupper(), 0, name, STATES[state]
-        self.listed[name] = model.Endpoint(*fields)
-        return self.listed[name]
-
-    def event(self, verb, *words):
-        if verb == "start":
-            self.joined, self.table, self.shut, self.bells, self.director = {}, {}, set(), [], Director()
-            return model.Started(7, dict(self.settings))
-        if verb in ("cached", "full", "list"):
-            kind = {
-                "cached": model.UpdateKind.CACHED,
-                "full": model.UpdateKind.FULL,
-                "list": model.UpdateKind.DELTA,
-            }[verb]
-            return model.EndpointUpdate(kind, tuple(self.server(word) for word in words), 1)
-        if verb in ("join", "back"):
-            number, rate, zone = (*map(int, words), *(1, 0)[len(words) - 1 :])
-            self.joined[number], self.writes[number] = None, []
-            return model.ProxyJoined(number, verb == "join", float(rate), zone)
-        if verb == "left":
-            del self.joined[int(words[0])]
-            return model.ProxyLeft(int(words[0]))
-        if verb == "met":
-            tries, dropped, mean, span = (*map(int, words[1:]), *(50, 1000)[len(words) - 3 :])
-            return model.ServerLoadReport(words[0], 0, tries, dropped, mean * 1000, span * 1000, ())
-        if verb == "again":
-            return model.Retransmitted(int(words[0]))
-        if verb == "calls":
-            return model.RouteLoadReport(*map(int, words), 0, 1_000_000)
-        assert verb == "probed", f"no event is called {verb}"
-        return model.ProbeCompleted(words[0], int(words[1]), 1000, ())
+        self.entries[name] = model.Endpoint(*fields)
+        return self.entries[name]
+
+    def update(self, kind, *words):
+        return model.EndpointUpdate(kind, tuple(self.entry(word) for word in words), 1)
+
+    def join(self, newly_started, proxy, rate="1", zone="0"):
+        self.bound[int(proxy)], self.sent[int(proxy)] = None, []
+        return model.ProxyJoined(int(proxy), newly_started, float(rate), int(zone))
+
+    def left(self, proxy):
+        del self.bound[int(proxy)]
+        return model.ProxyLeft(int(proxy))
+
+    def met(self, server, attempts, failures, mean_ms="50", interval_ms="1000"):
+        latency_us, interval_us = int(mean_ms) * 1000, int(interval_ms) * 1000
+        return model.ServerLoadReport(server, 0, int(attempts), int(failures), latency_us, interval_us, ())
+
+    def again(self, nonce):
+        return model.Retransmitted(int(nonce))
+
+    def calls(self, proxy, route, requests):
+        return model.RouteLoadReport(int(proxy), int(route), int(requests), 0, 1_000_000)
+
+    def probed(self, server, outcome):
+        return model.ProbeCompleted(server, int(outcome), 1000, ())
+
+    # Steps
 
     def step(self, events):
+        """Step the director, and carry out what it orders."""
         reached = set()
-        for order in self.director.step(self.now, events):
-            name = COMMAND_NAMES[type(order)]
-            if type(order) is model.SetTimer:
-                heappush(self.bells, (self.now + order.delay_us, order.token))
-            elif type(order) is model.BindProxy:
-                self.joined[order.proxy] = order.table
-                reached.add(order.proxy)
-            elif type(order) is model.SetWeight:
-                lines = self.table.setdefault(order.table, {})
-                lines[order.server] = order.weight
-                if not order.weight:
-                    del lines[order.server]
-                reached.update(number for number, table in self.joined.items() if table == order.table)
-            elif type(order) is model.SetWithdrawn:
-                (self.shut.add if order.withdrawn else self.shut.discard)(order.server)
-                reached.update(self.joined)
-            elif type(order) is model.RequestAcknowledgement:
-                answers = [model.Acknowledged(number, order.nonce, 0) for number in reached - self.deaf]
-                heappush(self.bells, (self.now + 300_000, -1, order.nonce, answers))
-            self.seen.append(" ".join([name, *(str(field) for field in order)]))
-        for number in reached:
-            self.writes[number].append(self.now)
+        for command in self.director.step(self.now, events):
+            reached |= self.carry_out(command, frozenset(reached))
+            fields = (str(field) for field in command)
+            self.commands.append(" ".join([COMMAND_NAMES[type(command)], *fields]))
+        for proxy in reached:
+            self.sent[proxy].append(self.now)
+
+    def carry_out(self, command, reached):
+        """Do what a command says; the proxies that it reaches. ``reached``: those of the commands before."""
+        kind = type(command)
+        if kind is model.SetTimer:
+            heappush(self.timers, (self.now + command.delay_us, command.token))
+        elif kind is model.BindProxy:
+            self.bound[command.proxy] = command.table
+            return {command.proxy}
+        elif kind is model.SetWeight:
+            weights = self.tables.setdefault(command.table, {})
+            weights[command.server] = command.weight
+            if not command.weight:
+                del weights[command.server]
+            return {proxy for proxy, table in self.bound.items() if table == command.table}
+        elif kind is model.SetWithdrawn:
+            (self.withdrawn.add if command.withdrawn else self.withdrawn.discard)(command.server)
+            return set(self.bound)
+        elif kind is model.RequestAcknowledgement:
+            answers = [model.Acknowledged(proxy, command.nonce, 0) for proxy in reached - self.deaf]
+            heappush(self.timers, (self.now + 300_000, -1, command.nonce, answers))
+        return set()
 
     def until(self, moment):
-        while self.bells and max(self.bells[0][0], self.blocked) <= moment:
-            due, token, *answers = heappop(self.bells)
-            self.now = max(due, self.blocked, self.now)
-            answers = [event for event in answers[-1] if event.proxy in self.joined] if answers else []
+        """Let timers and acknowledgements come that are due by a time."""
+        while self.timers and max(self.timers[0][0], self.stalled_until) <= moment:
+            due, token, *answers = heappop(self.timers)
+            self.now = max(due, self.stalled_until, self.now)
+            answers = [event for event in answers[-1] if event.proxy in self.bound] if answers else []
             self.step(answers if token == -1 else [model.TimerFired(token)])
         self.now = moment
 
+    def batch(self, moment_ms, text):
+        """A line of events at a time."""
+        self.commands.clear()
+        self.until(moment_ms * 1000)
+        events = []
+        for verb, *words in (part.split() for part in text.split(";") if part.strip()):
+            if verb == "stall":
+                self.stalled_until = int(words[0]) * 1000
+            elif verb == "deaf":
+                self.deaf.add(int(words[0]))
+            else:
+                assert verb in self.events, f"no event is called {verb}"
+                events.append((self.events[verb], words))
+        if events:
+            self.step([event(*words) for event, words in events])
+
+    # Checks
+
+    def set(self, *words):
+        for word in words:
+            name, _, value = word.partition("=")
+            self.settings[name] = read(name, value)
+
+    def see(self, *words):
+        assert fnmatch.filter(self.commands, " ".join(words)), self.commands
+
+    def see_not(self, *words):
+        assert not fnmatch.filter(self.commands, " ".join(words)), self.commands
+
+    def usable(self, proxy):
+        return set(self.tables.get(self.bound[int(proxy)], {})) - self.withdrawn
+
+    def picks(self, proxy, *servers):
+        table = self.tables.get(self.bound[int(proxy)], {})
+        assert self.usable(proxy) == set(servers), (table, self.withdrawn, set(servers))
+
+    def count_lines(self, proxy, count):
+        assert len(self.usable(proxy)) == int(count), self.usable(proxy)
+
+    def keeps(self, proxy):
+        expected = self.first_seen.setdefault(proxy, self.usable(proxy))
+        assert self.usable(proxy) == expected, (self.usable(proxy), expected)
+
+    def part(self, server, fraction):
+        weights = [table[server] for table in self.tables.values() if server in table]
+        expected = float(fraction) * self.entries[server].weight
+        assert weights and all(abs(weight - expected) < 0.01 for weight in weights), weights
+
+    def messages(self, count, window_ms):
+        for moments in self.sent.values():
+            for last, moment in enumerate(moments):
+                recent = [early for early in moments[: last + 1] if moment - early < int(window_ms) * 1000]
+                assert len(recent) <= int(count), moments
+
     def line(self, text):
+        """Play a line: events at a time, or a check."""
         verb, *words = text.split()
         if verb.endswith(":"):
-            self.seen.clear()
-            self.until(int(verb[:-1]) * 1000)
-            parts = [part.split() for part in text.partition(":")[2].split(";") if part.strip()]
-            for part in [part for part in parts if part[0] in ("stall", "deaf")]:
-                parts.remove(part)
-                if part[0] == "stall":
-                    self.blocked = int(part[1]) * 1000
-                else:
-                    self.deaf.add(int(part[1]))
-            if parts:
-                self.step([self.event(*part) for part in parts])
-        elif verb == "set":
-            for word in words:
-                name, _, value = word.partition("=")
-                self.settings[name] = read(name, value)
-        elif verb == "see":
-            assert fnmatch.filter(self.seen, " ".join(words)), self.seen
-        elif verb == "not":
-            assert not fnmatch.filter(self.seen, " ".join(words)), self.seen
-        elif verb in ("picks", "lines", "keeps"):
-            lines = self.table.get(self.joined[int(words[0])], {})
-            open_now = set(lines) - self.shut
-            if verb == "lines":
-                assert len(open_now) == int(words[1]), open_now
-            else:
-                wanted = set(words[1:]) if verb == "picks" else self.kept.setdefault(words[0], open_now)
-                assert open_now == wanted, (lines, self.shut, wanted)
-        elif verb == "part":
-            found = [lines[words[0]] for lines in self.table.values() if words[0] in lines]
-            wanted = float(words[1]) * self.listed[words[0]].weight
-            assert found and all(abs(weight - wanted) < 0.01 for weight in found), found
+            self.batch(int(verb[:-1]), text.partition(":")[2])
         else:
-            assert verb == "messages", f"no check is called {verb}"
-            for moments in self.writes.values():
-                for last, moment in enumerate(moments):
-                    recent = [early for early in moments[: last + 1] if moment - early < int(words[1]) * 1000]
-                    assert len(recent) <= int(words[0]), moments
+            assert verb in self.checks, f"no check is called {verb}"
+            self.checks[verb](*words)
 
 
 def play(text):
@@ -182,11 +260,11 @@
     Traceback (most recent call last):
     AssertionError: line 2 (picks 1 a): ({'a': 1.0, 'b': 1.0}, set(), {'a'})
     """
-    scene = Play()
+    player = ScenarioPlayer()
     for number, raw in enumerate(text.splitlines(), 1):
         line = raw.partition("#")[0].strip()
         try:
             if line:
-                scene.line(line)
-        except AssertionError as flaw:
-            raise AssertionError(f"line {number} ({line}): {flaw}") from None
+                player.line(line)
+        except AssertionError as error:
+            raise AssertionError(f"line {number} ({line}): {error}") from None
