--- a/rainpick/decisions/send_queue.py
+++ b/rainpick/decisions/send_queue.py
@@ -4,9 +4,9 @@
 whatever is due first. So no more is written ahead than a short span of the channel's pace, and what is still
 unwritten can go in the order of its deadlines and be merged with what comes meanwhile.
 
-Two counts are kept. ``waiting`` is what no proxy has answered for, which errs to the full side: it bounds
+Two counts are kept. ``waiting`` is what proxies have not acknowledged, which errs to the full side: it bounds
 what the rule on the queue's length limits. ``backlog`` is what is still in the channel, by the newest message
-that any proxy has answered: proxies that fall silent do not hold it up.
+that any proxy has acknowledged: proxies that fall silent do not hold it up.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 
 
 class Claim(NamedTuple):
-    """What kind of order may be written: the better its claim, the fuller the queue may be."""
+    """How full the queue may be for a kind of command to be written: the better its claim, the fuller."""
 
     messages: int  # that each proxy concerned must have left
     reserve: float  # lines of the queue's limit that it leaves to others
-    share: float | None  # of the span that may be filled; None: the span does not count
+    span_fraction: float | None  # of the span that may be filled; None: the span does not count
 
 
 class Claims(NamedTuple):
-    """By kind of order, the strongest first."""
+    """By kind of command, the strongest first."""
 
-    rule: Claim  # no table without a line, no cold server overloaded
+    rule: Claim  # what keeps the rules: no empty table, no server overloaded while it warms up
     drain: Claim
     bind: Claim
     ejection: Claim
     admission: Claim
-    update: Claim
+    update: Claim  # of weights, once a tick
 
 
 class ChannelState(NamedTuple):
     """How the channel stands, for logs and metrics."""
 
-    waiting: int  # lines that no proxy has answered for
-    backlog: int  # lines that have not left, as far as answers tell
+    waiting: int  # lines that proxies have not acknowledged
+    backlog: int  # lines that have not left, as far as acknowledgements tell
     limit: float  # lines that may wait
     ahead: float  # lines that are written ahead at most
     unbound: int  # proxies that wait for their table
     drains: int  # tables that still use a server that drains
-    grace_used: float  # of the grace, by what is due first: a drained line or a proxy's table
+    grace_used: float  # of the grace, by what is due first: a draining server or a proxy's table
     takeover: bool  # more proxies wait to be bound than can be at once
 
 
@@ -57,17 +57,21 @@
 
 
 class SendQueue:
-    """Counts of lines; ``limit``: how many may wait; ``span``: how many are written ahead."""
+    """Counts of lines.
+
+    ``limit``: how many may wait unacknowledged; ``span``: how many are written ahead at most.
+    """
 
     def __init__(self, limit: float, span: float):
         self.limit, self.span = limit, min(limit, span)
-        self.waiting = 0  # lines that no proxy has answered for
-        self.total = self.left = 0  # lines written in all; those known to have left the channel
+        self.waiting = 0  # lines that proxies have not acknowledged
+        self.total = 0  # lines written in all
+        self.left = 0  # of those, how many are known to have left the channel
         self.planned: float = 0  # lines of the reply that is being made
         self.replies: dict[Hashable, Reply] = {}  # by nonce, the newest last
 
     def backlog(self) -> int:
-        """Lines that have not left the channel, as far as answers tell."""
+        """Lines that have not left the channel, as far as acknowledgements tell."""
         return min(self.waiting, self.total - self.left)
 
     def spare(self) -> float:
@@ -78,23 +82,23 @@
         """Whether so many lines may be written now.
 
         >>> queue = SendQueue(limit=100, span=20)
-        >>> [queue.fits(lines, Claim(1, 0, share)) for lines, share in ((20, 1.0), (21, 1.0), (21, None))]
+        >>> [queue.fits(lines, Claim(1, 0, span)) for lines, span in ((20, 1.0), (21, 1.0), (21, None))]
         [True, True, True]
         >>> queue.write("a nonce", 5)
-        >>> [queue.fits(lines, Claim(1, 0, share)) for lines, share in ((15, 1.0), (16, 1.0), (16, None))]
+        >>> [queue.fits(lines, Claim(1, 0, span)) for lines, span in ((15, 1.0), (16, 1.0), (16, None))]
         [True, False, True]
         """
         if lines > self.spare() - claim.reserve:
             return False
         ahead = self.backlog() + self.planned
-        return claim.share is None or not ahead or lines <= claim.share * self.span - ahead
+        return claim.span_fraction is None or not ahead or lines <= claim.span_fraction * self.span - ahead
 
     def plan(self, lines: float) -> None:
-        """So many lines are part of the reply."""
+        """So many lines are part of the reply that is being made."""
         self.planned += lines
 
     def begin(self) -> None:
-        """A new reply is made."""
+        """Begin a new reply."""
         self.planned = 0
 
     def write(self, nonce: Hashable, lines: int) -> None:
@@ -120,9 +124,9 @@
             self.left = min(self.total, max(self.left, reply.start + reply.acknowledged))
 
     def forget(self, lines: int) -> None:
-        """A proxy has left: what it was written is no longer counted."""
+        """A proxy has left: what it was sent is no longer counted."""
         self.waiting -= lines
 
     def restore(self, lines: int) -> None:
-        """A proxy has joined again, unseen: what it was written may still wait."""
+        """A proxy has joined again, unseen: what it was sent may still wait."""
         self.waiting += lines
