--- a/rainpick/decisions/admission.py
+++ b/rainpick/decisions/admission.py
@@ -19,6 +19,7 @@
 LIMIT_MIN = 0.6  # of the first limit
 LIMIT_FALL = 0.9
 LIMIT_RISE = 1.1
+LIMIT_RISE_FAST = LIMIT_RISE**3  # while servers are far from slow
 LIMIT_RISE_NEAR = 1.02  # past what was too much before
 SILENT, RATIO = "silent", "ratio"  # ways in which proxies admit, beside a rate for each of them
 UNLIMITED_RATE = 1e6
@@ -126,7 +127,7 @@
         if limit >= self.excessive_limit_per_weight * self.capacity.warm_weight:
             return LIMIT_RISE_NEAR
         slow = self.load.latency_ratio > PRESSED_LATENCY_RATIO / 2
-        return LIMIT_RISE if slow else LIMIT_RISE**3
+        return LIMIT_RISE if slow else LIMIT_RISE_FAST
 
     def divide(self, capacity: float, demands: dict[int, list[float]]) -> dict[int, float]:
         """Admission rates that share a capacity among routes, those of the highest priority first."""
--- a/rainpick/decisions/concentration.py
+++ b/rainpick/decisions/concentration.py
@@ -15,6 +15,8 @@
 
 def update_concentration(fleet: Fleet, assignment: TableAssignment) -> None:
     """Set the concentration factor of each server that warms up to what its fair part asks for."""
+    for server in fleet.servers.values():
+        server.concentration_factor = 1.0
     rates = {table: sum(proxy.request_rate for proxy in table.proxies.values()) for table in fleet.tables}
     weights = table_weights(fleet, assignment)
     total_rate = sum(proxy.request_rate for proxy in fleet.proxies.values())
@@ -32,10 +34,9 @@
 
 
 def table_weights(fleet: Fleet, assignment: TableAssignment) -> dict[Table, float]:
-    """Reset all concentration factors; by table, the weight of its servers that are not withdrawn."""
+    """By table, the weight of its servers that are not withdrawn."""
     weights: dict[Table, float] = defaultdict(float)
     for server in fleet.servers.values():
-        server.concentration_factor = 1.0
         for table in server.tables:
             weights[table] += 0 if server.withdrawn else assignment.weight(server, table)
     return weights
--- a/rainpick/decisions/director.py
+++ b/rainpick/decisions/director.py
@@ -178,6 +178,7 @@
         fleet, publisher, claims = self.fleet, self.publisher, self.publisher.claims
         publisher.begin()
         warm = self.warm_servers()
+        self.readmit_if_all_are_ejected(warm)
         if not fleet.tables:
             self.assignment.create_tables()
         if fleet.clock.now >= self.next_tick_us:
@@ -208,16 +209,16 @@
         self.admission.update()
 
     def warm_servers(self) -> dict[ServerState, None]:
-        """The servers that are warm, in the list's order; if all of them are ejected they are readmitted.
-
-        The rest has left the list since: any server is better than none.
-        """
+        """The servers that are warm, as an ordered set: in the order of the list."""
         fleet = self.fleet
-        warm = {server: None for server in fleet.servers.values() if fleet.is_warm(server)}
+        return {server: None for server in fleet.servers.values() if fleet.is_warm(server)}
+
+    @staticmethod
+    def readmit_if_all_are_ejected(warm: dict[ServerState, None]) -> None:
+        """End the ejections if nothing else is left: any server is better than none."""
         if all(server.ejected_until_us for server in warm):
             for server in warm:
                 server.ejected_until_us = 0
-        return warm
 
     def conditions(self) -> Conditions:
         """What the percentages of this step depend on beside the servers themselves."""
--- a/rainpick/decisions/servers.py
+++ b/rainpick/decisions/servers.py
@@ -15,7 +15,7 @@
 
 
 class ServerStatus(IntEnum):
-    """The state of a server: that of the endpoint list, or ``MISSING``."""
+    """The state of a server: that of the endpoint list, by the same numbers, or ``MISSING``."""
 
     GONE = EndpointState.GONE
     READY = EndpointState.READY
--- a/rainpick/decisions/sliding_window.py
+++ b/rainpick/decisions/sliding_window.py
@@ -34,7 +34,7 @@
             cell[column] += value
 
     def sums(self, bucket: int, last: int = BUCKETS) -> list[int]:
-        """The sums of the columns over the ``last`` buckets that end with this one."""
+        """The sums of the columns over the ``last`` buckets that end with this one; empties older cells."""
         self.add(bucket)
         cells = [self.cells[number % BUCKETS] for number in range(bucket - last + 1, bucket + 1)]
         return [sum(column) for column in zip(*cells, strict=True)]
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -104,19 +104,19 @@
         The weights of one that drained and is gone go, too: a deployment would fill tables with them, and
         each is two lines of a bind: binding the proxies of a lost director took longer than the grace.
         """
-        gone = server.status == GONE
+        removable = server.withdrawn and server.status == GONE
+        readmitted = server.withdrawn and server.status != GONE
+        if not server.percentage and not removable:
+            return True
         wanted = self.wanted_weights(server, only)
         stale = [
             table
             for table in server.tables
             if wanted.get(table.number) != server.published_weights.get(table.number)
         ]
-        removable = gone and server.withdrawn
-        if not server.percentage and not removable:
-            return True
-        if not stale and (gone or not server.withdrawn):
+        if not stale and not readmitted:
             return True
-        address, readmitted = server.endpoint.address, server.withdrawn and not gone
+        address = server.endpoint.address
         commands: list[TableCommand] = [
             SetWeight(table.number, address, wanted.get(table.number, 0.0)) for table in stale
         ]
