--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -17,12 +17,12 @@
 
 from rainpick.director.listing import ListCache, read_cache, read_list
 from rainpick.model import Endpoint
+from rainpick.operator_settings import translate_lines as operators_settings
+from rainpick.operator_settings import translate_nested as nested
 from rainpick.record.replay import Hole, lives, play
 from rainpick.settings import load, plain_map
 from rainpick.standins.scenario import Scenario
 from rainpick.store import read
-from rainpick.wording import nested
-from rainpick.wording import settings as operators_settings
 
 STORED = Path(__file__).parent / "stored"
 EXPECTED = STORED / "expected"
