--- a/rainpick/cli/main.py
+++ b/rainpick/cli/main.py
@@ -12,7 +12,7 @@
 
 import click
 
-from rainpick.settings import SettingsError, load, schema
+from rainpick.settings import SettingsError, json_schema, load
 
 CONFIG = click.Path(dir_okay=False)
 
@@ -78,7 +78,7 @@
 @config.command("schema")
 def config_schema() -> None:
     """Print the JSON Schema of the settings."""
-    click.echo(json.dumps(schema(), indent=2))
+    click.echo(json.dumps(json_schema(), indent=2))
 
 
 @config.command("payloads")
--- a/rainpick/settings/fleet.py
+++ b/rainpick/settings/fleet.py
@@ -1,11 +1,16 @@
-"""Which servers a rule of the fleet's description speaks of."""
+"""Patterns over server addresses: they select the servers that a rule of the settings describes."""
 
 import ipaddress
 
+ANY_PORT = range(65_536)
+
 
 class Match:
     """A pattern over addresses and ports.
 
+    It is ``HOST``, ``HOST:PORT``, ``HOST:FIRST-LAST`` or ``NETWORK/BITS``, the last with or without ports. An
+    IPv6 host with ports stands in brackets. ``ValueError`` if the pattern is none of these.
+
     >>> Match("127.0.0.1:9000-9011").covers(ipaddress.ip_address("127.0.0.1"), 9004)
     True
     >>> Match("10.1.0.0/16").covers(ipaddress.ip_address("10.2.0.1"), 80)
@@ -16,13 +21,13 @@
     """
 
     def __init__(self, pattern: str):
-        host, colon, ports = pattern, "", ""
+        host, separator, ports = pattern, "", ""
+        # More than one colon without brackets: an IPv6 address, whose last group is no port.
         if pattern.count(":") == 1 or pattern.startswith("["):
-            host, colon, ports = pattern.rpartition(":")
+            host, separator, ports = pattern.rpartition(":")
         try:
             self.network = ipaddress.ip_network(host.strip("[]"), strict=False)
-            first, _, last = ports.partition("-")
-            self.ports = range(int(first), int(last or first) + 1) if colon else range(65536)
+            self.ports = _port_range(ports) if separator else ANY_PORT
         except ValueError:
             raise ValueError(
                 f"fleet.servers: {pattern!r} is not HOST, HOST:PORT, HOST:FIRST-LAST or NETWORK/BITS"
@@ -31,4 +36,11 @@
             raise ValueError(f"fleet.servers: {pattern!r} has a port range that ends before it begins")
 
     def covers(self, host: ipaddress.IPv4Address | ipaddress.IPv6Address, port: int) -> bool:
+        """Whether the pattern matches this address and port."""
         return host in self.network and port in self.ports
+
+
+def _port_range(text: str) -> range:
+    """The ports of ``PORT`` or ``FIRST-LAST``, the last one included."""
+    first, _, last = text.partition("-")
+    return range(int(first), int(last or first) + 1)
--- a/rainpick/settings/load.py
+++ b/rainpick/settings/load.py
@@ -1,69 +1,93 @@
-"""Read JSON5 and say exactly what is wrong with it: file, path, value, what is allowed."""
+"""Reading of JSON5 files. Each fault is reported with its file, path and value, and what is allowed there."""
 
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, TypeVar, overload
 
 import json5
 from pydantic import BaseModel, ValidationError
+from pydantic_core import ErrorDetails
 
 from rainpick.settings.model import Settings
 
 Model = TypeVar("Model", bound=BaseModel)
-LARGEST = 4_000_000  # bytes; a larger file is not one that a person wrote
+MAX_FILE_BYTES = 4_000_000  # no file written by a person is larger
+MAX_SHOWN_VALUE = 60  # characters of a value that an error quotes
 
 
 class SettingsError(Exception):
     """The file cannot be used; the text has a line for each fault."""
 
 
-def shown(value: Any) -> str:
-    text = repr(value)
-    return text if len(text) <= 60 else text[:57] + "..."
+@overload
+def load(path: str | Path) -> Settings: ...
+@overload
+def load(path: str | Path, model: type[Model]) -> Model: ...
+def load(path: str | Path, model: type[BaseModel] = Settings) -> BaseModel:
+    """Read a file and check it against the schema of ``model``.
+
+    ``SettingsError`` names the file and each fault, also if the file can't be read or is no JSON5.
+    """
+    try:
+        data = Path(path).read_bytes()
+        if len(data) > MAX_FILE_BYTES:
+            raise SettingsError(f"{path}: {len(data)} bytes; at most {MAX_FILE_BYTES} are read")
+        return parse(data.decode(), str(path), model)
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise SettingsError(f"{path}: not UTF-8: {error.reason} at byte {error.start}") from None
 
 
-def parse(text: str, where: str = "settings", model: type[Model] = Settings) -> Model:
-    """Check JSON5 text against a schema.
+@overload
+def parse(text: str, where: str = ...) -> Settings: ...
+@overload
+def parse(text: str, where: str, model: type[Model]) -> Model: ...
+def parse(text: str, where: str = "settings", model: type[BaseModel] = Settings) -> BaseModel:
+    """Check JSON5 text against the schema of ``model``. ``where`` names the text in errors.
 
     >>> parse('{routes: [{name: "a", slo_time: "1s", time_limit: 2}]}')
     Traceback (most recent call last):
     rainpick.settings.load.SettingsError: settings: routes.0.time_limit: 2: a duration is text with a unit, \
 such as "1.5s"; units are us, ms, s, min, h
     """
+    tree = _decode(text, where)
     try:
-        raw = json5.loads(text, allow_duplicate_keys=False)
-    except ValueError as flaw:
-        raise SettingsError(f"{where}: {flaw}") from None
-    except RecursionError:
-        raise SettingsError(f"{where}: nested too deeply") from None
-    if not isinstance(raw, dict):
-        raise SettingsError(f"{where}: {shown(raw)}: a {{...}} of settings is wanted")
-    try:
-        return model.model_validate(raw)
-    except ValidationError as flaws:
-        lines = []
-        for flaw in flaws.errors(include_url=False):
-            path = ".".join(map(str, flaw["loc"])) or "(as a whole)"
-            said = flaw["msg"].removeprefix("Value error, ")
-            value = "" if flaw["type"] == "missing" or not flaw["loc"] else f" {shown(flaw['input'])}:"
-            if flaw["type"] == "extra_forbidden":
-                said = "there is no such setting"
-            lines.append(f"{where}: {path}:{value} {said}")
+        return model.model_validate(tree)
+    except ValidationError as error:
+        lines = [_describe(details, where) for details in error.errors(include_url=False)]
         raise SettingsError("\n".join(lines)) from None
 
 
-def load(path: str | Path, model: type[Model] = Settings) -> Model:
-    """Read a file of settings; ``SettingsError`` names the file and each fault."""
+def json_schema() -> dict[str, Any]:
+    """The JSON Schema of the settings."""
+    return Settings.model_json_schema()
+
+
+def _decode(text: str, where: str) -> dict[str, Any]:
+    """The object that the JSON5 text holds."""
     try:
-        data = Path(path).read_bytes()
-        if len(data) > LARGEST:
-            raise SettingsError(f"{path}: {len(data)} bytes; at most {LARGEST} are read")
-        return parse(data.decode(), str(path), model)
-    except OSError as flaw:
-        raise SettingsError(f"{path}: {flaw.strerror}") from None
-    except UnicodeDecodeError as flaw:
-        raise SettingsError(f"{path}: not UTF-8: {flaw.reason} at byte {flaw.start}") from None
+        tree = json5.loads(text, allow_duplicate_keys=False)
+    except ValueError as error:
+        raise SettingsError(f"{where}: {error}") from None
+    except RecursionError:
+        raise SettingsError(f"{where}: nested too deeply") from None
+    if not isinstance(tree, dict):
+        raise SettingsError(f"{where}: {_abbreviate(tree)}: a {{...}} of settings is wanted")
+    return tree
 
 
-def schema() -> dict[str, Any]:
-    """The JSON Schema of the settings."""
-    return Settings.model_json_schema()
+def _describe(error: ErrorDetails, where: str) -> str:
+    """One line for one fault. The value is left out where there is none, or where it is the whole file."""
+    path = ".".join(map(str, error["loc"])) or "(as a whole)"
+    message = error["msg"].removeprefix("Value error, ")
+    if error["type"] == "extra_forbidden":
+        message = "there is no such setting"
+    has_value = error["type"] != "missing" and error["loc"]
+    value = f" {_abbreviate(error['input'])}:" if has_value else ""
+    return f"{where}: {path}:{value} {message}"
+
+
+def _abbreviate(value: object) -> str:
+    """The value as an error quotes it."""
+    text = repr(value)
+    return text if len(text) <= MAX_SHOWN_VALUE else text[: MAX_SHOWN_VALUE - 3] + "..."
--- a/rainpick/settings/plain.py
+++ b/rainpick/settings/plain.py
@@ -1,14 +1,23 @@
-"""The settings as the decision module wants them: a plain map of dotted names to values."""
+"""The settings in the form that the decisions take: a flat map from dotted names to values.
+
+Records of a day hold this map and a replay reads it again, so a name must never change.
+"""
 
 from typing import Any
 
-from rainpick.settings.model import Settings
+from rainpick.settings.model import RoutePart, Settings
+
+# Names of admission modes in the settings file whose name in the map is another one.
+ADMISSION_MODES = {"rate": "rps"}
 
 
 def plain_map(settings: Settings) -> dict[str, Any]:
-    """What the decisions get at their start. The names are those of ``rainpick.simhost.wire``."""
+    """The map that the decisions get in their ``Started`` event; durations in microseconds.
+
+    The names are the ones into which ``rainpick.operator_settings`` translates.
+    """
     proxies, channel, rules = settings.proxies, settings.channel, settings.rules
-    found: dict[str, Any] = {
+    flat: dict[str, Any] = {
         "directors": settings.director.of,
         "me": settings.director.number,
         "zone": settings.zone_of(settings.director.zone),
@@ -16,7 +25,7 @@
         "machines": settings.machines,
         "discovery": "pushed",
         "penalties.cross_zone": settings.prices.cross_zone,
-        "proxies.admit": {"rate": "rps"}.get(proxies.admit, proxies.admit),
+        "proxies.admit": ADMISSION_MODES.get(proxies.admit, proxies.admit),
         "proxies.slices": 0,
         "proxies.proxy_count": proxies.count,
         "proxies.by_zone": proxies.by_zone,
@@ -38,13 +47,18 @@
         "rules.gone_does_not_bind": rules.gone_does_not_bind,
         "routes.count": len(settings.routes),
     }
-    for place, route in enumerate(settings.routes):
-        found |= {
-            f"routes.{place}.name": route.name,
-            f"routes.{place}.slo_time_us": route.slo_time,
-            f"routes.{place}.time_limit_us": route.time_limit,
-            f"routes.{place}.importance": route.importance,
-            f"routes.{place}.effect": route.effect,
-            f"routes.{place}.repeat_window_us": route.repeat_window,
-        }
-    return found
+    for index, route in enumerate(settings.routes):
+        flat |= _route_entries(index, route)
+    return flat
+
+
+def _route_entries(index: int, route: RoutePart) -> dict[str, Any]:
+    """The entries of one route."""
+    return {
+        f"routes.{index}.name": route.name,
+        f"routes.{index}.slo_time_us": route.slo_time,
+        f"routes.{index}.time_limit_us": route.time_limit,
+        f"routes.{index}.importance": route.importance,
+        f"routes.{index}.effect": route.effect,
+        f"routes.{index}.repeat_window_us": route.repeat_window,
+    }
--- a/rainpick/settings/units.py
+++ b/rainpick/settings/units.py
@@ -1,4 +1,4 @@
-"""Durations and socket addresses as the settings write them."""
+"""Durations and socket addresses in the way they are written in settings files."""
 
 import re
 from typing import Annotated, NamedTuple
@@ -6,25 +6,25 @@
 from pydantic import BeforeValidator, WithJsonSchema
 
 UNITS_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000, "h": 3_600_000_000}
-DURATION = re.compile(r"(\d+(?:\.\d+)?)\s*(us|ms|s|min|h)")
+DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(us|ms|s|min|h)")
 
 
-def duration_us(value: object) -> int:
-    """Read a duration with its unit as whole microseconds.
+def parse_duration_us(value: object) -> int:
+    """Read a duration with its unit as whole microseconds; ``ValueError`` if it is none.
 
-    >>> duration_us("1.5s"), duration_us("250ms"), duration_us("20us")
+    >>> parse_duration_us("1.5s"), parse_duration_us("250ms"), parse_duration_us("20us")
     (1500000, 250000, 20)
-    >>> duration_us(3)
+    >>> parse_duration_us(3)
     Traceback (most recent call last):
     ValueError: a duration is text with a unit, such as "1.5s"; units are us, ms, s, min, h
     """
-    found = DURATION.fullmatch(value.strip()) if isinstance(value, str) else None
-    if not found:
+    match = DURATION_PATTERN.fullmatch(value.strip()) if isinstance(value, str) else None
+    if not match:
         raise ValueError('a duration is text with a unit, such as "1.5s"; units are ' + ", ".join(UNITS_US))
-    return round(float(found[1]) * UNITS_US[found[2]])
+    return round(float(match[1]) * UNITS_US[match[2]])
 
 
-class Endpoint(NamedTuple):
+class SocketAddress(NamedTuple):
     """Where a socket listens; port 0 lets the system choose."""
 
     host: str
@@ -34,33 +34,34 @@
         return f"{self.host}:{self.port}"
 
 
-def endpoint(value: object) -> Endpoint:
-    """Read ``HOST:PORT``.
+def parse_socket_address(value: object) -> SocketAddress:
+    """Read ``HOST:PORT``; ``ValueError`` if the value is not that.
 
-    >>> endpoint("127.0.0.1:3860")
-    Endpoint(host='127.0.0.1', port=3860)
+    >>> parse_socket_address("127.0.0.1:3860")
+    SocketAddress(host='127.0.0.1', port=3860)
     """
-    if isinstance(value, Endpoint):
+    if isinstance(value, SocketAddress):
         return value
-    host, colon, port = str(value).rpartition(":")
-    if not colon or not host or not port.isdigit() or int(port) > 65535:
+    host, separator, port = str(value).rpartition(":")
+    if not separator or not host or not port.isdigit() or int(port) > 65535:
         raise ValueError('an address is "HOST:PORT" with a port of 0 to 65535')
-    return Endpoint(host, int(port))
+    return SocketAddress(host, int(port))
 
 
+# Field types of the settings: text in the file, microseconds or an address once it is loaded.
 Duration = Annotated[
     int,
-    BeforeValidator(duration_us),
+    BeforeValidator(parse_duration_us),
     WithJsonSchema(
         {
             "type": "string",
-            "pattern": DURATION.pattern,
+            "pattern": DURATION_PATTERN.pattern,
             "description": "a number and a unit: us, ms, s, min, h",
         }
     ),
 ]
 Address = Annotated[
-    Endpoint,
-    BeforeValidator(endpoint),
+    SocketAddress,
+    BeforeValidator(parse_socket_address),
     WithJsonSchema({"type": "string", "description": "HOST:PORT; port 0 lets the system choose"}),
 ]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,18 +1,18 @@
-"""Settings: each fault is named with its file, path, value and what is allowed."""
+"""Settings files: each error is reported with its file, path, value and what is allowed."""
 
 import json
 
 import pytest
 
-from rainpick.settings import SettingsError, load, parse, plain_map, schema
+from rainpick.settings import SettingsError, json_schema, load, parse, plain_map
 
-GOOD = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}], %s}'
+MINIMAL = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}], %s}'
 
 
-def fault(text):
-    with pytest.raises(SettingsError) as flaw:
-        parse(GOOD % text, "x.json5")
-    return str(flaw.value)
+def error_text(text):
+    with pytest.raises(SettingsError) as error:
+        parse(MINIMAL % text, "x.json5")
+    return str(error.value)
 
 
 @pytest.mark.parametrize(
@@ -35,38 +35,38 @@
         ("}", "x.json5: "),
     ],
 )
-def test_faults_are_named(text, expected):
-    assert expected in fault(text)
+def test_an_error_names_path_value_and_what_is_allowed(text, expected):
+    assert expected in error_text(text)
 
 
-def test_all_faults_of_a_file_are_told_at_once(tmp_path):
+def test_all_errors_of_a_file_are_reported_at_once(tmp_path):
     path = tmp_path / "s.json5"
     path.write_text('{routes: [{name: "a", slo_time: 1, time_limit: "2s"}], zones: 3}')
-    with pytest.raises(SettingsError) as flaw:
+    with pytest.raises(SettingsError) as error:
         load(path)
-    assert str(flaw.value).count(f"{path}: ") == 2
+    assert str(error.value).count(f"{path}: ") == 2
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{routes: \xff}", b"[" * 5000, b"{routes: []}"])
-def test_what_is_no_settings_file_is_told_plainly(tmp_path, data):
+def test_a_file_that_holds_no_settings_is_a_settings_error(tmp_path, data):
     path = tmp_path / "s.json5"
     path.write_bytes(data)
     with pytest.raises(SettingsError, match="s.json5: "):
         load(path)
 
 
-def test_a_missing_file_is_told_plainly(tmp_path):
+def test_a_missing_file_is_a_settings_error(tmp_path):
     with pytest.raises(SettingsError, match="No such file"):
         load(tmp_path / "none")
 
 
-def test_the_module_gets_a_plain_map_in_whole_microseconds():
-    found = plain_map(parse(GOOD % 'rules: {warm_after: "12s"}, channel: {messages_most: 12}'))
-    assert found["rules.warm_after_us"] == 12_000_000 and found["proxies.pushes_allowed"] == 12
-    assert found["routes.0.slo_time_us"] == 1_000_000 and found["routes.count"] == 1
+def test_the_decisions_get_a_flat_map_in_whole_microseconds():
+    flat = plain_map(parse(MINIMAL % 'rules: {warm_after: "12s"}, channel: {messages_most: 12}'))
+    assert flat["rules.warm_after_us"] == 12_000_000 and flat["proxies.pushes_allowed"] == 12
+    assert flat["routes.0.slo_time_us"] == 1_000_000 and flat["routes.count"] == 1
 
 
 def test_the_schema_is_json_and_names_every_part():
-    text = json.dumps(schema())
+    text = json.dumps(json_schema())
     parts = "director", "listen", "fleet", "channel", "rules", "sasp", "otlp"
     assert all(f'"{part}"' in text for part in parts)
