--- /dev/null
+++ b/rainpick/cli/day_output.py
@@ -0,0 +1,50 @@
+"""What is printed while a scripted day is played."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from rainpick.cli.status_front import DirectorStatus
+from rainpick.cli.terminal import print_rich
+from rainpick.standins.scenario import Scenario
+
+STATUS_EVERY_S = 5.0
+
+
+def ignore_progress(second: float, event: str, states: Sequence[DirectorStatus | None]) -> None:
+    """Print nothing."""
+
+
+class DayProgress:
+    """Prints each event of a day at once, and the state of the directors every few seconds."""
+
+    def __init__(self, scenario: Scenario):
+        self.last_status_s = -STATUS_EVERY_S
+        print_rich(
+            f"{scenario.name}: {scenario.servers} servers in {len(scenario.zones)} zones, "
+            f"{scenario.proxies} proxies, {scenario.calls_per_s:g} calls a second, "
+            f"{scenario.length / 1e6:g} s"
+        )
+
+    def __call__(self, second: float, event: str, states: Sequence[DirectorStatus | None]) -> None:
+        """Print the event, or the states if there is no event. ``second``: since the day began.
+
+        ``states``: of each director, None for one that does not answer.
+        """
+        if event:
+            print_rich(f"[bold]{second:6.1f} s  {event}[/bold]")
+        elif second - self.last_status_s >= STATUS_EVERY_S:
+            self.last_status_s = second
+            descriptions = [_describe(state) for state in states]
+            print_rich(f"{second:6.1f} s  " + "; ".join(descriptions))
+
+
+def _describe(state: DirectorStatus | None) -> str:
+    """A director that has not begun to decide counts as one that does not answer."""
+    if not state or "channel" not in state:
+        return "no director answers"
+    ready = sum(server["state"] == "ready" for server in state["servers"])
+    return (
+        f"{ready} servers ready, {state['streams']['open']} streams, "
+        f"{state['engine']['messages']} messages, {state['channel']['lines']} lines wait"
+    )
--- /dev/null
+++ b/rainpick/cli/record_output.py
@@ -0,0 +1,77 @@
+"""Records on the terminal: the sessions in them, their steps, and reports by the time that they are about."""
+
+from __future__ import annotations
+
+from datetime import UTC, datetime
+from pathlib import Path
+
+import click
+from rich.table import Table
+
+from rainpick.cli.terminal import print_rich
+from rainpick.record.clock import reports_by_time, together
+from rainpick.record.replay import Hole, lives
+from rainpick.record.schema import describe
+from rainpick.store import read
+
+
+def print_sessions(folder: Path) -> None:
+    """Print a row for each session of a director, from one start of it to the next."""
+    table = Table("director", "epoch", "module", "begun (UTC)", "seconds", "steps", "holes")
+    for session, steps in lives(read(folder)):
+        step_count = gap_count = 0
+        last_us = session.now
+        for step in steps:
+            if isinstance(step, Hole):
+                gap_count += 1
+            else:
+                step_count += 1
+                last_us = step.now
+        begin = datetime.fromtimestamp(session.wall_us / 1e6, UTC).isoformat(timespec="seconds")
+        table.add_row(
+            str(session.director),
+            session.epoch,
+            session.module[:12],
+            begin,
+            f"{(last_us - session.now) / 1e6:.1f}",
+            str(step_count),
+            str(gap_count),
+        )
+    print_rich(table)
+
+
+def print_steps(folders: list[Path], begin_s: float, end_s: float | None) -> None:
+    """Print the events and commands of all records on the wall clock.
+
+    A line has the second since the first step, the director, the step's position in its record, and the event
+    or command. Steps before ``begin_s`` and after ``end_s`` are left out.
+    """
+    first_us = None
+    for moment in together(folders):
+        first_us = moment.wall_us if first_us is None else first_us
+        second = (moment.wall_us - first_us) / 1e6
+        if second < begin_s:
+            continue
+        if end_s is not None and second > end_s:
+            break
+        prefix = f"{second:10.3f} {moment.life.director} {moment.place:>7}"
+        if isinstance(moment.step, Hole):
+            click.echo(f"{prefix} hole     {moment.step.why}")
+            continue
+        for event in moment.step.events:
+            click.echo(f"{prefix} heard    {describe(event)}")
+        for command in moment.step.orders:
+            click.echo(f"{prefix} ordered  {describe(command)}")
+
+
+def print_reports_by_time(folders: list[Path]) -> None:
+    """Print load reports by the begin of the time that they are about, with both positions in the order."""
+    for folder in folders:
+        for session, steps in lives(read(folder)):
+            for position, received_position, report in reports_by_time(steps):
+                second = (report.began_us - session.now) / 1e6
+                delay_s = (report.heard_us - report.began_us) / 1e6
+                click.echo(
+                    f"{second:10.3f} {session.director} {position:>7} heard as {received_position:>7}, "
+                    f"{delay_s:.3f} s after its begin: {describe(report.event)}"
+                )
--- /dev/null
+++ b/rainpick/cli/replay_command.py
@@ -0,0 +1,107 @@
+"""``rainpick replay``: recorded days fed to the decisions again, compared, or inspected at a moment."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from rainpick.cli.errors import FAILED, WRONG_CALL, CommandError, report_errors
+from rainpick.cli.options import EXISTING_FOLDER, FILE, as_json_option
+from rainpick.settings import load, plain_map
+
+if TYPE_CHECKING:
+    from rainpick.decisions.director import Director
+    from rainpick.record.replay import Played
+
+
+@click.command("replay")
+@click.argument("folders", nargs=-1, required=True, type=EXISTING_FOLDER)
+@click.option(
+    "--set",
+    "overrides",
+    multiple=True,
+    metavar="NAME=VALUE",
+    help="Another setting for the decisions, by the module's name; may be given again.",
+)
+@click.option(
+    "--settings", "settings_file", type=FILE, help="Another settings file, in place of the recorded one."
+)
+@click.option(
+    "--module", "module_file", type=FILE, help="Another text of the module; it is run as it stands."
+)
+@click.option(
+    "--until",
+    "until_s",
+    type=float,
+    metavar="SECOND",
+    help="With --inspect: seconds from the life's begin; of several records, from the first.",
+)
+@click.option("--inspect", "subject", metavar="WHAT", help="fleet, server=HOST:PORT, table=N or proxy=N.")
+@click.option(
+    "--life",
+    "session_number",
+    type=int,
+    default=-1,
+    help="With --inspect of one record: which, from 0; else the last.",
+)
+@click.option(
+    "--html", "page_file", type=click.Path(dir_okay=False), help="Write the report as a page with charts."
+)
+@as_json_option
+@report_errors
+def replay(
+    folders: tuple[str, ...],
+    overrides: tuple[str, ...],
+    settings_file: str | None,
+    module_file: str | None,
+    until_s: float | None,
+    subject: str | None,
+    session_number: int,
+    page_file: str | None,
+    as_json: bool,
+) -> None:
+    """Feed recorded days to the decisions again: 0 if every order is the same, 1 if not.
+
+    Several directors' records of a day are played side by side on the wall's clock.
+    """
+    from rainpick.cli.inspect_output import print_inspection
+    from rainpick.cli.replay_output import print_replays
+    from rainpick.record.clock import play_together
+
+    paths = [Path(folder) for folder in folders]
+    changes, director = _alternatives(overrides, module_file)
+    replacement = plain_map(load(settings_file)) if settings_file else None
+    if subject:
+        print_inspection(paths, subject, until_s, session_number, director, as_json)
+        return
+    replays = play_together(paths, director, changes, replacement, compare=True)
+    if not replays:
+        raise CommandError(f"no life of a director is in {', '.join(folders)}", WRONG_CALL)
+    if page_file:
+        _write_page(Path(page_file), paths, replays)
+    print_replays(replays, as_json)
+    sys.exit(FAILED if any(played.differing or played.hole for played in replays) else 0)
+
+
+def _alternatives(
+    overrides: tuple[str, ...], module_file: str | None
+) -> tuple[dict[str, Any], Callable[[], Director]]:
+    """The settings that are overridden, and the decision module to play with."""
+    from rainpick.decisions.director import Director
+    from rainpick.record.load import ModuleError, changes, module
+
+    try:
+        return changes(list(overrides)), module(Path(module_file)) if module_file else Director
+    except (ValueError, ModuleError) as error:
+        raise click.BadParameter(str(error)) from None
+
+
+def _write_page(path: Path, folders: list[Path], replays: list[Played]) -> None:
+    """Write the report as one HTML page."""
+    from rainpick.record.page import page
+
+    path.write_text(page("Replay of " + ", ".join(folder.name for folder in folders), replays))
--- /dev/null
+++ b/rainpick/cli/weights_output.py
@@ -0,0 +1,88 @@
+"""The weights that a director gives to a load balancer over SASP, printed as they come."""
+
+from __future__ import annotations
+
+import json
+import time
+from typing import cast
+
+import click
+
+from rainpick.sasp import codec
+from rainpick.sasp.codec import Group
+from rainpick.standins.sasp_client import SaspClient
+
+FIRST_WEIGHTS_S = 2.0  # how long the first weights are waited for while there are none
+POLL_S = 0.05
+PUSH_WAIT_S = 3600.0
+FLAG_NAMES = {
+    codec.CONTACT: "contact",
+    codec.QUIESCE: "quiesce",
+    codec.CONFIDENT: "confident",
+    codec.SELF_REGISTERED: "self-registered",
+}
+
+
+def print_weights(address: tuple[str, int], uid: str, group_name: str, follow: bool, as_json: bool) -> None:
+    """Join as a load balancer, print the weights, leave. ``follow``: print each change until Ctrl-C."""
+    client = SaspClient(address)
+    group = Group(uid, group_name)
+    try:
+        _join(client, group, follow)
+        if not follow:
+            _print_groups(_first_weights(client, group), as_json)
+            return
+        while True:
+            for message in client.weights(PUSH_WAIT_S):
+                _print_groups(message.groups, as_json)
+    except KeyboardInterrupt:
+        return
+    finally:
+        client.close()
+
+
+def _join(client: SaspClient, group: Group, follow: bool) -> None:
+    """Register as a load balancer. ``follow``: weights are pushed, and only those that changed."""
+    flags = codec.TRUST | (codec.PUSH | codec.NO_CHANGE if follow else 0)
+    requests: tuple[codec.SetLbState | codec.Registration, ...] = (
+        codec.SetLbState(group.uid, flags=flags),
+        codec.Registration((codec.Members(group),), True),
+    )
+    for request in requests:
+        reply = cast(codec.Reply, client.ask(request))  # the client checks that its type answers the request
+        if reply.code != codec.SUCCESS:
+            raise ConnectionAbortedError(f"{type(request).__name__} is refused: {reply.code:#04x}")
+
+
+def _first_weights(client: SaspClient, group: Group) -> tuple[codec.Weights, ...]:
+    """Poll until there are weights: who has just joined has none before the next step of the decisions."""
+    deadline = time.monotonic() + FIRST_WEIGHTS_S
+    groups = _poll(client, group)
+    while not any(weights.entries for weights in groups) and time.monotonic() < deadline:
+        time.sleep(POLL_S)
+        groups = _poll(client, group)
+    return groups
+
+
+def _poll(client: SaspClient, group: Group) -> tuple[codec.Weights, ...]:
+    reply = cast(codec.GetWeightsReply, client.ask(codec.GetWeights((group,))))
+    return reply.groups
+
+
+def _print_groups(groups: tuple[codec.Weights, ...], as_json: bool) -> None:
+    """Print the entries of one message: a line each, or all of them as one line of JSON."""
+    rows = [(*entry.member.key(), entry.weight, entry.flags) for group in groups for entry in group.entries]
+    if as_json:
+        entries = [
+            {"server": f"{host}:{port}", "weight": weight, "flags": _flag_names(flags).split()}
+            for host, port, weight, flags in rows
+        ]
+        click.echo(json.dumps(entries))
+        return
+    for host, port, weight, flags in rows:
+        click.echo(f"{host}:{port:<6} {weight:>6}  {_flag_names(flags)}")
+
+
+def _flag_names(flags: int) -> str:
+    """The names of the flags of a weight entry, ``-`` if none is set."""
+    return " ".join(name for flag, name in FLAG_NAMES.items() if flags & flag) or "-"
--- a/tests/compat/operations_command.py
+++ b/tests/compat/operations_command.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 from rich.console import Console
 
-from rainpick.cli import main, show
+from rainpick.cli import main, terminal
 from rainpick.http1.server import Answer, Server
 from tests.compat.operations_mqtt import unfolded
 from tests.compat.operations_status import as_listed, kinds
@@ -23,7 +23,7 @@
     """Exit code and text. Places of this run are named ``{name}`` in the words and in what is printed."""
     words = [word.format(**places) for word in words]
     plain = Console(highlight=False, width=WIDTH, force_terminal=False, _environ={})
-    with patch.object(show, "console", plain):
+    with patch.object(terminal, "console", plain):
         found = CliRunner().invoke(main, words, prog_name="rainpick")
     text = found.output
     for name, place in places.items():
