--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -2,9 +2,11 @@
 
 import json
 import os
+import shutil
 import signal
 import subprocess
 import sys
+from pathlib import Path
 
 import pytest
 from click.testing import CliRunner
@@ -13,35 +15,36 @@
 from rainpick.standins.day import free_ports
 from tests.loopback.help import MemberEnd, ProxyEnd, running
 
-GOOD = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}]}'
+RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # of two segments
+FRONTS = "sasp", "otlp", "status"
+MINIMAL = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}]}'
 
 
-def run(*words):
-    return CliRunner().invoke(main, words)
+def run(*arguments):
+    return CliRunner().invoke(main, arguments)
 
 
-def test_every_command_has_help_a_stranger_can_use():
-    for line in ("", "run", "config", "config check", "status", "sasp weights", "day", "audit"):
-        words = line.split()
-        found = run(*words, "--help")
-        assert found.exit_code == 0 and "Usage:" in found.output and len(found.output.splitlines()) > 4
+def test_every_command_has_help_that_shows_its_usage():
+    for command in ("", "run", "config", "config check", "status", "sasp weights", "day", "audit"):
+        result = run(*command.split(), "--help")
+        assert result.exit_code == 0 and "Usage:" in result.output and len(result.output.splitlines()) > 4
 
 
-def test_config_check_says_good_or_names_each_fault(tmp_path):
+def test_config_check_accepts_a_file_or_reports_each_error(tmp_path):
     path = tmp_path / "s.json5"
-    path.write_text(GOOD)
+    path.write_text(MINIMAL)
     assert run("config", "check", str(path)).exit_code == 0
     path.write_text("{routes: 3, zonez: 1}")
-    found = run("config", "check", str(path))
-    assert found.exit_code == 2 and found.output.count(str(path)) == 2
+    result = run("config", "check", str(path))
+    assert result.exit_code == 2 and result.output.count(str(path)) == 2
 
 
 def test_config_check_reads_the_list_file_too(tmp_path):
     (tmp_path / "list").write_text('{servers: [{address: "a:1", zone: "nowhere"}]}')
     path = tmp_path / "s.json5"
-    path.write_text(GOOD.replace("{routes", f'{{fleet: {{list_file: "{tmp_path}/list"}}, routes'))
-    found = run("config", "check", str(path))
-    assert found.exit_code == 2 and "servers.0.zone: 'nowhere' is not one of ['local']" in found.output
+    path.write_text(MINIMAL.replace("{routes", f'{{fleet: {{list_file: "{tmp_path}/list"}}, routes'))
+    result = run("config", "check", str(path))
+    assert result.exit_code == 2 and "servers.0.zone: 'nowhere' is not one of ['local']" in result.output
 
 
 def test_the_schemas_are_json():
@@ -52,19 +55,19 @@
 def test_status_and_weights_of_a_running_director():
     with running() as daemon:
         MemberEnd(daemon, 9001, 9002)
-        ProxyEnd(daemon, "edge-1").until(lambda held: len(held) == 2)
-        place = "%s:%d" % daemon.status
-        found = json.loads(run("status", "--at", place, "--json").stdout)
-        assert [server["state"] for server in found["servers"]] == ["ready", "ready"]
-        assert "127.0.0.1:9001" in run("status", "--at", place).output
-        words = "sasp", "weights", "--at", "%s:%d" % daemon.sasp, "--uid", "me"
-        rows = json.loads(run(*words, "--json").stdout)
+        ProxyEnd(daemon, "edge-1").until(lambda weights: len(weights) == 2)
+        address = "%s:%d" % daemon.status
+        status = json.loads(run("status", "--at", address, "--json").stdout)
+        assert [server["state"] for server in status["servers"]] == ["ready", "ready"]
+        assert "127.0.0.1:9001" in run("status", "--at", address).output
+        command = "sasp", "weights", "--at", "%s:%d" % daemon.sasp, "--uid", "me"
+        rows = json.loads(run(*command, "--json").stdout)
         assert {row["server"][-4:]: row["weight"] for row in rows} == {"9001": 4096, "9002": 4096}
-        assert "contact" in run(*words).output
+        assert "contact" in run(*command).output
 
 
 @pytest.mark.parametrize(
-    "words, code",
+    "arguments, code",
     [
         (("status", "--at", "127.0.0.1:1"), 1),
         (("sasp", "weights", "--at", "127.0.0.1:1"), 1),
@@ -73,48 +76,86 @@
         (("run", "--config", "/no/such"), 2),
     ],
 )
-def test_what_is_not_there_is_told_without_a_traceback(words, code):
-    found = run(*words)
-    assert found.exit_code == code and "Traceback" not in found.output
+def test_a_missing_file_or_director_is_reported_without_a_traceback(arguments, code):
+    result = run(*arguments)
+    assert result.exit_code == code and "Traceback" not in result.output
+
+
+def cut_last_segment(folder):
+    path = folder / "0000000002.seg"
+    path.write_bytes(path.read_bytes()[:-7])
+
+
+def flip_a_byte(folder):
+    path = folder / "0000000001.seg"
+    data = bytearray(path.read_bytes())
+    data[len(data) // 2] ^= 255
+    path.write_bytes(data)
+
+
+def remove_a_segment(folder):
+    """Number 2 of three; number 3 is number 1 with its own number in its head."""
+    data = (folder / "0000000001.seg").read_bytes()
+    magic_and_format, number = data[:6], (3).to_bytes(8, "big")
+    (folder / "0000000003.seg").write_bytes(magic_and_format + number + data[14:])
+    (folder / "0000000002.seg").unlink()
+
+
+@pytest.mark.parametrize(
+    "damage, line",
+    [
+        (cut_last_segment, "torn: segment=2 at=816 size=1108"),
+        (flip_a_byte, "damage: segment=1 at=14 size=1797 why=the checksum does not fit"),
+        (remove_a_segment, "gap: first=2 last=2"),
+    ],
+)
+def test_record_verify_prints_each_defect(tmp_path, damage, line):
+    folder = tmp_path / "record"
+    shutil.copytree(RECORD, folder)
+    damage(folder)
+    result = run("record", "verify", str(folder))
+    first, last = result.output.splitlines()
+    assert result.exit_code == 1 and first == line and last.endswith(" records are whole, 1 places are not")
 
 
 def start(tmp_path, **parts):
-    ports = free_ports(3)
-    places = dict(zip(("sasp", "otlp", "status"), (f"127.0.0.1:{port}" for port in ports), strict=True))
+    """A director in a process of its own."""
+    listen = {front: f"127.0.0.1:{port}" for front, port in zip(FRONTS, free_ports(3), strict=True)}
     path = tmp_path / "director.json5"
     path.write_text(
         json.dumps(
-            {"listen": places, "routes": [{"name": "a", "slo_time": "1s", "time_limit": "2s"}], **parts}
+            {"listen": listen, "routes": [{"name": "a", "slo_time": "1s", "time_limit": "2s"}], **parts}
         )
     )
     command = [sys.executable, "-m", "rainpick", "run", "--config", str(path)]
     process = subprocess.Popen(
         command, stderr=subprocess.PIPE, text=True, env={**os.environ, "PYTHONPATH": os.getcwd()}
     )
-    return process, places
+    return process
 
 
-def lines_until(process, event):
-    found = []
+def log_lines_until(process, event):
+    """What the process logs up to and including this event."""
+    lines = []
     for line in process.stderr:
-        found.append(json.loads(line))
-        if found[-1]["event"] == event:
-            return found
-    raise AssertionError(found)
+        lines.append(json.loads(line))
+        if lines[-1]["event"] == event:
+            return lines
+    raise AssertionError(lines)
 
 
-def test_a_director_as_a_process_reloads_on_sighup_and_ends_on_sigterm(tmp_path):
+def test_a_director_process_reloads_on_sighup_and_ends_on_sigterm(tmp_path):
     path = tmp_path / "list.json5"
     path.write_text('{servers: [{address: "127.0.0.1:9001"}]}')
-    process, places = start(tmp_path, fleet={"list_file": str(path)})
+    process = start(tmp_path, fleet={"list_file": str(path)})
     try:
-        lines_until(process, "decisions begin")
+        log_lines_until(process, "decisions begin")
         path.write_text("{servers: 7}")
         process.send_signal(signal.SIGHUP)
-        assert "servers" in lines_until(process, "list file refused")[-1]["why"][0]
+        assert "servers" in log_lines_until(process, "list file refused")[-1]["why"][0]
         path.write_text('{servers: [{address: "127.0.0.1:9001", state: "draining"}]}')
         process.send_signal(signal.SIGHUP)
-        assert lines_until(process, "list")[-1]["state"] == "draining"
+        assert log_lines_until(process, "list")[-1]["state"] == "draining"
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
         assert '"stopped"' in process.stderr.read()
@@ -124,17 +165,17 @@
         process.stderr.close()
 
 
-def test_a_front_that_cannot_listen_ends_the_start(tmp_path):
+def test_a_director_does_not_start_when_an_address_is_in_use(tmp_path):
     with running() as daemon:
-        process, _ = start(
+        process = start(
             tmp_path, listen={"sasp": "%s:%d" % daemon.sasp, "otlp": "127.0.0.1:0", "status": "127.0.0.1:0"}
         )
-        said = process.stderr.read()
+        log = process.stderr.read()
         process.stderr.close()
-        assert process.wait(10) == 1 and "Address already in use" in said and "Traceback" not in said
+        assert process.wait(10) == 1 and "Address already in use" in log and "Traceback" not in log
 
 
-def test_the_adapter_of_the_bench_imports_none_of_the_libraries():
+def test_the_simulator_adapter_imports_none_of_the_libraries():
     """It must build and start in an empty folder, lean."""
     code = (
         "import sys, rainpick.simhost.__main__\n"
@@ -154,8 +195,8 @@
     )
     for goal, code in ((0.5, 0), (1.0, 1)):
         path.write_text(text % goal)
-        found = CliRunner().invoke(main, ["day", str(path), "--dir", str(tmp_path / "logs"), "--json"])
-        verdict = json.loads(found.stdout)
-        assert found.exit_code == code and verdict["good"] == (code == 0), found.output
+        result = run("day", str(path), "--dir", str(tmp_path / "logs"), "--json")
+        verdict = json.loads(result.stdout)
+        assert result.exit_code == code and verdict["good"] == (code == 0), result.output
         assert len(verdict["rules"]) == 5 and verdict["routes"]["lookup"]["asked"] > 10
     assert run("audit", str(tmp_path / "logs")).exit_code == 0
