--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -117,7 +117,7 @@
     assert {line.server: (line.weight, line.flags) for line in news.lines} == drive.held[1]
     drive.engine.delivered(2, number)
     drive.run(0.1)
-    assert drive.engine.stepper.director.queue.waiting == 0
+    assert drive.engine.stepper.director.publisher.queue.waiting == 0
 
 
 ACTIONS = st.sampled_from(
@@ -164,7 +164,7 @@
     drive.run(30)
     assert all(drive.exact(number) for number in drive.held)
     assert drive.engine.channel.lines == 0 and not drive.engine.channel.waiting
-    assert drive.engine.stepper.director.queue.waiting == 0
+    assert drive.engine.stepper.director.publisher.queue.waiting == 0
 
 
 class Scripted:
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -86,7 +86,7 @@
     def step(self, now, events):
         orders = super().step(now, events)
         if now - self.since(now) > 2_000_000:
-            orders += [model.SetWithdrawn(server, True) for server in self.servers]
+            orders += [model.SetWithdrawn(server, True) for server in self.fleet.servers]
         return orders
 
     def since(self, now):
@@ -99,12 +99,16 @@
 
 
 class TrustsTheCold(Director):
-    def warm(self, held):
-        return held.state == model.EndpointState.READY
+    def start(self, now, event):
+        commands = super().start(now, event)
+        self.right_weight = self.assignment.weight
+        self.assignment.weight = self.weight
+        self.fleet.is_warm = lambda server: server.status == model.EndpointState.READY
+        return commands
 
-    def weight(self, held, table):
-        young = held.entry.started_us > self.now - 3_000_000
-        return super().weight(held, table) * (50 if young else 1)
+    def weight(self, server, table):
+        young = server.endpoint.started_us > self.now - 3_000_000
+        return self.right_weight(server, table) * (50 if young else 1)
 
 
 def test_a_director_that_trusts_the_cold_breaks_the_rule_on_cold_servers(tmp_path):
@@ -121,7 +125,7 @@
 
     def step(self, now, events):
         self.turns = getattr(self, "turns", 0) + 1
-        server = next(iter(getattr(self, "servers", {})), None)
+        server = next(iter(self.fleet.servers), None) if self.turns > 1 else None
         talk = [model.SetWeight(0, server, 1 + self.turns % 5)] * 40 if server else []
         return super().step(now, events) + talk
 
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -80,7 +80,7 @@
     assert isinstance(last, Change) and last.set[0].weight == 0
     assert proxy.told[-1].topic == payloads.table_topic(0)
     exact(daemon, proxy)
-    until(lambda: daemon.core.engine.stepper.director.queue.waiting == 0, "every mark answered")
+    until(lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "every mark answered")
 
 
 def test_both_fronts_serve_the_same_table_at_once(daemon):
