--- a/rainpick/net/__init__.py
+++ b/rainpick/net/__init__.py
@@ -1,12 +1,24 @@
-"""Streams on blocking sockets, for whatever protocol cuts them into pieces."""
+"""Byte streams on blocking sockets, independent of the protocol that is parsed from them."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-class Ended(NamedTuple):
-    """The stream can't go on: write ``data`` if there is any and close it."""
+class StreamEnded(NamedTuple):
+    """The last event of a stream: nothing more is read from it, and the owner has to close it.
+
+    ``data``: bytes to write before the close, for example an error reply; empty if there are none.
+    ``reason``: why the stream ended, for the log.
+    """
 
     data: bytes
-    why: str
+    reason: str
+
+    @property
+    def why(self) -> str:
+        """Old name of ``reason``, until its users are renamed."""
+        return self.reason
+
+
+Ended = StreamEnded  # the old name, until its users are renamed
--- a/rainpick/net/streams.py
+++ b/rainpick/net/streams.py
@@ -1,4 +1,8 @@
-"""Sockets of peers that dial in: a small reading thread each; only the core writes, and never waits."""
+"""Streams and listeners on blocking sockets, for peers that connect to this process.
+
+Each stream has one small thread that reads and parses. All writes come from the thread that owns the stream;
+they never block, so that a peer that does not read holds up nobody else.
+"""
 
 from __future__ import annotations
 
@@ -11,155 +15,222 @@
 import threading
 import time
 from collections import deque
-from collections.abc import Callable
-from typing import Protocol
+from collections.abc import Callable, Sequence
+from typing import NamedTuple, Protocol
+
+from rainpick.net import StreamEnded
+
+READ_SIZE = 16_384  # bytes
+SEND_BUFFER_SIZE = 65_536  # bytes; small, so that a peer that does not read is noticed soon
+NONBLOCKING_SEND = int(socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
+ACCEPT_RETRY_S = 0.02  # pause after a failed accept
+UNSENT_LIMIT = 1_048_576  # bytes queued beyond the socket buffer; a peer that reads stays far below
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger: on, 0 s
 
-from rainpick.net import Ended
 
-PIECE = 16_384
-SEND_BUFFER = 65_536  # small, so that a peer that does not read shows soon
-NOW = int(socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)  # a send that never waits
-PAUSE_S = 0.02  # before the next try to accept
-BACKLOG = 1_048_576  # bytes held for a peer beyond what its socket took; no honest one gets there
+class StreamParser(Protocol):
+    """Turns the bytes of a peer into events, without I/O."""
 
+    def receive(self, data: bytes) -> Sequence[object]:
+        """The events that these bytes complete, in order. ``StreamEnded`` is always the last one."""
 
-class End(Protocol):
-    """Cuts what a peer sends into pieces, without I/O; after ``Ended`` nothing more comes."""
 
-    def receive(self, data: bytes) -> list: ...
+class PendingDelivery(NamedTuple):
+    """A message whose delivery is tracked: it ends at byte ``end`` of everything written to the stream."""
+
+    end: int
+    message: int
 
 
 class Stream:
-    """One stream. ``give`` hands what came to the core, in order; it ends with ``Ended``.
+    """One connection of a peer.
 
-    ``end`` cuts what comes into pieces within the reading thread; all else about them is the core's.
+    The reading thread passes each event of ``parser`` to ``on_event``, in order; the last one is
+    ``StreamEnded``. Everything else about the parser's events belongs to the owner of the stream, and
+    ``write``, ``flush``, ``newest_delivered`` and ``close`` are for the owner's thread alone.
     """
 
     def __init__(
-        self, number: int, sock: socket.socket, peer: str, end: End, give: Callable[[Stream, object], None]
+        self,
+        number: int,
+        sock: socket.socket,
+        peer: str,
+        parser: StreamParser,
+        on_event: Callable[[Stream, object], None],
     ):
-        self.number, self.sock, self.peer, self.give, self.end = number, sock, peer, give, end
-        self.rest = bytearray()  # what the socket has not taken yet
-        self.handed = 0  # bytes written in all, the rest included
-        self.marks: deque[tuple[int, int]] = deque()  # (bytes handed by then, number of the message)
-        self.closed = self.reading = False
-        self.ending = threading.Lock()
+        self.number = number
+        self.sock = sock
+        self.peer = peer
+        self.parser = parser
+        self.on_event = on_event
+        self.unsent = bytearray()  # what the socket buffer had no space for yet
+        self.written = 0  # bytes written in total, ``unsent`` included
+        self.pending: deque[PendingDelivery] = deque()  # in the order of writing
+        self.closed = False
+        self.reading = False
+        self.close_lock = threading.Lock()  # guards ``closed`` and ``reading``
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_SIZE)
 
     def start(self) -> None:
-        """Begin to read. Not a ``Thread``: starting one waits for it, and hundreds dial at once."""
+        """Start the reading thread; ``RuntimeError`` if none can be started.
+
+        This is not a ``threading.Thread``, whose start waits for the new thread: hundreds of peers connect
+        at once.
+        """
         self.reading = True
         try:
-            _thread.start_new_thread(self.read, ())
+            _thread.start_new_thread(self._read, ())
         except RuntimeError:
             self.reading = False
             raise
 
-    def read(self) -> None:
+    def _read(self) -> None:
+        """Body of the reading thread: report events until the stream ends."""
         try:
-            while True:
-                data = self.sock.recv(PIECE)
-                if not data:
-                    self.give(self, Ended(b"", "closed by the peer"))
-                    return
-                for found in self.end.receive(data):
-                    self.give(self, found)
-                    if isinstance(found, Ended):
-                        return
+            self._report_events()
         except OSError as error:
-            self.give(self, Ended(b"", error.strerror or type(error).__name__))
-        except Exception as error:  # whatever its bytes trip costs this peer alone
-            self.give(self, Ended(b"", f"{type(error).__name__}: {error}"))
+            self.on_event(self, StreamEnded(b"", error.strerror or type(error).__name__))
+        except Exception as error:  # noqa: BLE001 - a fault that a peer's bytes trigger must end only its stream
+            self.on_event(self, StreamEnded(b"", f"{type(error).__name__}: {error}"))
         finally:
-            with self.ending:
+            with self.close_lock:
                 self.reading = False
                 if self.closed:
                     self.sock.close()
 
-    # For the core alone
+    def _report_events(self) -> None:
+        """Read and parse until the peer closes the connection or the parser ends the stream."""
+        while True:
+            data = self.sock.recv(READ_SIZE)
+            if not data:
+                self.on_event(self, StreamEnded(b"", "closed by the peer"))
+                return
+            for event in self.parser.receive(data):
+                self.on_event(self, event)
+                if isinstance(event, StreamEnded):
+                    return
 
-    def write(self, data: bytes, mark: int | None = None) -> bool:
-        """Send without waiting; False if the peer has let too much pile up."""
-        self.handed += len(data)
-        if mark is not None:
-            self.marks.append((self.handed, mark))
-        if not self.rest and not self.closed:
+    def write(self, data: bytes, message: int | None = None) -> bool:
+        """Send without blocking; False if more than ``UNSENT_LIMIT`` bytes are queued for the peer.
+
+        With a ``message`` number its delivery is tracked: see ``newest_delivered``. A broken connection is
+        not an error here: the reading thread reports it.
+        """
+        self.written += len(data)
+        if message is not None:
+            self.pending.append(PendingDelivery(self.written, message))
+        if not self.unsent and not self.closed:
             try:
-                data = data[self.sock.send(data, NOW) :]
+                data = data[self.sock.send(data, NONBLOCKING_SEND) :]
             except BlockingIOError:
                 pass
             except OSError:
-                return True  # its reader will say that it broke
+                return True
         if data:
-            self.rest += data
-            self.pump()
-        return len(self.rest) <= BACKLOG
+            self.unsent += data
+            self.flush()
+        return len(self.unsent) <= UNSENT_LIMIT
 
-    def pump(self) -> None:
-        """Send what the socket takes of the rest."""
-        while self.rest and not self.closed:
+    def flush(self) -> None:
+        """Send what the socket buffer has space for of ``unsent``; drop all if the connection is broken."""
+        while self.unsent and not self.closed:
             try:
-                sent = self.sock.send(self.rest, NOW)
+                sent = self.sock.send(self.unsent, NONBLOCKING_SEND)
             except BlockingIOError:
                 return
             except OSError:
-                self.rest.clear()  # its reader will say that it broke
+                self.unsent.clear()
                 return
-            del self.rest[:sent]
+            del self.unsent[:sent]
 
-    def delivered(self) -> int | None:
-        """The newest message that the peer's machine has taken whole, if any since the last call."""
-        if not self.marks or self.closed:
+    def newest_delivered(self) -> int | None:
+        """Number of the newest message that the peer's host has acknowledged completely (TCP, not the peer
+        itself); None if there is no newer one than at the last call.
+        """
+        if not self.pending or self.closed:
             return None
         try:
             answer = fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, b"\0\0\0\0")
         except (OSError, ValueError):
             return None
-        taken = self.handed - len(self.rest) - struct.unpack("i", answer)[0]
+        in_socket_buffer = struct.unpack("i", answer)[0]
+        acknowledged = self.written - len(self.unsent) - in_socket_buffer
         newest = None
-        while self.marks and self.marks[0][0] <= taken:
-            newest = self.marks.popleft()[1]
+        while self.pending and self.pending[0].end <= acknowledged:
+            newest = self.pending.popleft().message
         return newest
 
     def close(self) -> None:
-        """End it. Its descriptor is freed once the reader is done as well: the next peer may get the same
-        number, and a reader that was about to use it would take that peer's bytes.
+        """Shut the connection down.
+
+        The descriptor is freed only when the reading thread is done as well: the next connection may get the
+        same descriptor, and a reading thread that was about to use it would take that peer's bytes.
         """
-        with self.ending:
+        with self.close_lock:
             if self.closed:
                 return
             self.closed = True
             with contextlib.suppress(OSError):
-                if self.rest:  # a peer that does not read would keep an ordinary end waiting in the kernel
-                    self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                if self.unsent:  # a peer that does not read would keep an orderly close waiting in the kernel
+                    self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 self.sock.shutdown(socket.SHUT_RDWR)
             if not self.reading:
                 self.sock.close()
 
+    # The old names, until their users are renamed
+
+    pump = flush
+    delivered = newest_delivered
+
+    @property
+    def end(self) -> StreamParser:
+        """Old name of ``parser``."""
+        return self.parser
+
+    @property
+    def rest(self) -> bytearray:
+        """Old name of ``unsent``."""
+        return self.unsent
+
+    @property
+    def marks(self) -> deque[PendingDelivery]:
+        """Old name of ``pending``."""
+        return self.pending
+
 
 class Listener:
-    """Accepts streams until ``close``."""
+    """Accepts connections in the thread ``thread``, once the owner has started it, until ``close``.
 
-    def __init__(self, place: tuple[str, int], backlog: int, give: Callable[[socket.socket, str], None]):
-        self.socket = socket.create_server(place, backlog=backlog)
-        self.address, self.give, self.closing = self.socket.getsockname()[:2], give, False
-        self.thread = threading.Thread(target=self.accept, name="accept", daemon=True)
+    The port is bound at once and ``address`` is the real one. ``on_connection`` gets each socket with the
+    peer as ``host:port``; a socket for which it raises ``OSError`` or ``RuntimeError`` is closed.
+    """
 
-    def accept(self) -> None:
+    def __init__(
+        self, address: tuple[str, int], backlog: int, on_connection: Callable[[socket.socket, str], None]
+    ):
+        self.socket = socket.create_server(address, backlog=backlog)
+        self.address: tuple[str, int] = self.socket.getsockname()[:2]
+        self.on_connection = on_connection
+        self.closing = False
+        self.thread = threading.Thread(target=self._accept, name="accept", daemon=True)
+
+    def _accept(self) -> None:
+        """Body of the accepting thread."""
         while not self.closing:
             try:
                 sock, peer = self.socket.accept()
             except OSError:
-                # Out of descriptors, or the peer has gone again: the front must outlive both.
-                time.sleep(0 if self.closing else PAUSE_S)
+                # No descriptors left, or the peer is gone already: the listener must outlive both.
+                time.sleep(0 if self.closing else ACCEPT_RETRY_S)
                 continue
             try:
-                self.give(sock, f"{peer[0]}:{peer[1]}")
-            except (OSError, RuntimeError):  # it was reset meanwhile, or no thread is to be had
+                self.on_connection(sock, f"{peer[0]}:{peer[1]}")
+            except (OSError, RuntimeError):  # the peer reset the connection, or no thread could be started
                 sock.close()
 
     def close(self) -> None:
+        """Stop accepting and free the port."""
         self.closing = True
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -13,7 +13,7 @@
 from rainpick.director import reports
 from rainpick.http1 import server as http
 from rainpick.mqtt import codec as mqtt
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.node import belief, configuration
 from rainpick.node import codec as platform
 from rainpick.publish import payloads
@@ -61,7 +61,7 @@
     "platform: configuration": configuration.Configuration,
     "platform: stream begun": belief.Begun,
     "platform: stream told": belief.Told,
-    "stream ended": Ended,
+    "stream ended": StreamEnded,
     "mqtt: will": mqtt.Will,
     "mqtt: connect": mqtt.Connect,
     "mqtt: connack": mqtt.Connack,
--- a/tests/compat/operations_platform.py
+++ b/tests/compat/operations_platform.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.node import codec, configuration, process
 from rainpick.node.configuration import Names
 from rainpick.node.relay import Calls, Subscription
@@ -28,7 +28,7 @@
 
 def rejected(data):
     """The bytes written to who is ended."""
-    return [found.data for found in stream([data]) if type(found) is Ended]
+    return [found.data for found in stream([data]) if type(found) is StreamEnded]
 
 
 def notification(line):
