--- /dev/null
+++ b/rainpick/http1/bodies.py
@@ -0,0 +1,64 @@
+"""Request bodies, bounded both as received and after decompression."""
+
+from __future__ import annotations
+
+import socket
+import zlib
+from http import HTTPStatus
+
+import h11
+
+READ_SIZE = 65_536  # bytes
+
+
+class BodyError(Exception):
+    """A request body that is rejected, with the status code of the response."""
+
+    def __init__(self, status: int, reason: str):
+        super().__init__(reason)
+        self.status = status
+
+
+def read_body(protocol: h11.Connection, sock: socket.socket, max_bytes: int) -> bytes:
+    """Read the rest of a request; ``BodyError`` if its body is larger than ``max_bytes``."""
+    chunks: list[bytes] = []
+    size = 0
+    while True:
+        event = protocol.next_event()
+        if event is h11.NEED_DATA:
+            protocol.receive_data(sock.recv(READ_SIZE))
+        elif isinstance(event, h11.Data):
+            size += len(event.data)
+            if size > max_bytes:
+                raise BodyError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"over {max_bytes} bytes")
+            chunks.append(bytes(event.data))
+        elif isinstance(event, h11.EndOfMessage):
+            return b"".join(chunks)
+        else:
+            raise ConnectionError("the connection was closed within a body")
+
+
+def decode_body(body: bytes, content_encoding: str, max_bytes: int) -> bytes:
+    """Undo the content encoding, if any; ``BodyError`` if it is not supported or the body is malformed."""
+    if content_encoding == "gzip":
+        return decompress(body, max_bytes)
+    if content_encoding != "identity":
+        raise BodyError(
+            HTTPStatus.UNSUPPORTED_MEDIA_TYPE,
+            f"content-encoding {content_encoding!r} is not known; gzip is",
+        )
+    return body
+
+
+def decompress(body: bytes, max_bytes: int) -> bytes:
+    """Decompress gzip to at most ``max_bytes``: a small body must not take a large amount of memory."""
+    decompressor = zlib.decompressobj(zlib.MAX_WBITS | 16)  # 16: with the header and trailer of gzip
+    try:
+        data = decompressor.decompress(body, max_bytes + 1)
+    except zlib.error as error:
+        raise BodyError(HTTPStatus.BAD_REQUEST, f"not gzip: {error}") from None
+    if len(data) > max_bytes:
+        raise BodyError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"over {max_bytes} bytes unpacked")
+    if not decompressor.eof:
+        raise BodyError(HTTPStatus.BAD_REQUEST, "the gzip stream is cut off")
+    return data
--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -1,4 +1,4 @@
-"""A client: one connection, one call at a time, reconnects when the last one ended."""
+"""An HTTP/1.1 client: one connection, one call at a time, reconnecting when the connection has ended."""
 
 from __future__ import annotations
 
@@ -6,25 +6,46 @@
 import socket
 import threading
 import time
+from typing import NamedTuple
 
 import h11
 
-PIECE = 65_536
-BODY_MOST = 16 << 20
+READ_SIZE = 65_536  # bytes
+MAX_BODY_BYTES = 16 << 20
+MIN_TIMEOUT_S = 1e-3  # a socket timeout of 0 would make it non-blocking
+
+HeaderFields = tuple[tuple[str, str], ...]
 
 
 class ClientError(Exception):
-    """The call got no answer. ``sent``: whether the server may have seen it."""
+    """The call got no response. ``sent``: whether the server may have seen the request."""
 
     def __init__(self, text: str, sent: bool):
         super().__init__(text)
         self.sent = sent
 
 
+class ClientResponse(NamedTuple):
+    """Status code, headers by lower-case name, and the complete body."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
+class _Connection(NamedTuple):
+    """A socket and the protocol state of what is sent and received on it."""
+
+    sock: socket.socket
+    protocol: h11.Connection
+
+
 class Client:
-    """Calls one server. ``timeout_s`` is for a whole call, however slowly its pieces come.
+    """Calls one server.
 
-    All but ``abort`` is for the one thread that calls. ``dial_s``: to connect, if not the time of a call.
+    ``timeout_s`` limits a whole call, however slowly its bytes arrive; ``dial_s`` limits connecting, if that
+    should differ. A response body over ``max_body_bytes`` is an error. Only ``abort`` may be used by a thread
+    other than the calling one.
     """
 
     def __init__(
@@ -32,87 +53,137 @@
         host: str,
         port: int,
         timeout_s: float = 5.0,
-        body_most: int = BODY_MOST,
+        max_body_bytes: int = MAX_BODY_BYTES,
         dial_s: float | None = None,
     ):
-        self.place, self.timeout_s, self.body_most, self.dial_s = (host, port), timeout_s, body_most, dial_s
-        self.aborting, self.aborted = threading.Lock(), False
-        self.sock: socket.socket | None = None
-        self.machine: h11.Connection | None = None
+        self.address = (host, port)
+        self.timeout_s = timeout_s
+        self.max_body_bytes = max_body_bytes
+        self.dial_s = dial_s
+        # The lock guards both: ``abort`` must not shut down a descriptor that has been closed and reused.
+        self._lock = threading.Lock()
+        self._aborted = False
+        self._connection: _Connection | None = None
+
+    @property
+    def connected(self) -> bool:
+        """Whether the next call can use the connection of the last one."""
+        return self._connection is not None
+
+    @property
+    def sock(self) -> socket.socket | None:
+        """The open socket, if any. Old name, until its users ask ``connected``."""
+        return self._connection.sock if self._connection is not None else None
 
     def call(
-        self, method: str, path: str, body: bytes = b"", headers: tuple = (), timeout_s: float | None = None
-    ) -> tuple[int, dict[str, str], bytes]:
-        """Status, headers, body; ``ClientError`` if there is none in time."""
-        sent, until = False, time.monotonic() + (timeout_s or self.timeout_s)
+        self,
+        method: str,
+        path: str,
+        body: bytes = b"",
+        headers: HeaderFields = (),
+        timeout_s: float | None = None,
+    ) -> ClientResponse:
+        """Send a request and wait for its response; ``ClientError`` if there is none in time."""
+        timeout_s = timeout_s or self.timeout_s
+        deadline = time.monotonic() + timeout_s
+        sent = False
         try:
-            if self.sock is None or self.aborted:
-                self.dial(timeout_s or self.timeout_s)
-            self.sock.settimeout(max(1e-3, until - time.monotonic()))
-            host, port = self.place
-            fields = [("host", f"{host}:{port}"), ("content-length", str(len(body))), *headers]
-            data = self.machine.send(h11.Request(method=method, target=path, headers=fields))
-            data += self.machine.send(h11.Data(data=body)) if body else b""
+            connection = self._connection
+            if connection is None or self._aborted:
+                connection = self._connect(timeout_s)
+            connection.sock.settimeout(max(MIN_TIMEOUT_S, deadline - time.monotonic()))
+            request = self._request_bytes(connection.protocol, method, path, body, headers)
             sent = True
-            self.sock.sendall(data + self.machine.send(h11.EndOfMessage()))
-            return self.read(until)
+            connection.sock.sendall(request)
+            return self._read_response(connection, deadline)
         except (OSError, h11.ProtocolError) as error:
             self.close()
-            raise ClientError("%s:%d: %s" % (*self.place, error or type(error).__name__), sent) from None
-
-    def dial(self, timeout_s: float) -> None:
-        sock = None if self.aborted else socket.create_connection(self.place, self.dial_s or timeout_s)
-        with self.aborting:
-            if self.aborted:
-                if sock is not None:
-                    sock.close()
+            raise ClientError("%s:%d: %s" % (*self.address, error), sent) from None
+
+    def _connect(self, timeout_s: float) -> _Connection:
+        """Open a connection; ``ConnectionAbortedError`` if ``abort`` was called before it was there."""
+        if self._aborted:
+            raise ConnectionAbortedError("aborted")
+        sock = socket.create_connection(self.address, self.dial_s or timeout_s)
+        connection = _Connection(sock, h11.Connection(h11.CLIENT))
+        with self._lock:
+            if self._aborted:
+                sock.close()
                 raise ConnectionAbortedError("aborted")
-            self.sock = sock
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.machine = h11.Connection(h11.CLIENT)
-
-    def read(self, until: float) -> tuple[int, dict[str, str], bytes]:
-        status, headers, pieces, size = 0, {}, [], 0
+            self._connection = connection
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        return connection
+
+    def _request_bytes(
+        self, protocol: h11.Connection, method: str, path: str, body: bytes, headers: HeaderFields
+    ) -> bytes:
+        """The complete request as bytes, so that it leaves in one send."""
+        host, port = self.address
+        fields = [("host", f"{host}:{port}"), ("content-length", str(len(body))), *headers]
+        data = protocol.send(h11.Request(method=method, target=path, headers=fields))
+        if body:
+            data += protocol.send(h11.Data(data=body))
+        return data + protocol.send(h11.EndOfMessage())
+
+    def _read_response(self, connection: _Connection, deadline: float) -> ClientResponse:
+        """Read one complete response; errors are ``OSError`` or ``h11.ProtocolError``."""
+        status, size = 0, 0
+        headers: dict[str, str] = {}
+        chunks: list[bytes] = []
         while True:
-            event = self.machine.next_event()
-            if event is h11.NEED_DATA:
-                # Once the time is up, what has come already is still read: this thread may have got no turn.
-                self.sock.settimeout(max(0.0, until - time.monotonic()))
-                try:
-                    data = self.sock.recv(PIECE)
-                except BlockingIOError:
-                    raise TimeoutError("timed out") from None
-                if not data and self.machine.their_state is h11.SEND_RESPONSE:
-                    raise ConnectionResetError("closed before the answer")
-                self.machine.receive_data(data)
-            elif isinstance(event, h11.Response):
+            event = self._next_event(connection, deadline)
+            if isinstance(event, h11.Response):
                 status = event.status_code
                 headers = {name.decode("ascii"): value.decode("latin-1") for name, value in event.headers}
             elif isinstance(event, h11.Data):
-                pieces.append(bytes(event.data))
+                chunks.append(bytes(event.data))
                 size += len(event.data)
-                if size > self.body_most:
-                    raise ConnectionError(f"a body over {self.body_most} bytes")
+                if size > self.max_body_bytes:
+                    raise ConnectionError(f"a body over {self.max_body_bytes} bytes")
             elif isinstance(event, h11.EndOfMessage):
-                if self.machine.our_state is h11.MUST_CLOSE or self.machine.their_state is h11.MUST_CLOSE:
-                    self.close()
-                else:
-                    self.machine.start_next_cycle()
-                return status, headers, b"".join(pieces)
+                self._finish_exchange(connection.protocol)
+                return ClientResponse(status, headers, b"".join(chunks))
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionResetError("closed before the answer")
 
+    @staticmethod
+    def _next_event(connection: _Connection, deadline: float) -> object:
+        """The next event of the response, reading from the socket as needed.
+
+        After the deadline, bytes that have arrived already are still read: this thread may have been waiting
+        for the processor while they arrived.
+        """
+        sock, protocol = connection
+        while (event := protocol.next_event()) is h11.NEED_DATA:
+            sock.settimeout(max(0.0, deadline - time.monotonic()))
+            try:
+                data = sock.recv(READ_SIZE)
+            except BlockingIOError:
+                raise TimeoutError("timed out") from None
+            if not data and protocol.their_state is h11.SEND_RESPONSE:
+                raise ConnectionResetError("closed before the answer")
+            protocol.receive_data(data)
+        return event
+
+    def _finish_exchange(self, protocol: h11.Connection) -> None:
+        """Make the connection ready for the next call, or close it if either side wants that."""
+        if h11.MUST_CLOSE in (protocol.our_state, protocol.their_state):
+            self.close()
+        else:
+            protocol.start_next_cycle()
+
     def abort(self) -> None:
-        """For another thread, at any moment: the call that is under way fails, and so does any later one."""
-        with self.aborting:
-            self.aborted = True
-            if self.sock is not None:
+        """From any thread, at any time: fail the call in progress and every later one."""
+        with self._lock:
+            self._aborted = True
+            if self._connection is not None:
                 with contextlib.suppress(OSError):
-                    self.sock.shutdown(socket.SHUT_RDWR)
+                    self._connection.sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        with self.aborting:  # or the other thread would shut down whoever gets the same descriptor next
-            if self.sock is not None:
+        """Close the connection; the next call opens a new one."""
+        with self._lock:
+            if self._connection is not None:
                 with contextlib.suppress(OSError):
-                    self.sock.close()
-            self.sock = self.machine = None
+                    self._connection.sock.close()
+            self._connection = None
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -11,7 +11,7 @@
 
 from rainpick import model
 from rainpick.director import reports
-from rainpick.http1 import server as http
+from rainpick.http1 import messages as http
 from rainpick.mqtt import codec as mqtt
 from rainpick.net import StreamEnded
 from rainpick.node import belief, configuration
@@ -99,8 +99,8 @@
     "sasp: reply": sasp.Reply,
     "sasp: get weights reply": sasp.GetWeightsReply,
     "otlp: point": reports.Point,
-    "http: asked": http.Asked,
-    "http: answer": http.Answer,
+    "http: asked": http.Request,
+    "http: answer": http.Response,
 }
 NEUTRAL = {kind: name for name, kind in TYPES.items()}
 
--- a/tests/compat/operations_command.py
+++ b/tests/compat/operations_command.py
@@ -11,7 +11,8 @@
 from rich.console import Console
 
 from rainpick.cli import main, show
-from rainpick.http1.server import Answer, Server
+from rainpick.http1.messages import Response
+from rainpick.http1.server import Server
 from tests.compat.operations_mqtt import unfolded
 from tests.compat.operations_status import as_listed, kinds
 
@@ -69,7 +70,7 @@
 
     def handle(one):
         asked.append([one.method, one.path, one.body])
-        return Answer(*answers[one.path])
+        return Response(*answers[one.path])
 
     server = Server("status", ("127.0.0.1", 0), handle)
     try:
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -14,8 +14,8 @@
     ExportMetricsServiceResponse,
 )
 
+from rainpick.http1.bodies import BodyError, decompress
 from rainpick.http1.client import Client
-from rainpick.http1.server import BodyError, unpack
 from rainpick.otlp import metrics
 from tests.loopback.help import MemberEnd, ProxyEnd, running, status
 from tests.waiting import until
@@ -201,7 +201,7 @@
     tracemalloc.start()
     try:
         with pytest.raises(BodyError, match="over 1000 bytes"):
-            unpack(bomb, 1000)
+            decompress(bomb, 1000)
         assert tracemalloc.get_traced_memory()[1] < 1_000_000
     finally:
         tracemalloc.stop()
