--- a/rainpick/otlp/__init__.py
+++ b/rainpick/otlp/__init__.py
@@ -1,1 +1,1 @@
-"""Load reports as OTLP metrics (OTLP 1.x over HTTP with protobuf): reading, writing, and the HTTP answers."""
+"""Load reports as metrics over OTLP/HTTP with protobuf (OTLP 1.x): decoding, encoding, HTTP handler."""
--- a/rainpick/otlp/receiver.py
+++ b/rainpick/otlp/receiver.py
@@ -1,49 +1,85 @@
-"""Answers OTLP/HTTP exports (OTLP specification, "OTLP/HTTP"): what is taken goes to the core, once."""
+"""The HTTP handler for OTLP exports (OTLP specification, "OTLP/HTTP")."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
 
 from google.rpc.status_pb2 import Status
 
-from rainpick.http1.server import Answer, Asked
-from rainpick.otlp import metrics
+from rainpick.http1.messages import Handler, Request, Response
+from rainpick.otlp.decoding import Batch, ReportError, decode_report
+from rainpick.otlp.encoding import encode_response
 
-PROTOBUF = "application/x-protobuf"
-PATH = "/v1/metrics"
-BUSY_S = 1  # told in Retry-After
+PROTOBUF_TYPE = "application/x-protobuf"
+METRICS_PATH = "/v1/metrics"
+RETRY_AFTER_S = 1
+# Verdicts of which the reporter is notified, in the order of the message. Points of the other verdicts count
+# as accepted; a duplicate among them was accepted before.
+REJECTING_VERDICTS = ("late", "overlapping", "ahead", "backwards", "unknown")
 
 
-def fault(status: int, text: str, headers: tuple = ()) -> Answer:
-    """Errors carry a google.rpc.Status, as the specification asks."""
-    return Answer(status, Status(message=text).SerializeToString(), PROTOBUF, headers)
+def metrics_handler(submit: Callable[[Batch], Mapping[str, int] | None]) -> Handler:
+    """A handler for the server.
 
+    ``submit`` gives a batch to the director and returns how many points got which verdict, or None if the
+    director is too busy to take the batch.
+    """
 
-def receiver(give: Callable[[metrics.Batch], dict[str, int] | None]) -> Callable[[Asked], Answer]:
-    """A handler. ``give`` hands a batch to the core; it returns verdicts, or None if it is too busy."""
-
-    def handle(asked: Asked) -> Answer:
-        if asked.path.partition("?")[0] != PATH:
-            return fault(404, f"{asked.path} is not served here; {PATH} is")
-        if asked.method != "POST":
-            return fault(405, "POST is wanted", (("allow", "POST"),))
-        kind = asked.headers.get("content-type", "").partition(";")[0].strip().lower()
-        if kind != PROTOBUF:
-            return fault(415, f"content-type {kind!r} is not taken; {PROTOBUF} is")
+    def handle(request: Request) -> Response:
+        """Decode a report, submit it and answer by the verdicts."""
+        rejection = _check_request(request)
+        if rejection is not None:
+            return rejection
         try:
-            batch = metrics.read(asked.body)
-        except metrics.ReportError as flaw:
-            return fault(400, str(flaw))
-        verdicts = give(batch)
+            batch = decode_report(request.body)
+        except ReportError as error:
+            return _error_response(HTTPStatus.BAD_REQUEST, str(error))
+        verdicts = submit(batch)
         if verdicts is None:
-            return fault(429, "the director is busy", (("retry-after", str(BUSY_S)),))
-        # What is doubled was taken before: it is answered as taken. The rest is named, so that it is not sent
-        # again (partial success must not be retried).
-        rejected, why = batch.rejected, [batch.why] if batch.why else []
-        for verdict in ("late", "overlapping", "ahead", "backwards", "unknown"):
-            if verdicts.get(verdict):
-                rejected += verdicts[verdict]
-                why.append(f"{verdicts[verdict]} {verdict}")
-        return Answer(200, metrics.answer(rejected, "; ".join(why)), PROTOBUF)
+            return _error_response(
+                HTTPStatus.TOO_MANY_REQUESTS,
+                "the director is busy",
+                (("retry-after", str(RETRY_AFTER_S)),),
+            )
+        return _export_response(batch, verdicts)
 
     return handle
+
+
+def _check_request(request: Request) -> Response | None:
+    """The error response to a request that is not an export of metrics as protobuf."""
+    if request.path.partition("?")[0] != METRICS_PATH:
+        return _error_response(HTTPStatus.NOT_FOUND, f"{request.path} is not served here; {METRICS_PATH} is")
+    if request.method != "POST":
+        return _error_response(HTTPStatus.METHOD_NOT_ALLOWED, "POST is wanted", (("allow", "POST"),))
+    content_type = request.headers.get("content-type", "").partition(";")[0].strip().lower()
+    if content_type != PROTOBUF_TYPE:
+        return _error_response(
+            HTTPStatus.UNSUPPORTED_MEDIA_TYPE,
+            f"content-type {content_type!r} is not taken; {PROTOBUF_TYPE} is",
+        )
+    return None
+
+
+def _error_response(status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> Response:
+    """Errors carry a ``google.rpc.Status``, as the specification asks."""
+    return Response(status, Status(message=text).SerializeToString(), PROTOBUF_TYPE, headers)
+
+
+def _export_response(batch: Batch, verdicts: Mapping[str, int]) -> Response:
+    """Success, or partial success with the number of rejected points and the reasons.
+
+    Reporters must not retry after partial success, so rejected points are lost: each reason is named.
+    """
+    rejected = batch.rejected
+    reasons = [batch.reason] if batch.reason else []
+    for verdict in REJECTING_VERDICTS:
+        count = verdicts.get(verdict)
+        if count:
+            rejected += count
+            reasons.append(f"{count} {verdict}")
+    return Response(HTTPStatus.OK, encode_response(rejected, "; ".join(reasons)), PROTOBUF_TYPE)
+
+
+receiver = metrics_handler  # the old name, until its users are renamed
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -16,7 +16,7 @@
 
 from rainpick.http1.bodies import BodyError, decompress
 from rainpick.http1.client import Client
-from rainpick.otlp import metrics
+from rainpick.otlp.encoding import RouteOutcome, ServerOutcome, encode_report
 from tests.loopback.help import MemberEnd, ProxyEnd, running, status
 from tests.waiting import until
 
@@ -28,8 +28,12 @@
 def body(end_s=0.0, uid=None, port=9001):
     """Four tries at a server, one dropped, and three calls; by a proxy of its own unless one is named."""
     end = time.time_ns() + int(end_s * S)
-    servers = [("127.0.0.1", port, "answered", 3, 0.3), ("127.0.0.1", port, "dropped", 1, 1.0)]
-    return metrics.write(uid or f"edge-{next(UIDS)}", end - S, end, servers, [("lookup", "answered", 3)])
+    servers = [
+        ServerOutcome("127.0.0.1", port, "answered", 3, 0.3),
+        ServerOutcome("127.0.0.1", port, "dropped", 1, 1.0),
+    ]
+    routes = [RouteOutcome("lookup", "answered", 3)]
+    return encode_report(uid or f"edge-{next(UIDS)}", end - S, end, servers, routes)
 
 
 @pytest.fixture(scope="module")
