--- /dev/null
+++ b/rainpick/sasp/framing.py
@@ -0,0 +1,82 @@
+"""Cuts a byte stream into messages."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from rainpick.sasp.constants import HEADER_TYPE, VERSION
+from rainpick.sasp.decoding import decode_body
+from rainpick.sasp.errors import FramingError, SaspError
+from rainpick.sasp.messages import Message
+from rainpick.sasp.wire import COMPONENT_HEADER, MESSAGE_HEADER, UINT16, Cursor
+
+
+class Frame(NamedTuple):
+    """A message with its message id."""
+
+    message_id: int
+    message: Message
+
+
+class FrameReader:
+    """Buffers the bytes of a stream and gives its messages.
+
+    ``next`` is called after each ``feed`` until it gives None; then less than one message, of at most
+    ``max_message_bytes``, stays in the buffer.
+    """
+
+    def __init__(self, max_message_bytes: int):
+        self.max_message_bytes = max_message_bytes
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> None:
+        """Append what was read from the stream."""
+        self.buffer += data
+
+    def next(self) -> Frame | None:
+        """The next complete message; None until more bytes have come.
+
+        ``SaspError``: the message is malformed within its own length; the next call goes on after it.
+        ``FramingError``: the header cannot be trusted, and the stream is of no more use.
+        """
+        if len(self.buffer) < MESSAGE_HEADER.size:
+            return None
+        length, message_id = self._check_header()
+        if len(self.buffer) < length:
+            return None
+        data = bytes(self.buffer[:length])
+        del self.buffer[:length]
+        (message_type,) = UINT16.unpack_from(data, MESSAGE_HEADER.size)
+        cursor = Cursor(data, MESSAGE_HEADER.size)
+        try:
+            message = decode_body(message_type, cursor)
+            cursor.expect_end(length, "a message with its components")
+        except SaspError as error:
+            error.message_type = message_type
+            error.message_id = message_id
+            raise
+        return Frame(message_id, message)
+
+    def _check_header(self) -> tuple[int, int]:
+        """Length and id of the first message in the buffer; ``FramingError`` if they are not usable."""
+        component_type, size, version, length, message_id = MESSAGE_HEADER.unpack_from(self.buffer)
+        if component_type != HEADER_TYPE or size != MESSAGE_HEADER.size:
+            raise FramingError(f"a message begins with component {component_type:#06x} of {size} bytes")
+        if version != VERSION:
+            raise FramingError(f"version {version} is not spoken here, {VERSION} is", message_id=message_id)
+        if not MESSAGE_HEADER.size + COMPONENT_HEADER.size < length <= self.max_message_bytes:
+            raise FramingError(
+                f"a message of {length} bytes; at most {self.max_message_bytes} are taken",
+                message_id=message_id,
+            )
+        return length, message_id
+
+    @property
+    def held(self) -> bytearray:
+        """Old name of ``buffer``, until its users are renamed."""
+        return self.buffer
+
+    @held.setter
+    def held(self, buffer: bytearray) -> None:
+        """Replace ``buffer`` under its old name."""
+        self.buffer = buffer
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -1,186 +1,148 @@
-"""The two ends of a SASP stream as state machines without I/O.
+"""The director's end of a SASP stream as a state machine without I/O (RFC 4678, section 7).
 
-``DirectorEnd`` serves members and proxies (the RFC's group workload manager); ``ClientEnd`` is what a member
-or a load balancer holds. Bytes go in by ``receive``; what they mean comes out. Who may say what, and when, is
-checked here (RFC 4678, section 7); what it does to the fleet is the core's.
+The director is the RFC's group workload manager. ``DirectorSession.receive`` takes the bytes of a member or a
+load balancer and gives what they mean. ``transitions`` has the table of what is legal in which state; what an
+accepted request changes is for the caller to do.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from rainpick.net import Ended
-from rainpick.sasp import codec
-from rainpick.sasp.codec import (
-    Deregistration,
-    FramingError,
-    GetWeights,
+from rainpick.net import StreamEnded
+from rainpick.sasp.client import ClientSession
+from rainpick.sasp.constants import MessageType
+from rainpick.sasp.encoding import encode_reply
+from rainpick.sasp.errors import FramingError, SaspError
+from rainpick.sasp.framing import FrameReader
+from rainpick.sasp.messages import (
+    REQUEST_TYPES,
     GetWeightsReply,
-    Registration,
+    Message,
     Reply,
-    SaspError,
+    Request,
+    SendWeights,
     SetLbState,
-    SetMemberState,
 )
+from rainpick.sasp.transitions import TRANSITIONS, Illegal, Rejection, SessionState, request_kind
 
-REQUESTS = {
-    Registration: codec.REGISTRATION,
-    Deregistration: codec.DEREGISTRATION,
-    GetWeights: codec.GET_WEIGHTS,
-    SetLbState: codec.SET_LB_STATE,
-    SetMemberState: codec.SET_MEMBER_STATE,
-}
+DIRECTOR_MESSAGES = (SendWeights, Reply, GetWeightsReply)  # that only a director sends
 
 
-class Asked(NamedTuple):
-    """A request that may be carried out; answer it with ``reply``."""
+class AcceptedRequest(NamedTuple):
+    """A request that is legal; the caller carries it out and answers it with ``encode_reply``."""
 
-    number: int
-    message: codec.Message
+    message_id: int
+    message: Request
 
+    @property
+    def number(self) -> int:
+        """Old name of ``message_id``, until its users are renamed."""
+        return self.message_id
 
-class Refused(NamedTuple):
-    """A request that may not; ``data`` is the reply to write and ``why`` a line for the log."""
 
-    data: bytes
-    why: str
-    code: int
+class RejectedRequest(NamedTuple):
+    """A request that is not legal, or malformed; the caller writes ``reply`` and logs the reason and code."""
 
+    reply: bytes
+    reason: str
+    code: int
 
-def reply(kind: int, number: int, code: int) -> bytes:
-    """The reply to a request of this type; nothing for a type that has none."""
-    answer = codec.REPLY_TO.get(kind)
-    if answer is None:
-        return b""
-    if answer == codec.GET_WEIGHTS_REPLY:
-        return codec.write(GetWeightsReply(code), number)
-    return codec.write(Reply(answer, code), number)
-
-
-class DirectorEnd:
-    """One stream as the director sees it: unknown, then a member's or a load balancer's."""
-
-    FAULTS_MOST = 8  # malformed messages in a row that are answered before the stream is closed
-
-    def __init__(self, frame_most: int):
-        self.framer = codec.Framer(frame_most)
-        self.uid: str | None = None  # set by the first Set LB State
-        self.flags = 0
-        self.is_member = False
-        self.faults = 0
-
-    def receive(self, data: bytes) -> list[Asked | Refused | Ended]:
-        """What the bytes bring, in order. After ``Ended`` nothing more comes."""
-        self.framer.feed(data)
-        found: list[Asked | Refused | Ended] = []
-        while True:
-            try:
-                step = self.framer.next()
-            except FramingError as flaw:
-                kind = flaw.kind or codec.REGISTRATION
-                data = reply(kind, flaw.number, flaw.code) if flaw.number else b""
-                found.append(Ended(data, str(flaw)))
-                return found
-            except SaspError as flaw:
-                self.faults += 1
-                answer = reply(flaw.kind, flaw.number, flaw.code)
-                if self.faults >= self.FAULTS_MOST or not answer:
-                    found.append(Ended(answer, str(flaw)))
-                    return found
-                found.append(Refused(answer, str(flaw), flaw.code))
-                continue
-            if step is None:
-                return found
-            found.append(self.check(*step))
-            if isinstance(found[-1], Ended):
-                return found
-
-    def check(self, number: int, message: codec.Message) -> Asked | Refused | Ended:
-        kind = REQUESTS.get(type(message))
-        if kind is None:
-            return Ended(b"", f"{type(message).__name__} is not for a director")
-        code, why = self.allowed(message)
-        if code != codec.SUCCESS:
-            return Refused(reply(kind, number, code), why, code)
-        self.faults = 0
-        if isinstance(message, SetLbState):
-            self.uid, self.flags = message.uid, message.flags
-        elif isinstance(message, Registration) and not message.from_lb:
-            self.is_member = True
-        return Asked(number, message)
+    @property
+    def data(self) -> bytes:
+        """Old name of ``reply``, until its users are renamed."""
+        return self.reply
+
+    @property
+    def why(self) -> str:
+        """Old name of ``reason``, until its users are renamed."""
+        return self.reason
+
+
+DirectorEvent = AcceptedRequest | RejectedRequest | StreamEnded
+
+
+class DirectorSession:
+    """One stream as the director sees it."""
+
+    MAX_FAULTS = 8  # consecutive malformed messages; all but the last are answered, then the stream ends
+
+    def __init__(self, max_message_bytes: int):
+        self._reader = FrameReader(max_message_bytes)
+        self._faults = 0  # malformed messages since the last accepted one
+        self.state = SessionState.UNIDENTIFIED
+        self.uid: str | None = None  # of the load balancer, once it has sent Set LB State
+
+    @property
+    def is_member(self) -> bool:
+        """Whether members have registered on this stream."""
+        return self.state is SessionState.MEMBER
+
+    def receive(self, data: bytes) -> list[DirectorEvent]:
+        """What the bytes bring, in order. Nothing more comes after ``StreamEnded``."""
+        self._reader.feed(data)
+        events: list[DirectorEvent] = []
+        while (event := self._next_event()) is not None:
+            events.append(event)
+            if isinstance(event, StreamEnded):
+                break
+        return events
+
+    def _next_event(self) -> DirectorEvent | None:
+        """The event of the next complete message; None until more bytes have come."""
+        try:
+            frame = self._reader.next()
+        except FramingError as error:
+            return self._framing_failed(error)
+        except SaspError as error:
+            return self._malformed(error)
+        if frame is None:
+            return None
+        return self._handle(frame.message_id, frame.message)
 
-    def allowed(self, message: codec.Message) -> tuple[int, str]:
-        """A return code, and why."""
+    @staticmethod
+    def _framing_failed(error: FramingError) -> StreamEnded:
+        """End the stream. The message's type is not known: its reply is given as one to Registration."""
+        reply = b""
+        if error.message_id:
+            message_type = error.message_type or MessageType.REGISTRATION
+            reply = encode_reply(message_type, error.message_id, error.code)
+        return StreamEnded(reply, str(error))
+
+    def _malformed(self, error: SaspError) -> RejectedRequest | StreamEnded:
+        """Answer a malformed message, unless it has no reply or there were too many in a row."""
+        self._faults += 1
+        reply = encode_reply(error.message_type, error.message_id, error.code)
+        if self._faults >= self.MAX_FAULTS or not reply:
+            return StreamEnded(reply, str(error))
+        return RejectedRequest(reply, str(error), error.code)
+
+    def _handle(self, message_id: int, message: Message) -> DirectorEvent:
+        """Accept or reject a message by the table of transitions."""
+        if isinstance(message, DIRECTOR_MESSAGES):
+            return StreamEnded(b"", f"{type(message).__name__} is not for a director")
+        transition = TRANSITIONS[request_kind(message)][self.state]
+        if isinstance(transition, Illegal):
+            return self._rejected(message_id, message, transition.rejection(message))
+        rejection = transition.check(message, self.uid)
+        if rejection is not None:
+            return self._rejected(message_id, message, rejection)
+        self._faults = 0
+        self.state = transition.next_state
         if isinstance(message, SetLbState):
-            if self.is_member:
-                return codec.NOT_ACCEPTED, "a member's stream can't become a load balancer's"
-            if self.uid not in (None, message.uid):
-                return codec.NOT_ACCEPTED, f"the stream is that of {self.uid!r}, not of {message.uid!r}"
-            return codec.SUCCESS, ""
-        if isinstance(message, GetWeights):
-            if self.uid is None:
-                return codec.UNKNOWN_LB, "Get Weights before Set LB State"
-            return self.own_groups(message.groups)
-        if message.from_lb:
-            if self.uid is None:
-                return codec.LB_NOT_SEEN, f"{type(message).__name__} of a load balancer before Set LB State"
-            if isinstance(message, SetMemberState):
-                return codec.NOT_ACCEPTED, "a load balancer does not set the state of members here"
-            return self.own_groups([group.group for group in message.groups])
-        if self.uid is not None:
-            return codec.NOT_ACCEPTED, "a load balancer's stream can't speak for members"
-        if not self.is_member and not isinstance(message, Registration):
-            return codec.NOT_REGISTERED, f"{type(message).__name__} before any Registration"
-        return self.no_doubles(message)
-
-    def own_groups(self, groups) -> tuple[int, str]:
-        if len(set(groups)) < len(groups):
-            return codec.DUPLICATE_GROUP, "a group is named twice"
-        for group in groups:
-            if group.uid != self.uid:
-                return codec.UNKNOWN_LB, f"a group of {group.uid!r} on the stream of {self.uid!r}"
-        return codec.SUCCESS, ""
+            self.uid = message.uid
+        return AcceptedRequest(message_id, message)
 
     @staticmethod
-    def no_doubles(message) -> tuple[int, str]:
-        groups = [group.group for group in message.groups]
-        if len(set(groups)) < len(groups):
-            return codec.DUPLICATE_GROUP, "a group is named twice"
-        for group in message.groups:
-            rows = group.states if isinstance(message, SetMemberState) else group.members
-            members = [getattr(row, "member", row).key() for row in rows]
-            if len(set(members)) < len(members):
-                return codec.DUPLICATE_MEMBER, "a member is named twice"
-        return codec.SUCCESS, ""
-
-
-class ClientEnd:
-    """A member's or a load balancer's end: numbers requests, pairs replies, hands on pushed weights."""
-
-    def __init__(self, frame_most: int = 1 << 24):
-        self.framer = codec.Framer(frame_most)
-        self.numbered, self.waiting = 0, {}
-
-    def ask(self, message: codec.Message) -> bytes:
-        """The bytes of a request."""
-        self.numbered += 1
-        self.waiting[self.numbered] = message
-        return codec.write(message, self.numbered)
-
-    def receive(self, data: bytes) -> list[tuple[codec.Message | None, codec.Message]]:
-        """Pairs of (the request it answers or None, the message); ``SaspError`` if it isn't SASP."""
-        self.framer.feed(data)
-        found = []
-        while (step := self.framer.next()) is not None:
-            number, message = step
-            if isinstance(message, codec.SendWeights):
-                found.append((None, message))
-                continue
-            if not isinstance(message, Reply | GetWeightsReply) or number not in self.waiting:
-                raise SaspError(f"{type(message).__name__} {number} answers no request")
-            asked = self.waiting.pop(number)
-            kind = message.kind if isinstance(message, Reply) else codec.GET_WEIGHTS_REPLY
-            if kind != codec.REPLY_TO[REQUESTS[type(asked)]]:
-                raise SaspError(f"a reply {kind:#06x} does not answer {type(asked).__name__}")
-            found.append((asked, message))
-        return found
+    def _rejected(message_id: int, message: Request, rejection: Rejection) -> RejectedRequest:
+        reply = encode_reply(REQUEST_TYPES[type(message)], message_id, rejection.code)
+        return RejectedRequest(reply, rejection.reason, rejection.code)
+
+
+# The old names, until their users are renamed
+
+Asked = AcceptedRequest
+Refused = RejectedRequest
+DirectorEnd = DirectorSession
+ClientEnd = ClientSession
+reply = encode_reply
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -17,7 +17,7 @@
 from rainpick.node import belief, configuration
 from rainpick.node import codec as platform
 from rainpick.publish import payloads
-from rainpick.sasp import codec as sasp
+from rainpick.sasp import messages as sasp
 
 TYPES = {
     "event: begun": model.Started,
@@ -85,11 +85,11 @@
     "payload: met": payloads.Met,
     "sasp: member": sasp.Member,
     "sasp: group": sasp.Group,
-    "sasp: weight": sasp.Weight,
+    "sasp: weight": sasp.WeightEntry,
     "sasp: member state": sasp.MemberState,
-    "sasp: members": sasp.Members,
-    "sasp: weights": sasp.Weights,
-    "sasp: states": sasp.States,
+    "sasp: members": sasp.MemberGroup,
+    "sasp: weights": sasp.WeightGroup,
+    "sasp: states": sasp.StateGroup,
     "sasp: registration": sasp.Registration,
     "sasp: deregistration": sasp.Deregistration,
     "sasp: get weights": sasp.GetWeights,
--- a/tests/sasp/test_session.py
+++ b/tests/sasp/test_session.py
@@ -1,119 +1,144 @@
-"""The two ends of a stream: who may say what, and when."""
+"""The two ends of a stream: which message is legal in which state."""
 
 import pytest
 
-from rainpick.net import Ended
-from rainpick.sasp import codec
-from rainpick.sasp.codec import (
+from rainpick.net import StreamEnded
+from rainpick.sasp.client import ClientSession
+from rainpick.sasp.constants import PUSH, MessageType, ReturnCode
+from rainpick.sasp.encoding import encode_frame, encode_message
+from rainpick.sasp.errors import SaspError
+from rainpick.sasp.framing import FrameReader
+from rainpick.sasp.messages import (
     Deregistration,
     GetWeights,
+    GetWeightsReply,
     Group,
     Member,
-    Members,
+    MemberGroup,
     MemberState,
     Registration,
     Reply,
-    SaspError,
     SendWeights,
     SetLbState,
     SetMemberState,
-    States,
+    StateGroup,
 )
-from rainpick.sasp.session import Asked, ClientEnd, DirectorEnd, Refused
+from rainpick.sasp.session import AcceptedRequest, DirectorSession, RejectedRequest
+from rainpick.sasp.transitions import TRANSITIONS, RequestKind, SessionState
 
-ONE, TWO = Member.at("127.0.0.1", 9001), Member.at("127.0.0.1", 9002)
-FLEET, MINE = Group("rainpick", "servers"), Group("edge-1", "servers")
+FIRST, SECOND = Member.at("127.0.0.1", 9001), Member.at("127.0.0.1", 9002)
+FLEET, EDGE_1 = Group("rainpick", "servers"), Group("edge-1", "servers")
 
 
-def end(*said):
-    director = DirectorEnd(65_536)
-    found = []
-    for number, message in enumerate(said, 1):
-        found += director.receive(codec.write(message, number))
-    return found[-1]
+def last_event(*messages):
+    """The director's event for the last of these messages."""
+    session = DirectorSession(65_536)
+    events = []
+    for message_id, message in enumerate(messages, 1):
+        events += session.receive(encode_message(message, message_id))
+    return events[-1]
 
 
-def code(found):
-    assert isinstance(found, Refused), found
-    framer = codec.Framer(1 << 16)
-    framer.feed(found.data)
-    return framer.next()[1].code
+def return_code(event):
+    """The code in the reply of a rejected request."""
+    assert isinstance(event, RejectedRequest), event
+    reader = FrameReader(1 << 16)
+    reader.feed(event.reply)
+    return reader.next().message.code
 
 
-JOINED = (SetLbState("edge-1"),)
-REGISTERED = (Registration((Members(FLEET, (ONE,)),)),)
+IDENTIFIED = (SetLbState("edge-1"),)
+REGISTERED = (Registration((MemberGroup(FLEET, (FIRST,)),)),)
 
 
 @pytest.mark.parametrize(
-    "said, expected",
+    "messages, expected",
     [
-        ((GetWeights((MINE,)),), codec.UNKNOWN_LB),
-        ((Registration((Members(MINE),), True),), codec.LB_NOT_SEEN),
-        ((SetMemberState((States(FLEET, (MemberState(ONE, 0, True),)),)),), codec.NOT_REGISTERED),
-        ((Deregistration((Members(FLEET),)),), codec.NOT_REGISTERED),
-        ((*REGISTERED, SetLbState("edge-1")), codec.NOT_ACCEPTED),
-        ((*JOINED, SetLbState("edge-2")), codec.NOT_ACCEPTED),
-        ((*JOINED, *REGISTERED), codec.NOT_ACCEPTED),
-        ((*JOINED, GetWeights((FLEET,))), codec.UNKNOWN_LB),
-        ((*JOINED, GetWeights((MINE, MINE))), codec.DUPLICATE_GROUP),
-        ((*JOINED, SetMemberState((States(MINE, (MemberState(ONE),)),), True)), codec.NOT_ACCEPTED),
-        ((Registration((Members(FLEET, (ONE, TWO, ONE)),)),), codec.DUPLICATE_MEMBER),
-        ((Registration((Members(FLEET, (ONE,)), Members(FLEET, (TWO,)))),), codec.DUPLICATE_GROUP),
+        ((GetWeights((EDGE_1,)),), ReturnCode.UNKNOWN_LB),
+        ((Registration((MemberGroup(EDGE_1),), True),), ReturnCode.LB_NOT_SEEN),
+        ((SetMemberState((StateGroup(FLEET, (MemberState(FIRST, 0, True),)),)),), ReturnCode.NOT_REGISTERED),
+        ((Deregistration((MemberGroup(FLEET),)),), ReturnCode.NOT_REGISTERED),
+        ((*REGISTERED, SetLbState("edge-1")), ReturnCode.NOT_ACCEPTED),
+        ((*IDENTIFIED, SetLbState("edge-2")), ReturnCode.NOT_ACCEPTED),
+        ((*IDENTIFIED, *REGISTERED), ReturnCode.NOT_ACCEPTED),
+        ((*IDENTIFIED, GetWeights((FLEET,))), ReturnCode.UNKNOWN_LB),
+        ((*IDENTIFIED, GetWeights((EDGE_1, EDGE_1))), ReturnCode.DUPLICATE_GROUP),
+        (
+            (*IDENTIFIED, SetMemberState((StateGroup(EDGE_1, (MemberState(FIRST),)),), True)),
+            ReturnCode.NOT_ACCEPTED,
+        ),
+        ((Registration((MemberGroup(FLEET, (FIRST, SECOND, FIRST)),)),), ReturnCode.DUPLICATE_MEMBER),
+        (
+            (Registration((MemberGroup(FLEET, (FIRST,)), MemberGroup(FLEET, (SECOND,)))),),
+            ReturnCode.DUPLICATE_GROUP,
+        ),
     ],
 )
-def test_what_is_out_of_state_gets_its_code(said, expected):
-    assert code(end(*said)) == expected
+def test_an_illegal_request_is_rejected_with_its_return_code(messages, expected):
+    event = last_event(*messages)
+    assert return_code(event) == expected and event.code == expected
 
 
-def test_what_is_in_order_is_handed_on():
-    assert end(*REGISTERED) == Asked(1, REGISTERED[0])
-    assert end(*JOINED, GetWeights((MINE,))) == Asked(2, GetWeights((MINE,)))
-    assert end(*JOINED, SetLbState("edge-1", 1, codec.PUSH)) == Asked(2, SetLbState("edge-1", 1, codec.PUSH))
+def test_the_table_says_something_of_every_request_in_every_state():
+    assert TRANSITIONS.keys() == set(RequestKind)
+    assert all(by_state.keys() == set(SessionState) for by_state in TRANSITIONS.values())
 
 
-def test_what_a_director_says_is_not_for_a_director():
-    assert isinstance(end(SendWeights(())), Ended)
-    assert isinstance(end(Reply(codec.SET_LB_STATE_REPLY, 0)), Ended)
+def test_a_legal_request_is_accepted():
+    assert last_event(*REGISTERED) == AcceptedRequest(1, REGISTERED[0])
+    assert last_event(*IDENTIFIED, GetWeights((EDGE_1,))) == AcceptedRequest(2, GetWeights((EDGE_1,)))
+    assert last_event(*IDENTIFIED, SetLbState("edge-1", 1, PUSH)) == AcceptedRequest(
+        2, SetLbState("edge-1", 1, PUSH)
+    )
+
+
+def test_a_message_of_a_director_ends_the_stream():
+    assert isinstance(last_event(SendWeights(())), StreamEnded)
+    assert isinstance(last_event(Reply(MessageType.SET_LB_STATE_REPLY, 0)), StreamEnded)
 
 
-def test_faults_are_answered_until_there_are_too_many():
-    director, bad = DirectorEnd(4096), codec.frame(9, codec.SET_LB_STATE, b"\5ab")
-    kinds = [type(found) for _ in range(DirectorEnd.FAULTS_MOST) for found in director.receive(bad)]
-    assert kinds == [Refused] * (DirectorEnd.FAULTS_MOST - 1) + [Ended]
+def test_malformed_messages_are_answered_until_there_are_too_many():
+    session, malformed = DirectorSession(4096), encode_frame(9, MessageType.SET_LB_STATE, b"\5ab")
+    kinds = [type(event) for _ in range(DirectorSession.MAX_FAULTS) for event in session.receive(malformed)]
+    assert kinds == [RejectedRequest] * (DirectorSession.MAX_FAULTS - 1) + [StreamEnded]
 
 
-def test_a_good_message_between_them_forgives():
-    director, bad = DirectorEnd(4096), codec.frame(9, codec.SET_LB_STATE, b"\5ab")
-    for number in range(40):
-        assert isinstance(director.receive(bad)[0], Refused)
-        assert isinstance(director.receive(codec.write(SetLbState("e"), number))[0], Asked)
+def test_an_accepted_request_resets_the_count_of_malformed_messages():
+    session, malformed = DirectorSession(4096), encode_frame(9, MessageType.SET_LB_STATE, b"\5ab")
+    for message_id in range(40):
+        assert isinstance(session.receive(malformed)[0], RejectedRequest)
+        assert isinstance(session.receive(encode_message(SetLbState("e"), message_id))[0], AcceptedRequest)
 
 
-def test_an_unknown_version_is_answered_and_ended():
-    data = codec.write(SetLbState("e"), 3)
-    (found,) = DirectorEnd(4096).receive(data[:4] + b"\7" + data[5:])
-    assert isinstance(found, Ended) and found.data and "version 7" in found.why
+def test_an_unknown_version_is_answered_and_ends_the_stream():
+    data = encode_message(SetLbState("e"), 3)
+    (event,) = DirectorSession(4096).receive(data[:4] + b"\7" + data[5:])
+    assert isinstance(event, StreamEnded) and event.data and "version 7" in event.reason
 
 
-def test_a_client_pairs_replies_and_keeps_pushes_apart():
-    client = ClientEnd()
-    client.ask(SetLbState("e"))
-    client.ask(GetWeights((MINE,)))
+def test_a_client_pairs_replies_with_requests_and_tells_pushed_weights_apart():
+    client = ClientSession()
+    client.encode_request(SetLbState("e"))
+    client.encode_request(GetWeights((EDGE_1,)))
     pushed = SendWeights(())
     data = (
-        codec.write(pushed, 77)
-        + codec.write(codec.GetWeightsReply(0), 2)
-        + codec.write(Reply(codec.SET_LB_STATE_REPLY, 0), 1)
+        encode_message(pushed, 77)
+        + encode_message(GetWeightsReply(0), 2)
+        + encode_message(Reply(MessageType.SET_LB_STATE_REPLY, 0), 1)
     )
-    assert [asked for asked, _ in client.receive(data)] == [None, GetWeights((MINE,)), SetLbState("e")]
+    assert [request for request, _ in client.receive(data)] == [None, GetWeights((EDGE_1,)), SetLbState("e")]
 
 
 @pytest.mark.parametrize(
-    "message, number",
-    [(Reply(codec.SET_LB_STATE_REPLY, 0), 2), (Reply(codec.REGISTRATION_REPLY, 0), 1), (SetLbState("e"), 1)],
+    "message, message_id",
+    [
+        (Reply(MessageType.SET_LB_STATE_REPLY, 0), 2),
+        (Reply(MessageType.REGISTRATION_REPLY, 0), 1),
+        (SetLbState("e"), 1),
+    ],
 )
-def test_a_reply_that_answers_nothing_is_an_error(message, number):
-    client = ClientEnd()
-    client.ask(SetLbState("e"))
+def test_a_reply_without_its_request_is_an_error(message, message_id):
+    client = ClientSession()
+    client.encode_request(SetLbState("e"))
     with pytest.raises(SaspError):
-        client.receive(codec.write(message, number))
+        client.receive(encode_message(message, message_id))
