--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -1,4 +1,4 @@
-"""Load reports over OTLP/HTTP: what is taken, what is refused, and what is not counted twice."""
+"""Load reports over OTLP/HTTP: which are accepted, which are rejected, and that none is counted twice."""
 
 import gzip
 import itertools
@@ -20,13 +20,13 @@
 from tests.loopback.help import MemberEnd, ProxyEnd, running, status
 from tests.waiting import until
 
-KIND = ("content-type", "application/x-protobuf")
+CONTENT_TYPE = ("content-type", "application/x-protobuf")
 S = 1_000_000_000
 UIDS = itertools.cycle(range(1, 41))
 
 
 def body(end_s=0.0, uid=None, port=9001):
-    """Four tries at a server, one dropped, and three calls; by a proxy of its own unless one is named."""
+    """Four attempts at a server, one dropped, and three calls; by a proxy of its own unless one is named."""
     end = time.time_ns() + int(end_s * S)
     servers = [
         ServerOutcome("127.0.0.1", port, "answered", 3, 0.3),
@@ -46,14 +46,15 @@
         yield daemon
 
 
-def post(daemon, data, *headers, path="/v1/metrics", method="POST", kind=KIND):
+def post(daemon, data, *headers, path="/v1/metrics", method="POST", content_type=CONTENT_TYPE):
     client = Client(*daemon.otlp)
-    found = client.call(method, path, data, (kind, *headers))
+    response = client.call(method, path, data, (content_type, *headers))
     client.close()
-    return found
+    return response
 
 
-def partial(data):
+def partial_success(data):
+    """Number of rejected points and the error message of a response."""
     response = ExportMetricsServiceResponse()
     response.ParseFromString(data)
     return response.partial_success.rejected_data_points, response.partial_success.error_message
@@ -63,28 +64,28 @@
     return status(daemon)["reports"]
 
 
-def test_a_report_becomes_evidence_plain_or_packed(daemon):
+def test_a_report_becomes_evidence_with_and_without_gzip(daemon):
     before = counts(daemon)["fresh"]
     assert post(daemon, body())[0] == 200
     code, headers, data = post(daemon, gzip.compress(body()), ("content-encoding", "gzip"))
-    assert (code, headers["content-type"], partial(data)) == (200, KIND[1], (0, ""))
+    assert (code, headers["content-type"], partial_success(data)) == (200, CONTENT_TYPE[1], (0, ""))
     assert counts(daemon)["fresh"] == before + 6
     until(lambda: counts(daemon)["told"] > 0)
 
 
-def test_the_same_period_twice_is_answered_as_taken_and_counted_once(daemon):
+def test_a_duplicate_period_is_accepted_and_counted_once(daemon):
     report, before = body(), counts(daemon)
     for _ in range(3):
         code, _, data = post(daemon, report)
-        assert code == 200 and partial(data) == (0, "")
+        assert code == 200 and partial_success(data) == (0, "")
     after = counts(daemon)
     assert (after["fresh"] - before["fresh"], after["doubled"] - before["doubled"]) == (3, 6)
 
 
-def test_one_from_ten_seconds_ago_is_rejected_as_late(daemon):
+def test_a_report_of_ten_seconds_ago_is_rejected_as_late(daemon):
     before = counts(daemon)
     code, _, data = post(daemon, body(-10))
-    assert code == 200 and partial(data) == (3, "3 late")
+    assert code == 200 and partial_success(data) == (3, "3 late")
     assert counts(daemon)["late"] == before["late"] + 3 and counts(daemon)["fresh"] == before["fresh"]
 
 
@@ -137,13 +138,13 @@
     ],
     ids=["cumulative", "metric", "unnamed", "endless", "portless", "timeless", "stranger", "server"],
 )
-def test_what_cannot_be_used_is_a_partial_success_with_a_reason(daemon, data, rejected, why):
+def test_unusable_points_are_a_partial_success_with_a_reason(daemon, data, rejected, why):
     code, _, answer = post(daemon, data())
-    assert code == 200 and partial(answer)[0] == rejected and why in partial(answer)[1]
+    assert code == 200 and partial_success(answer)[0] == rejected and why in partial_success(answer)[1]
 
 
 @pytest.mark.parametrize(
-    "words, code",
+    "case, status_code",
     [
         ({"data": b"\xff\xff no protobuf"}, 400),
         ({"data": b"x" * 20_001}, 413),
@@ -151,23 +152,24 @@
         ({"data": b"not gzip", "headers": [("content-encoding", "gzip")]}, 400),
         ({"data": gzip.compress(b"cut off" * 99)[:-9], "headers": [("content-encoding", "gzip")]}, 400),
         ({"data": b"", "headers": [("content-encoding", "zstd")]}, 415),
-        ({"data": b"{}", "kind": ("content-type", "application/json")}, 415),
+        ({"data": b"{}", "content_type": ("content-type", "application/json")}, 415),
         ({"data": b"", "path": "/v1/traces"}, 404),
         ({"data": b"", "method": "GET"}, 405),
     ],
     ids=["garbage", "large", "bomb", "not gzip", "cut", "zstd", "json", "path", "method"],
 )
-def test_what_is_wrong_has_the_specified_status(daemon, words, code):
-    data, headers = words.pop("data"), words.pop("headers", [])
-    found = post(daemon, data, *headers, **words)
-    assert found[0] == code
-    if found[1]["content-type"] == KIND[1]:
-        status_ = Status()
-        status_.ParseFromString(found[2])
-        assert status_.message
-
-
-def test_what_is_not_http_ends_that_connection_alone(daemon):
+def test_an_invalid_request_gets_the_specified_status(daemon, case, status_code):
+    options = dict(case)
+    data, headers = options.pop("data"), options.pop("headers", [])
+    response = post(daemon, data, *headers, **options)
+    assert response.status == status_code
+    if response.headers["content-type"] == CONTENT_TYPE[1]:
+        error = Status()
+        error.ParseFromString(response.body)
+        assert error.message
+
+
+def test_a_peer_that_does_not_speak_http_loses_only_its_connection(daemon):
     with socket.create_connection(daemon.otlp) as sock:
         sock.settimeout(5)
         sock.sendall(b"\x16\x03\x01 hello\r\n\r\n")
@@ -176,21 +178,21 @@
     assert post(daemon, body())[0] == 200
 
 
-def test_a_busy_director_says_429_and_when_to_come_again():
+def test_a_busy_director_answers_429_with_retry_after():
     with running(director=", inbox: 100") as daemon:
-        held = threading.Event()
-        daemon.core.on_hold = lambda: held.wait(10)
+        released = threading.Event()
+        daemon.core.on_hold = lambda: released.wait(10)
         daemon.core.put("hold")
         while daemon.core.put("hold", wait=False):
             pass
         try:
             code, headers, _ = post(daemon, body())
         finally:
-            held.set()
+            released.set()
         assert (code, headers["retry-after"]) == (429, "1")
 
 
-def test_connections_are_bounded():
+def test_the_number_of_connections_is_bounded():
     with running("otlp: {connections_most: 2}") as daemon:
         socks = [socket.create_connection(daemon.otlp) for _ in range(3)]
         for sock in socks:
@@ -200,7 +202,7 @@
             sock.close()
 
 
-def test_a_small_body_does_not_become_a_large_one_in_memory():
+def test_decompression_is_bounded_in_memory():
     bomb = gzip.compress(b"\0" * 50_000_000)
     tracemalloc.start()
     try:
