--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -11,13 +11,13 @@
 
 from rainpick import model
 from rainpick.director import reports
-from rainpick.http1 import server as http
+from rainpick.http1 import messages as http
 from rainpick.mqtt import codec as mqtt
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.node import belief, configuration
 from rainpick.node import codec as platform
 from rainpick.publish import payloads
-from rainpick.sasp import codec as sasp
+from rainpick.sasp import messages as sasp
 
 TYPES = {
     "event: begun": model.Started,
@@ -61,7 +61,7 @@
     "platform: configuration": configuration.Configuration,
     "platform: stream begun": belief.Begun,
     "platform: stream told": belief.Told,
-    "stream ended": Ended,
+    "stream ended": StreamEnded,
     "mqtt: will": mqtt.Will,
     "mqtt: connect": mqtt.Connect,
     "mqtt: connack": mqtt.Connack,
@@ -85,11 +85,11 @@
     "payload: met": payloads.Met,
     "sasp: member": sasp.Member,
     "sasp: group": sasp.Group,
-    "sasp: weight": sasp.Weight,
+    "sasp: weight": sasp.WeightEntry,
     "sasp: member state": sasp.MemberState,
-    "sasp: members": sasp.Members,
-    "sasp: weights": sasp.Weights,
-    "sasp: states": sasp.States,
+    "sasp: members": sasp.MemberGroup,
+    "sasp: weights": sasp.WeightGroup,
+    "sasp: states": sasp.StateGroup,
     "sasp: registration": sasp.Registration,
     "sasp: deregistration": sasp.Deregistration,
     "sasp: get weights": sasp.GetWeights,
@@ -99,8 +99,8 @@
     "sasp: reply": sasp.Reply,
     "sasp: get weights reply": sasp.GetWeightsReply,
     "otlp: point": reports.Point,
-    "http: asked": http.Asked,
-    "http: answer": http.Answer,
+    "http: asked": http.Request,
+    "http: answer": http.Response,
 }
 NEUTRAL = {kind: name for name, kind in TYPES.items()}
 
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -55,13 +55,13 @@
     drive.join(1)
     drive.run(1)
     module = drive.engine.stepper.director
-    assert module.queue.waiting > 0
+    assert module.publisher.queue.waiting > 0
     drive.listed(server(0, model.EndpointState.DRAINING))
     drive.run(1)
-    assert module.queue.waiting > 8
+    assert module.publisher.queue.waiting > 8
     drive.engine.delivered(1, drive.writes[-1][1].number)
     drive.run(0.1)
-    assert module.queue.waiting == 0
+    assert module.publisher.queue.waiting == 0
 
 
 def test_messages_to_a_proxy_stay_within_the_cap_whatever_is_ordered():
