--- a/rainpick/mqtt/__init__.py
+++ b/rainpick/mqtt/__init__.py
@@ -1,1 +1,4 @@
-"""MQTT 5 (OASIS standard, 7 March 2019): codec and the two ends of a connection, free of I/O. QoS 0 and 1."""
+"""MQTT 5 (OASIS standard, 7 March 2019) without I/O: packets, topic filters, and both ends of a connection.
+
+QoS 0 and 1 are supported, enhanced authentication is not. Section numbers in this package are the standard's.
+"""
--- /dev/null
+++ b/rainpick/mqtt/client.py
@@ -0,0 +1,32 @@
+"""The client's end of a connection without I/O: packet identifiers and received packets."""
+
+from __future__ import annotations
+
+from rainpick.mqtt.decoder import PacketFramer
+from rainpick.mqtt.packets import MAX_PACKET_ID, Packet
+
+DEFAULT_MAX_PACKET_LENGTH = 1 << 24
+
+
+class ClientConnection:
+    """A plain client's state; what the packets mean is left to its user."""
+
+    def __init__(self, max_packet_length: int = DEFAULT_MAX_PACKET_LENGTH):
+        self.framer = PacketFramer(max_packet_length)
+        self.last_packet_id = 0
+
+    def next_packet_id(self) -> int:
+        """Return a packet identifier; they repeat after 65,535 others."""
+        self.last_packet_id = self.last_packet_id % MAX_PACKET_ID + 1
+        return self.last_packet_id
+
+    def receive(self, data: bytes) -> list[Packet]:
+        """Return the packets that are complete after these bytes; ``MqttError`` for a malformed one."""
+        self.framer.feed(data)
+        packets = []
+        while (packet := self.framer.next()) is not None:
+            packets.append(packet)
+        return packets
+
+    # Former name, for callers that have not been renamed
+    number = next_packet_id
--- /dev/null
+++ b/rainpick/mqtt/packets.py
@@ -0,0 +1,162 @@
+"""The control packets (section 3) as values."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+from rainpick.mqtt.errors import ReasonCode
+from rainpick.mqtt.properties import Properties
+
+MAX_PACKET_ID = 65_535
+
+
+class PacketType(IntEnum):
+    """Type of a control packet (section 2.1.2): the four high bits of its first byte."""
+
+    CONNECT = 1
+    CONNACK = 2
+    PUBLISH = 3
+    PUBACK = 4
+    SUBSCRIBE = 8
+    SUBACK = 9
+    UNSUBSCRIBE = 10
+    UNSUBACK = 11
+    PINGREQ = 12
+    PINGRESP = 13
+    DISCONNECT = 14
+    AUTH = 15
+
+
+class Will(NamedTuple):
+    """A message that the server is to publish when the connection of a client ends abnormally."""
+
+    topic: str
+    payload: bytes
+    qos: int = 0
+    retain: bool = False
+
+
+class Connect(NamedTuple):
+    """A client's request for a connection; ``keep_alive_s`` 0 turns the keep-alive timeout off."""
+
+    client_id: str
+    clean_start: bool = True
+    keep_alive_s: int = 0
+    props: Properties = {}
+    will: Will | None = None
+    username: str | None = None
+    password: bytes | None = None
+
+    @property
+    def client(self) -> str:
+        """Former name of ``client_id``."""
+        return self.client_id
+
+    @property
+    def keep_alive(self) -> int:
+        """Former name of ``keep_alive_s``."""
+        return self.keep_alive_s
+
+
+class Connack(NamedTuple):
+    """The server's answer to CONNECT."""
+
+    reason_code: int
+    session_present: bool = False
+    props: Properties = {}
+
+    @property
+    def code(self) -> int:
+        """Former name of ``reason_code``."""
+        return self.reason_code
+
+
+class Publish(NamedTuple):
+    """An application message; ``packet_id`` is 0 for one of QoS 0, which is not acknowledged."""
+
+    topic: str
+    payload: bytes
+    qos: int = 0
+    packet_id: int = 0
+    retain: bool = False
+    duplicate: bool = False
+    props: Properties = {}
+
+    @property
+    def number(self) -> int:
+        """Former name of ``packet_id``."""
+        return self.packet_id
+
+
+class Puback(NamedTuple):
+    """Acknowledgement of a message of QoS 1."""
+
+    packet_id: int
+    reason_code: int = ReasonCode.SUCCESS
+
+    @property
+    def number(self) -> int:
+        """Former name of ``packet_id``."""
+        return self.packet_id
+
+    @property
+    def code(self) -> int:
+        """Former name of ``reason_code``."""
+        return self.reason_code
+
+
+class Subscribe(NamedTuple):
+    """``filters`` are topic filters with their options; the two lowest bits are the requested QoS."""
+
+    packet_id: int
+    filters: tuple[tuple[str, int], ...]
+
+
+class Suback(NamedTuple):
+    """One reason code for each filter of a SUBSCRIBE; those below 0x80 are the granted QoS."""
+
+    packet_id: int
+    reason_codes: tuple[int, ...]
+
+    @property
+    def codes(self) -> tuple[int, ...]:
+        """Former name of ``reason_codes``."""
+        return self.reason_codes
+
+
+class Unsubscribe(NamedTuple):
+    """Topic filters that a client gives up."""
+
+    packet_id: int
+    filters: tuple[str, ...]
+
+
+class Unsuback(NamedTuple):
+    """One reason code for each filter of an UNSUBSCRIBE."""
+
+    packet_id: int
+    reason_codes: tuple[int, ...]
+
+
+class Ping(NamedTuple):
+    """PINGREQ, or PINGRESP if ``is_response``."""
+
+    is_response: bool = False
+
+
+class Disconnect(NamedTuple):
+    """The last packet that either side sends; DISCONNECT without a failure suppresses the will."""
+
+    reason_code: int = ReasonCode.SUCCESS
+    props: Properties = {}
+
+    @property
+    def code(self) -> int:
+        """Former name of ``reason_code``."""
+        return self.reason_code
+
+
+Packet = (
+    Connect | Connack | Publish | Puback | Subscribe | Suback | Unsubscribe | Unsuback | Ping | Disconnect
+)
