--- a/rainpick/publish/__init__.py
+++ b/rainpick/publish/__init__.py
@@ -1,1 +1,1 @@
-"""What is published to whom over the publish-subscribe front: payloads, versions, pins. Free of I/O."""
+"""Table distribution over MQTT without I/O: topics, payloads, table updates and pinned table versions."""
--- /dev/null
+++ b/rainpick/publish/follower.py
@@ -0,0 +1,126 @@
+"""A proxy's side: ``TableFollower`` applies snapshots and deltas, and finds out if it lost track."""
+
+from __future__ import annotations
+
+from xxhash import xxh3_64_hexdigest
+
+from rainpick.publish.payloads import (
+    Change,
+    DirectorMessage,
+    FaultCause,
+    ProxyAssignment,
+    RouteAdmission,
+    ServerWeight,
+    SyncFault,
+    Whole,
+)
+
+
+def canonical_digest(weights: dict[str, int]) -> str:
+    """Return the digest of a table by server address, from the same canonical form as the director's."""
+    rows = sorted(f"{server} {weight}\n" for server, weight in weights.items())
+    return xxh3_64_hexdigest("".join(rows).encode())
+
+
+class TableFollower:
+    """What a proxy holds of its table, brought up to date message by message.
+
+    ``lines`` is the weight by server address, 0 for a withdrawn server. A follower is in sync until a delta
+    does not fit or a digest differs. It reports that once and keeps its entries until the next snapshot;
+    meanwhile it applies only the withdrawals of deltas.
+    """
+
+    def __init__(self, lines: dict[str, int] | None = None):
+        self.lines: dict[str, int] = dict(lines or {})
+        self.epoch = ""
+        self.table: int | None = None
+        self.version = 0
+        self.digest = ""
+        self.awaiting_snapshot = False
+        self.admissions: tuple[RouteAdmission, ...] = ()
+
+    def apply(self, message: DirectorMessage) -> SyncFault | None:
+        """Apply a message; return what to report to the director if it can't be applied."""
+        if isinstance(message, ProxyAssignment):
+            return self._apply_assignment(message)
+        if message.table != self.table or message.epoch != self.epoch:
+            return None  # of a table that it is not assigned to
+        if isinstance(message, Whole):
+            return self._apply_snapshot(message)
+        return self._apply_delta(message)
+
+    def report_fault(self, cause: FaultCause) -> SyncFault | None:
+        """Wait for a snapshot from here on; return the report, None if it has been made before."""
+        if self.awaiting_snapshot:
+            return None
+        self.awaiting_snapshot = True
+        return SyncFault(cause, self.epoch, self.table, self.version)
+
+    def available_servers(self) -> dict[str, int]:
+        """Return the weights of the servers that may be picked."""
+        return {server: weight for server, weight in self.lines.items() if weight}
+
+    def _apply_assignment(self, assignment: ProxyAssignment) -> SyncFault | None:
+        self.admissions = assignment.admissions
+        if assignment.epoch != self.epoch or assignment.table != self.table:
+            self.epoch = assignment.epoch
+            self.table = assignment.table
+            self.version = 0
+            self.awaiting_snapshot = False
+        if assignment.table is None:
+            held = [entry for entry in assignment.updated if entry.server in self.lines]
+            self.lines.update(_by_server(held))
+            return None
+        if assignment.table_update is None:
+            return None
+        return self.apply(assignment.table_update)
+
+    def _apply_snapshot(self, snapshot: Whole) -> SyncFault | None:
+        if snapshot.version < self.version and not self.awaiting_snapshot:
+            return None  # older than what it holds
+        weights = _by_server(snapshot.lines)
+        if canonical_digest(weights) != snapshot.digest:
+            return self.report_fault("digest")
+        self._replace_entries(weights, snapshot)
+        self.awaiting_snapshot = False
+        return None
+
+    def _apply_delta(self, delta: Change) -> SyncFault | None:
+        if self.awaiting_snapshot:
+            self._apply_withdrawals(delta)
+            return None
+        if delta.version <= self.version:
+            return None  # a duplicate, or overtaken by a newer one
+        if delta.base_version != self.version:
+            self._apply_withdrawals(delta)
+            return self.report_fault("gap")
+        removed = frozenset(delta.removed)
+        weights = {server: weight for server, weight in self.lines.items() if server not in removed}
+        weights |= _by_server(delta.updated)
+        if canonical_digest(weights) != delta.digest:
+            self._apply_withdrawals(delta)
+            return self.report_fault("digest")
+        self._replace_entries(weights, delta)
+        return None
+
+    def _replace_entries(self, weights: dict[str, int], update: Whole | Change) -> None:
+        self.lines = weights
+        self.version = update.version
+        self.digest = update.digest
+
+    def _apply_withdrawals(self, delta: Change) -> None:
+        """Withdraw servers even if the delta does not fit, since a newer version does not use them."""
+        for server in delta.removed:
+            self.lines.pop(server, None)
+        for entry in delta.updated:
+            if not entry.weight and entry.server in self.lines:
+                self.lines[entry.server] = 0
+
+    # Former names, for callers that have not been renamed
+    take = apply
+    trouble = report_fault
+    open_lines = available_servers
+
+
+def _by_server(entries: list[ServerWeight] | tuple[ServerWeight, ...]) -> dict[str, int]:
+    return {entry.server: entry.weight for entry in entries}
--- a/rainpick/publish/payloads.py
+++ b/rainpick/publish/payloads.py
@@ -1,6 +1,7 @@
-"""The payloads of the publish-subscribe front, with their schema. JSON, in the words of the project.
+"""JSON payloads of the MQTT front, their encoding and their JSON Schema.
 
-``docs/tables.md`` says what a proxy does with each; ``schema`` gives the JSON Schema that is published there.
+``docs/tables.md`` says what a proxy does with each. The names in the JSON are part of the protocol: where an
+attribute has another name here, ``field(name=...)`` keeps that of the protocol.
 """
 
 from __future__ import annotations
@@ -8,161 +9,252 @@
 from typing import Annotated, Any, Literal
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
-ROOT = "rainpick/v1"
-Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[^/+#\x00]+$")]
-Place = Annotated[str, Meta(min_length=3, max_length=261)]
-Number = Annotated[int, Meta(ge=0, le=65_535)]
-Count = Annotated[int, Meta(ge=0, le=1 << 40)]
-Retry = Literal["never", "on_proof", "any_failure", "any_failure_twice"]
-RETRIES: tuple[Retry, ...] = ("never", "on_proof", "any_failure", "any_failure_twice")
+from rainpick.publish.topics import TOPIC_ROOT, assignment_topic, proxy_topic
+from rainpick.publish.topics import (
+    table_topic as table_topic,
+)  # re-exported for callers that have it from here
+
+RouteName = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[^/+#\x00]+$")]
+Address = Annotated[str, Meta(min_length=3, max_length=261)]  # HOST:PORT
+UInt16 = Annotated[int, Meta(ge=0, le=65_535)]
+Counter = Annotated[int, Meta(ge=0, le=1 << 40)]
+TimestampNs = Annotated[int, Meta(gt=0, lt=1 << 62)]
+RetryPolicy = Literal["never", "on_proof", "any_failure", "any_failure_twice"]
+RETRY_POLICIES: tuple[RetryPolicy, ...] = ("never", "on_proof", "any_failure", "any_failure_twice")
+Outcome = Literal["answered", "dropped", "throttled"]
+FaultCause = Literal["gap", "digest", "epoch"]
+
+MAX_PORT = 65_535
 
 
 class PayloadError(ValueError):
-    """A payload that is not what its schema says; the text names the place in it."""
+    """A payload does not match the schema; the message names the position in it."""
 
 
-class Line(Struct, array_like=True, frozen=True):
-    """A server and its weight; 0: shut out, though it stands in the table."""
+class ServerWeight(Struct, array_like=True, frozen=True):
+    """A server and its weight; 0 means that it is withdrawn, though it is an entry of the table."""
 
-    server: Place
-    weight: Number
+    server: Address
+    weight: UInt16
 
 
 class Whole(Struct, tag="whole", tag_field="kind", frozen=True):
-    """A version of a table from the first line to the last."""
+    """Snapshot of one version of a table; ``digest`` is that of its canonical form."""
 
     epoch: str
-    table: Number
-    version: Count
+    table: UInt16
+    version: Counter
     digest: str
-    lines: tuple[Line, ...]
+    lines: tuple[ServerWeight, ...]
 
 
 class Change(Struct, tag="change", tag_field="kind", frozen=True):
-    """From one version of a table to another: lines that are new or other, servers that are out."""
+    """Delta between two versions of a table: new or changed entries, and servers that are removed."""
 
     epoch: str
-    table: Number
-    base: Count
-    version: Count
+    table: UInt16
+    base_version: Counter = field(name="base")
+    version: Counter
     digest: str
-    set: tuple[Line, ...] = ()
-    out: tuple[Place, ...] = ()
+    updated: tuple[ServerWeight, ...] = field(default=(), name="set")
+    removed: tuple[Address, ...] = field(default=(), name="out")
+
+    # Former names, for callers that have not been renamed
+    base = property(lambda self: self.base_version)
+    set = property(lambda self: self.updated)
+    out = property(lambda self: self.removed)
 
 
-class Level(Struct, frozen=True):
-    """How much of a route is let in (by ``proxies.admit``), and when another server is tried."""
+class RouteAdmission(Struct, frozen=True):
+    """The admitted share of a route's requests (by ``proxies.admit``), and when another server is tried."""
 
-    route: Name
-    level: float
-    retry: Retry
+    route: RouteName
+    rate: float = field(name="level")
+    retry_policy: RetryPolicy = field(name="retry")
 
+    # Former names, for callers that have not been renamed
+    level = property(lambda self: self.rate)
+    retry = property(lambda self: self.retry_policy)
 
-class Orders(Struct, tag="orders", tag_field="kind", frozen=True):
-    """For one proxy alone: its table (null: it keeps what it has), its levels, and the way to its table.
 
-    Without a table ``set`` and ``out`` are withdrawals from, and returns to, what it holds from before.
+class ProxyAssignment(Struct, tag="orders", tag_field="kind", frozen=True):
+    """For one proxy alone: its table (null: it keeps what it has), its admission rates, its table's update.
+
+    Without a table ``updated`` and ``removed`` are withdrawals from, and returns to, what the proxy holds
+    from before.
     """
 
     epoch: str
-    table: Number | None
-    levels: tuple[Level, ...] = ()
-    part: Whole | Change | None = None
-    set: tuple[Line, ...] = ()
-    out: tuple[Place, ...] = ()
+    table: UInt16 | None
+    admissions: tuple[RouteAdmission, ...] = field(default=(), name="levels")
+    table_update: Whole | Change | None = field(default=None, name="part")
+    updated: tuple[ServerWeight, ...] = field(default=(), name="set")
+    removed: tuple[Address, ...] = field(default=(), name="out")
+
+    # Former names, for callers that have not been renamed
+    levels = property(lambda self: self.admissions)
+    part = property(lambda self: self.table_update)
+    set = property(lambda self: self.updated)
+    out = property(lambda self: self.removed)
 
 
 class Presence(Struct, tag="presence", tag_field="kind", frozen=True):
-    """A proxy is here; what it holds: a version of a table, or servers of unknown weight."""
+    """A proxy joins or leaves, and what it holds: a version of a table, or servers of unknown weight."""
 
     state: Literal["here", "gone"]
     epoch: str = ""
-    table: Number | None = None
-    version: Count = 0
+    table: UInt16 | None = None
+    version: Counter = 0
     digest: str = ""
-    holds: Annotated[tuple[Place, ...], Meta(max_length=10_000)] = ()
+    servers: Annotated[tuple[Address, ...], Meta(max_length=10_000)] = field(default=(), name="holds")
 
+    # Former name, for callers that have not been renamed
+    holds = property(lambda self: self.servers)
 
-class Trouble(Struct, tag="trouble", tag_field="kind", frozen=True):
-    """A proxy can't follow: a change did not fit, or ended in another digest."""
 
-    why: Literal["gap", "digest", "epoch"]
+class SyncFault(Struct, tag="trouble", tag_field="kind", frozen=True):
+    """A proxy can't follow its table: a version is missing, or the digests differ. It needs a snapshot."""
+
+    cause: FaultCause = field(name="why")
     epoch: str = ""
-    table: Number | None = None
-    version: Count = 0
+    table: UInt16 | None = None
+    version: Counter = 0
+
+    # Former name, for callers that have not been renamed
+    why = property(lambda self: self.cause)
+
+
+class ServerAttempts(Struct, array_like=True, frozen=True):
+    """Attempts at one server with the same outcome, and how many seconds they took together."""
+
+    server: Address
+    outcome: Outcome
+    count: Counter
+    total_s: Annotated[float, Meta(ge=0, le=1e12)]
 
+    # Former name, for callers that have not been renamed
+    seconds = property(lambda self: self.total_s)
 
-class Tries(Struct, array_like=True, frozen=True):
-    server: Place
-    outcome: Literal["answered", "dropped", "throttled"]
-    count: Count
-    seconds: Annotated[float, Meta(ge=0, le=1e12)]
 
+class RouteRequests(Struct, array_like=True, frozen=True):
+    """Requests of clients to one route with the same outcome."""
 
-class Came(Struct, array_like=True, frozen=True):
-    route: Name
-    outcome: Literal["answered", "dropped", "throttled"]
-    count: Count
+    route: RouteName
+    outcome: Outcome
+    count: Counter
 
 
-class Met(Struct, tag="met", tag_field="kind", frozen=True):
-    """What a proxy met in a period; times are nanoseconds of its clock."""
+class LoadReport(Struct, tag="met", tag_field="kind", frozen=True):
+    """What a proxy measured in a period; times are nanoseconds of its clock."""
 
-    start_ns: Annotated[int, Meta(gt=0, lt=1 << 62)]
-    end_ns: Annotated[int, Meta(gt=0, lt=1 << 62)]
-    tries: Annotated[tuple[Tries, ...], Meta(max_length=10_000)] = ()
-    calls: Annotated[tuple[Came, ...], Meta(max_length=1_000)] = ()
+    start_ns: TimestampNs
+    end_ns: TimestampNs
+    tries: Annotated[tuple[ServerAttempts, ...], Meta(max_length=10_000)] = ()
+    calls: Annotated[tuple[RouteRequests, ...], Meta(max_length=1_000)] = ()
 
 
-Down = Whole | Change | Orders
-Up = Presence | Trouble | Met
+TableUpdate = Whole | Change
+DirectorMessage = Whole | Change | ProxyAssignment
+ProxyMessage = Presence | SyncFault | LoadReport
+
 encode = msgspec.json.Encoder().encode
-_down, _up = msgspec.json.Decoder(Down), msgspec.json.Decoder(Up)
+_director_decoder = msgspec.json.Decoder(DirectorMessage)
+_proxy_decoder = msgspec.json.Decoder(ProxyMessage)
 
 
-def read_up(data: bytes) -> Up:
-    """What a proxy says."""
+def decode_proxy_message(data: bytes) -> ProxyMessage:
+    """Decode what a proxy published; ``PayloadError`` if it does not match the schema."""
     try:
-        return _up.decode(data)
-    except (msgspec.MsgspecError, RecursionError) as flaw:
-        raise PayloadError(str(flaw)) from None
+        return _proxy_decoder.decode(data)
+    except (msgspec.MsgspecError, RecursionError) as error:
+        raise PayloadError(str(error)) from None
 
 
-def read_down(data: bytes) -> Down:
-    """What a director says."""
+def decode_director_message(data: bytes) -> DirectorMessage:
+    """Decode what a director published; ``PayloadError`` if it does not match the schema."""
     try:
-        return _down.decode(data)
-    except (msgspec.MsgspecError, RecursionError) as flaw:
-        raise PayloadError(str(flaw)) from None
-
+        return _director_decoder.decode(data)
+    except (msgspec.MsgspecError, RecursionError) as error:
+        raise PayloadError(str(error)) from None
 
-def schema() -> dict[str, Any]:
-    """JSON Schema of all payloads."""
-    (down, up), parts = msgspec.json.schema_components([Down, Up], ref_template="#/$defs/{name}")
-    return {"$defs": parts, "down": down, "up": up}
 
+def format_address(key: tuple[str, int]) -> str:
+    """Return the address of a server as it is in payloads.
 
-def place(key: tuple[str, int]) -> str:
+    >>> format_address(("127.0.0.1", 9001))
+    '127.0.0.1:9001'
+    """
     return f"{key[0]}:{key[1]}"
 
 
-def key(text: str) -> tuple[str, int]:
-    """``HOST:PORT``; ``PayloadError`` for anything else."""
-    host, colon, port = text.rpartition(":")
-    if not host or not colon or not port.isdecimal() or int(port) > 65_535:
-        raise PayloadError(f"{text!r} is not HOST:PORT")
-    return host, int(port)
+def parse_address(address: str) -> tuple[str, int]:
+    """Return host and port of ``HOST:PORT``; ``PayloadError`` for anything else.
 
-
-def orders_topic(uid: str) -> str:
-    return f"{ROOT}/proxy/{uid}/orders"
+    >>> parse_address("127.0.0.1:9001")
+    ('127.0.0.1', 9001)
+    """
+    host, colon, port = address.rpartition(":")
+    if not host or not colon or not port.isdecimal() or int(port) > MAX_PORT:
+        raise PayloadError(f"{address!r} is not HOST:PORT")
+    return host, int(port)
 
 
-def table_topic(table: int) -> str:
-    return f"{ROOT}/table/{table}"
+_REFERENCE_PREFIX = "#/$defs/"
+# Names of types in the published schema. Authors of proxies may refer to them, so they stay.
+_SCHEMA_NAMES = {
+    "ServerWeight": "Line",
+    "RouteAdmission": "Level",
+    "ProxyAssignment": "Orders",
+    "SyncFault": "Trouble",
+    "ServerAttempts": "Tries",
+    "RouteRequests": "Came",
+    "LoadReport": "Met",
+}
 
 
-def up_topic(uid: str, what: str) -> str:
-    return f"{ROOT}/proxy/{uid}/{what}"
+def schema() -> dict[str, Any]:
+    """Return the JSON Schema of all payloads: ``down`` from the director, ``up`` from a proxy."""
+    (director, proxy), definitions = msgspec.json.schema_components(
+        [DirectorMessage, ProxyMessage], ref_template=_REFERENCE_PREFIX + "{name}"
+    )
+    return {
+        "$defs": {_schema_name(name): _renamed(definition) for name, definition in definitions.items()},
+        "down": _renamed(director),
+        "up": _renamed(proxy),
+    }
+
+
+def _renamed(node: Any) -> Any:
+    """Replace the names of types in references and titles, at any depth of a schema."""
+    if isinstance(node, dict):
+        return {name: _renamed(value) for name, value in node.items()}
+    if isinstance(node, list):
+        return [_renamed(item) for item in node]
+    return _schema_name(node) if isinstance(node, str) else node
+
+
+def _schema_name(text: str) -> str:
+    prefix = _REFERENCE_PREFIX if text.startswith(_REFERENCE_PREFIX) else ""
+    name = text.removeprefix(prefix)
+    return prefix + _SCHEMA_NAMES.get(name, name)
+
+
+# Former names, for callers that have not been renamed
+Line = ServerWeight
+Level = RouteAdmission
+Orders = ProxyAssignment
+Trouble = SyncFault
+Tries = ServerAttempts
+Came = RouteRequests
+Met = LoadReport
+Up = ProxyMessage
+RETRIES = RETRY_POLICIES
+ROOT = TOPIC_ROOT
+read_up = decode_proxy_message
+read_down = decode_director_message
+place = format_address
+key = parse_address
+orders_topic = assignment_topic
+up_topic = proxy_topic
--- /dev/null
+++ b/rainpick/publish/table_updates.py
@@ -0,0 +1,79 @@
+"""The director's side: from the version of a table that a subscriber holds to the newest one.
+
+A subscriber that is behind is sent a single update, whatever it missed: a delta where that is shorter, else a
+snapshot.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from typing import NamedTuple
+
+from rainpick.director.tables import Line, Snapshot, Way
+from rainpick.publish.payloads import Change, ServerWeight, TableUpdate, Whole, encode, format_address
+
+MAX_SHARED_UPDATES = 256
+
+
+class EncodedUpdate(NamedTuple):
+    """A table update and its bytes."""
+
+    update: TableUpdate
+    payload: bytes
+
+
+class TableUpdateEncoder:
+    """Makes and encodes table updates, once for all subscribers that need the same one."""
+
+    def __init__(self, epoch: str):
+        self.epoch = epoch
+        # By table, base (None for a snapshot) and newest version, which have the identity of their objects.
+        self._shared: OrderedDict[tuple[int, Snapshot | None, Snapshot], EncodedUpdate] = OrderedDict()
+
+    def update(self, table: int, held: Snapshot | None, newest: Snapshot) -> EncodedUpdate:
+        """Return the update for a subscriber that holds ``held``; None stands for nothing that is known."""
+        is_base = held is not None and held.known and held.table == table
+        base = held if is_base else None
+        shared_key = (table, base, newest)
+        shared = self._shared.get(shared_key)
+        if shared is not None:
+            return shared
+        update = self._shorter_update(table, base, newest)
+        encoded = EncodedUpdate(update, encode(update))
+        self._shared[shared_key] = encoded
+        if len(self._shared) > MAX_SHARED_UPDATES:
+            self._shared.popitem(last=False)
+        return encoded
+
+    def snapshot(self, table: int, newest: Snapshot) -> Whole:
+        """Return a version of a table with all its entries, those of weight 0 first."""
+        return Whole(self.epoch, table, newest.version, newest.digest, _server_weights(newest.whole()))
+
+    def delta(self, table: int, base: Snapshot, newest: Snapshot) -> Change:
+        """Return the difference between two versions of a table, withdrawals first."""
+        way = base.to(newest)
+        updated = _server_weights([line for line in way.lines if line.server in newest.lines])
+        removed = tuple([format_address(line.server) for line in way.shut if line.server not in newest.lines])
+        return Change(self.epoch, table, base.version, newest.version, newest.digest, updated, removed)
+
+    def unbound_weights(self, way: Way) -> tuple[ServerWeight, ...]:
+        """Return withdrawals and returns for a proxy without a table."""
+        return _server_weights(way.lines)
+
+    def _shorter_update(self, table: int, base: Snapshot | None, newest: Snapshot) -> TableUpdate:
+        if base is not None:
+            delta = self.delta(table, base, newest)
+            if len(delta.updated) + len(delta.removed) < len(newest.lines):
+                return delta
+        return self.snapshot(table, newest)
+
+    # Former names, for callers that have not been renamed
+    part = update
+
+    def loose(self, way: Way) -> tuple[tuple[ServerWeight, ...], tuple[str, ...]]:
+        """Return ``unbound_weights`` in their former shape."""
+        return self.unbound_weights(way), ()
+
+
+def _server_weights(lines: list[Line] | tuple[Line, ...]) -> tuple[ServerWeight, ...]:
+    return tuple([ServerWeight(format_address(line.server), line.weight) for line in lines])
--- a/tests/compat/operations_mqtt.py
+++ b/tests/compat/operations_mqtt.py
@@ -1,14 +1,14 @@
 """What the publish-subscribe front reads and writes today: packets, payloads, topics."""
 
 from rainpick.mqtt import codec
-from rainpick.publish import payloads
+from rainpick.publish import payloads, topics
 
 NOT_ON_THE_WIRE = ("title", "description")  # of a schema: names and texts of the program's types
 
 
 def packets(data):
     """All packets of a stream."""
-    framer, found = codec.Framer(1 << 16), []
+    framer, found = codec.PacketFramer(1 << 16), []
     framer.feed(data)
     while (packet := framer.next()) is not None:
         found.append(packet)
@@ -16,16 +16,16 @@
 
 
 def packet(value):
-    return codec.write(value)
+    return codec.encode_packet(value)
 
 
 def publish_head(words):
-    return codec.publish_head(*words)
+    return codec.encode_publish_header(*words)
 
 
 def properties(numbers):
     """All properties of the standard, by number, as they are written."""
-    return codec.write_properties({codec.PROPERTIES[number][0]: value for number, value in numbers.items()})
+    return codec.encode_properties({codec.PROPERTIES[number][0]: value for number, value in numbers.items()})
 
 
 def payload(value):
@@ -33,28 +33,28 @@
 
 
 def payload_up(data):
-    return payloads.read_up(data)
+    return payloads.decode_proxy_message(data)
 
 
 def payload_down(data):
-    return payloads.read_down(data)
+    return payloads.decode_director_message(data)
 
 
 def place(words):
-    return payloads.place(words)
+    return payloads.format_address(words)
 
 
 def place_read(text):
-    return payloads.key(text)
+    return payloads.parse_address(text)
 
 
-def topics(_):
+def topic_names(_):
     """Each topic: a proxy's orders, a table, what a proxy says."""
     return [
-        payloads.ROOT,
-        payloads.orders_topic("edge-1"),
-        payloads.table_topic(7),
-        payloads.up_topic("edge-1", "presence"),
+        topics.TOPIC_ROOT,
+        topics.assignment_topic("edge-1"),
+        topics.table_topic(7),
+        topics.proxy_topic("edge-1", "presence"),
     ]
 
 
@@ -86,6 +86,6 @@
     "payload down": payload_down,
     "place": place,
     "place read": place_read,
-    "topics": topics,
+    "topics": topic_names,
 }
 ERRORS = {codec.MqttError: "mqtt", payloads.PayloadError: "payload"}
--- /dev/null
+++ b/tests/publish/test_pins.py
@@ -0,0 +1,84 @@
+"""Pinned table versions: what of an earlier version may still be published."""
+
+import pytest
+
+from rainpick import model
+from rainpick.director.tables import Scale, Tables
+from rainpick.publish.pins import PinError, TablePins
+
+
+def server_key(number):
+    return "127.0.0.1", 9000 + number
+
+
+class PinnedFleet:
+    """Tables of four servers with pins, and what the pins ask about servers."""
+
+    def __init__(self):
+        self.tables = Tables(Scale(16.0), lambda _: 1.0)
+        self.unlisted = set()
+        self.not_warmed_up = set()
+        self.pins = TablePins(
+            lambda server: server not in self.unlisted,
+            self.tables.withdrawn.__contains__,
+            lambda server: server not in self.not_warmed_up,
+        )
+        self.tables.overlay = self.pins.overlay
+        for number in range(4):
+            self.tables.carry_out(model.SetWeight(0, server_key(number), 1.0))
+        self.first_version = self.tables.current(0)
+
+    def weights(self):
+        self.tables.snapshots.clear()
+        lines = self.tables.current(0).lines
+        return {server[1] - 9000: weight for server, (weight, _) in lines.items() if weight}
+
+
+def test_a_rollback_is_a_new_version_with_old_content_less_withdrawn_and_unlisted_servers():
+    fleet = PinnedFleet()
+    for number in range(4):
+        fleet.tables.carry_out(model.SetWeight(0, server_key(number), 2.0))
+    second = fleet.tables.current(0)
+    fleet.tables.carry_out(model.SetWithdrawn(server_key(0), True))
+    fleet.unlisted.add(server_key(1))
+    fleet.pins.pin(0, fleet.first_version, "staff", "weights of the morning", 5)
+    assert fleet.weights() == {2: 4096, 3: 4096}
+    assert fleet.tables.current(0).version > second.version
+    fleet.tables.carry_out(model.SetWeight(0, server_key(2), 0.5))
+    assert fleet.weights() == {2: 4096, 3: 4096}, "pinned"
+    fleet.pins.release(0)
+    assert fleet.weights() == {1: 8192, 2: 2048, 3: 8192}
+
+
+def test_a_pin_never_gives_a_server_that_warms_up_more_than_the_decisions_do():
+    fleet = PinnedFleet()
+    fleet.not_warmed_up.add(server_key(3))
+    fleet.tables.carry_out(model.SetWeight(0, server_key(3), 0.16))
+    fleet.pins.pin(0, fleet.first_version, "staff", "why not", 5)
+    assert fleet.weights()[3] == Scale(16.0)(0.16)
+    fleet.tables.carry_out(model.SetWeight(0, server_key(3), 0.0))
+    assert 3 not in fleet.weights()
+
+
+def test_a_pin_without_available_servers_is_idle():
+    fleet = PinnedFleet()
+    fleet.pins.pin(0, fleet.first_version, "staff", "a test", 5)
+    fleet.tables.carry_out(model.SetWeight(0, server_key(9), 1.0))
+    for number in range(4):
+        fleet.tables.carry_out(model.SetWithdrawn(server_key(number), True))
+    assert fleet.weights() == {9: 4096} and fleet.pins.idle_tables == {0}
+    fleet.tables.carry_out(model.SetWithdrawn(server_key(2), False))
+    assert fleet.weights() == {2: 4096} and not fleet.pins.idle_tables
+
+
+def test_a_table_that_can_not_be_pinned_is_an_error_with_the_reason():
+    fleet = PinnedFleet()
+    with pytest.raises(PinError, match="not kept"):
+        fleet.pins.pin(0, None, "staff", "x", 5)
+    with pytest.raises(PinError, match="must be said"):
+        fleet.pins.pin(0, fleet.first_version, "", "x", 5)
+    fleet.unlisted |= {server_key(number) for number in range(4)}
+    with pytest.raises(PinError, match="drained or gone"):
+        fleet.pins.pin(0, fleet.first_version, "staff", "x", 5)
+    with pytest.raises(PinError, match="not pinned"):
+        fleet.pins.release(0)
