--- a/rainpick/publish/payloads.py
+++ b/rainpick/publish/payloads.py
@@ -12,9 +12,7 @@
 from msgspec import Meta, Struct, field
 
 from rainpick.publish.topics import TOPIC_ROOT, assignment_topic, proxy_topic
-from rainpick.publish.topics import (
-    table_topic as table_topic,
-)  # re-exported for callers that have it from here
+from rainpick.publish.topics import table_topic as table_topic  # its former place
 
 RouteName = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[^/+#\x00]+$")]
 Address = Annotated[str, Meta(min_length=3, max_length=261)]  # HOST:PORT
