--- a/rainpick/record/recorder.py
+++ b/rainpick/record/recorder.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 import structlog
-from xxhash import xxh3_128_hexdigest
+from xxhash import xxh3_128
 
-from rainpick.decisions import director as decisions
+from rainpick import decisions
 from rainpick.record.steps import LIFE, LOST, STEP, Life, Step, write_life, write_step
 from rainpick.store import FullError, Log
 
@@ -18,8 +18,14 @@
 FLUSH_S = 0.5
 
 
-def module_digest(path: str | Path = decisions.__file__) -> str:
-    return xxh3_128_hexdigest(Path(path).read_bytes())
+def module_digest(folder: Path = Path(decisions.__file__).parent) -> str:
+    """XXH3 (128 bits, in hexadecimal) of the text of all decision modules: their names and contents."""
+    digest = xxh3_128()
+    for path in sorted(folder.rglob("*.py")):
+        text = path.read_bytes()
+        # Lengths keep apart what is a name and what a text.
+        digest.update(b"%s\0%d\0%s" % (path.relative_to(folder).as_posix().encode(), len(text), text))
+    return digest.hexdigest()
 
 
 class Recorder:
