--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -1,4 +1,4 @@
-"""Steps of records by the wall's time: several directors' on one clock, each with its place in its record."""
+"""Records of several directors on one wall clock, and load reports by the time that they cover."""
 
 from __future__ import annotations
 
@@ -8,103 +8,143 @@
 from typing import Any, NamedTuple
 
 from rainpick.decisions.director import Director
-from rainpick.record.replay import Hole, Played, Playing, lives
-from rainpick.record.steps import Life, Step
+from rainpick.record.incarnations import MissingSteps, read_incarnations
+from rainpick.record.replay import Replay, ReplayResult
+from rainpick.record.steps import Incarnation, Step
 from rainpick.store import read
 
 
 class Moment(NamedTuple):
-    """A step of one of the records. ``place``: the how many-th of its record it was written as."""
-
-    wall_us: int
-    record: int
-    place: int
-    number: int  # of the life in its record
-    life: Life
-    step: Step | Hole
-
-
-def written(folder: Path, record: int = 0) -> Iterator[Moment]:
-    """In the order of writing. A hole has the time of what was written before it."""
-    place, wall_us = 0, 0
-    for number, (life, steps) in enumerate(lives(read(folder))):
+    """A step of one of several records."""
+
+    wall_us: int  # microseconds since 1970
+    record: int  # index of the record
+    position: int  # of the step in its record, from 1, in the order of writing
+    number: int  # of the incarnation in its record, from 0
+    incarnation: Incarnation
+    step: Step | MissingSteps
+
+    @property
+    def place(self) -> int:
+        """The old name, until the other packages use the new one."""
+        return self.position
+
+    @property
+    def life(self) -> Incarnation:
+        """The old name, until the other packages use the new one."""
+        return self.incarnation
+
+
+def read_moments(folder: Path, record: int = 0) -> Iterator[Moment]:
+    """A record's steps in the order of writing. Missing steps have the time of the step before them."""
+    position, wall_us = 0, 0
+    for number, (incarnation, steps) in enumerate(read_incarnations(read(folder))):
         for step in steps:
-            place += 1
+            position += 1
             if isinstance(step, Step):
-                wall_us = step.now - life.now + life.wall_us
-            yield Moment(wall_us, record, place, number, life, step)
+                wall_us = step.now - incarnation.now + incarnation.wall_us
+            yield Moment(wall_us, record, position, number, incarnation, step)
 
 
-def together(folders: list[Path]) -> Iterator[Moment]:
-    """All records on one clock. Each keeps its own order, even where the wall's clock was set back.
+def merge_by_wall_clock(folders: list[Path]) -> Iterator[Moment]:
+    """All records on one clock. Each keeps its own order, even where the wall clock was set back.
 
-    A merge takes the least of the next moments: one that goes back comes at once, and stirs no other.
+    A merge takes the least of the next moments: one whose clock was set back comes at once, and does not
+    change the order of the others.
     """
-    streams = [written(folder, number) for number, folder in enumerate(folders)]
+    streams = [read_moments(folder, index) for index, folder in enumerate(folders)]
     return heapq.merge(*streams, key=lambda moment: moment.wall_us)
 
 
-def play_together(folders: list[Path], *how: Any, **words: Any) -> list[Played]:
-    """All lives of all records, played side by side on one clock; the rest as for ``Playing``."""
-    under_way: dict[tuple[int, int], Playing] = {}
-    for moment in together(folders):
+def replay_together(
+    folders: list[Path],
+    module: Callable[[], Director] = Director,
+    changes: dict[str, Any] | None = None,
+    replace: dict[str, Any] | None = None,
+    compare: bool = False,
+) -> list[ReplayResult]:
+    """Replay all incarnations of all records side by side; the other parameters are those of ``Replay``."""
+    replays: dict[tuple[int, int], Replay] = {}
+    for moment in merge_by_wall_clock(folders):
         key = moment.record, moment.number
-        if key not in under_way:
-            under_way[key] = Playing(moment.life, *how, **words)
-        under_way[key].take(moment.step)
-    return [under_way[key].played() for key in sorted(under_way)]
+        if key not in replays:
+            replays[key] = Replay(moment.incarnation, module, changes, replace, compare)
+        replays[key].apply(moment.step)
+    return [replays[key].result() for key in sorted(replays)]
 
 
-def reach_together(
+def replay_until(
     folders: list[Path], second: float | None, module: Callable[[], Director] = Director
-) -> list[Playing]:
-    """The lives that were under way at one moment of the wall's clock, one for each record that had begun.
+) -> list[Replay]:
+    """The incarnations that ran at one moment of the wall clock, one for each record that had begun.
 
-    ``second`` counts from the first step of all; None is the end.
+    ``second`` counts from the first step of all records; None is the end.
     """
-    begin, found = None, {}
-    for moment in together(folders):
-        begin = moment.wall_us if begin is None else begin
-        if second is not None and moment.wall_us > begin + second * 1e6:
+    begin_us: int | None = None
+    numbers: dict[int, int] = {}  # of the incarnation that runs, by record
+    replays: dict[int, Replay] = {}  # by record
+    for moment in merge_by_wall_clock(folders):
+        if begin_us is None:
+            begin_us = moment.wall_us
+        if second is not None and moment.wall_us > begin_us + second * 1e6:
             break
-        if moment.record not in found or found[moment.record][0] != moment.number:
-            found[moment.record] = moment.number, Playing(moment.life, module)
-        found[moment.record][1].take(moment.step)
-    return [found[record][1] for record in sorted(found)]
+        if numbers.get(moment.record) != moment.number:
+            numbers[moment.record] = moment.number
+            replays[moment.record] = Replay(moment.incarnation, module)
+        replays[moment.record].apply(moment.step)
+    return [replays[record] for record in sorted(replays)]
 
 
-class Late(NamedTuple):
-    """An event of a report and the time that it tells of: the span before it was heard, at the latest."""
+class TimedReport(NamedTuple):
+    """A load report and the time that it covers: it began this long ago at the latest when it came."""
 
-    heard_us: int
+    received_us: int
     began_us: int
     event: Any
 
+    @property
+    def heard_us(self) -> int:
+        """The old name, until the other packages use the new one."""
+        return self.received_us
+
+
+class OrderedReport(NamedTuple):
+    """A load report with its position by the time that it covers and by the time when it came, from 1."""
+
+    position: int
+    received_position: int
+    report: TimedReport
+
 
 def reports_by_time(
-    steps: Iterator[Step | Hole], window_us: int = 60_000_000
-) -> Iterator[tuple[int, int, Late]]:
-    """Reports by when what they tell of began: (their place by that, their place as heard, report).
+    steps: Iterator[Step | MissingSteps], window_us: int = 60_000_000
+) -> Iterator[OrderedReport]:
+    """Load reports in the order in which the intervals that they cover began.
 
-    A report tells of a span that ended before it came, so what is heard later may be of earlier. Reports that
-    come more than ``window_us`` after what they tell of keep the place at which the window let them go.
+    An interval ends before its report comes, so a report that comes later may cover an earlier one. A report
+    that comes more than ``window_us`` after its interval began is placed after those that were given out.
     """
-    heap: list[tuple[int, int, Late]] = []
-    heard, placed = 0, 0
+    heap: list[tuple[int, int, TimedReport]] = []  # by begin, then by the order of receipt
+    received = position = 0
     for step in steps:
-        if isinstance(step, Hole):
+        if isinstance(step, MissingSteps):
             continue
         for event in step.events:
-            span_us = getattr(event, "interval_us", None)
-            if span_us is None:
+            interval_us = getattr(event, "interval_us", None)
+            if interval_us is None:
                 continue
-            heard += 1
-            heapq.heappush(heap, (step.now - span_us, heard, Late(step.now, step.now - span_us, event)))
+            received += 1
+            report = TimedReport(step.now, step.now - interval_us, event)
+            heapq.heappush(heap, (report.began_us, received, report))
         while heap and heap[0][0] < step.now - window_us:
-            _, place, late = heapq.heappop(heap)
-            placed += 1
-            yield placed, place, late
+            position += 1
+            yield OrderedReport(position, *heapq.heappop(heap)[1:])
     while heap:
-        _, place, late = heapq.heappop(heap)
-        placed += 1
-        yield placed, place, late
+        position += 1
+        yield OrderedReport(position, *heapq.heappop(heap)[1:])
+
+
+# The old names, until the other packages use the new ones.
+together = merge_by_wall_clock
+play_together = replay_together
+reach_together = replay_until
--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -1,159 +1,180 @@
-"""Two streams of orders for one day side by side: what was recorded, and what would have been ordered.
+"""Two streams of orders for one day side by side: what was recorded, and what the replay ordered.
 
 The recorded reports answer the recorded orders. Once the replayed ones would have sent a good part of the
 calls to other servers, the reports no longer tell what those would have led to: from there on a replay
-shows what the module would have done with those reports, not how the day would have gone. ``Compare`` finds
-that moment.
+shows what the decisions would have done with those reports, not how the day would have gone. ``Comparison``
+finds that moment.
 """
 
 from __future__ import annotations
 
 import copy
-from collections import Counter
+from collections import defaultdict
 from typing import Any, NamedTuple
 
-from rainpick.record.view import Nearest, View, named
+from rainpick.record.series import Point, TimeSeries
+from rainpick.record.view import FleetView, LimitApproach, named
 
-PARTS = 0.2  # of the calls that go elsewhere, as a mean over the last while: from there on it no longer tells
-OVER_S = 10
-POINTS = 240  # of a series; twice as many are folded into half
+DIVERTED_MOST = 0.2  # fraction of the calls, as a mean over the last while, up to which a replay is valid
+DIVERTED_OVER_S = 10
+SAMPLE_US = 1_000_000  # proxies are sent weights some times a tick at most, so once a second is enough
+CHANGES_MOST = 12  # servers in a result
 
 
-class Series:
-    """Means over equal spans of time; spans double when there are too many, so memory stays flat."""
+class ShareChange(NamedTuple):
+    """A server whose share of the calls would have been another; shares are means over the day."""
 
-    def __init__(self, begin_us: int, span_us: int = 1_000_000):
-        self.begin_us, self.span_us = begin_us, span_us
-        self.sums: list[float] = []
-        self.counts: list[int] = []
+    server: str
+    recorded: float
+    replayed: float
 
-    def add(self, now: int, value: float) -> None:
-        place = (now - self.begin_us) // self.span_us
-        while place >= 2 * POINTS:
-            self.fold()
-            place = (now - self.begin_us) // self.span_us
-        missing = place + 1 - len(self.sums)
-        self.sums += [0.0] * missing
-        self.counts += [0] * missing
-        self.sums[place] += value
-        self.counts[place] += 1
 
-    def fold(self) -> None:
-        self.span_us *= 2
-        if len(self.sums) % 2:
-            self.sums.append(0.0)
-            self.counts.append(0)
-        self.sums = [sum(pair) for pair in zip(self.sums[::2], self.sums[1::2], strict=True)]
-        self.counts = [sum(pair) for pair in zip(self.counts[::2], self.counts[1::2], strict=True)]
+class ComparisonResult(NamedTuple):
+    """What a comparison found; pairs are (recorded, replayed).
 
-    def points(self) -> list[tuple[float, float]]:
-        """(second, mean) of the spans that hold something."""
-        return [
-            (place * self.span_us / 1e6, total / many)
-            for place, (total, many) in enumerate(zip(self.sums, self.counts, strict=True))
-            if many
-        ]
+    Seconds are from the beginning of the incarnation; shares and fractions are of the calls, 0 to 1.
+    """
 
+    counts: dict[str, tuple[int, int]]  # by the name of what was counted
+    throttled_s: tuple[float, float]
+    approaches: dict[str, tuple[LimitApproach | None, LimitApproach | None]]  # by limit
+    valid_until_s: float | None  # from here on too many calls would go elsewhere; None: valid to the end
+    diverted: float  # mean fraction that goes to other servers
+    share_changes: list[ShareChange]  # the largest first
+    diverted_series: list[Point]
+    share_series: dict[str, tuple[list[Point], list[Point]]]  # by server
 
-class Moved(NamedTuple):
-    """A server whose share of the calls would have been another."""
+    @property
+    def nearest(self) -> dict[str, tuple[LimitApproach | None, LimitApproach | None]]:
+        """The old name, until the other packages use the new one."""
+        return self.approaches
 
-    server: str
-    recorded: float  # mean over the day
-    replayed: float
+    @property
+    def tells_until_s(self) -> float | None:
+        """The old name, until the other packages use the new one."""
+        return self.valid_until_s
 
+    @property
+    def parted(self) -> float:
+        """The old name, until the other packages use the new one."""
+        return self.diverted
 
-class Compared(NamedTuple):
-    """What a comparison found. Seconds are from the beginning of the life."""
+    @property
+    def moved(self) -> list[ShareChange]:
+        """The old name, until the other packages use the new one."""
+        return self.share_changes
+
+    @property
+    def series(self) -> dict[str, tuple[list[Point], list[Point]]]:
+        """The old name, until the other packages use the new one."""
+        return self.share_series
 
-    counts: dict[str, tuple[int, int]]
-    throttled_s: tuple[float, float]
-    nearest: dict[str, tuple[Nearest | None, Nearest | None]]
-    tells_until_s: float | None  # None: to the end
-    parted: float  # mean part of the calls that go elsewhere, over the whole day
-    moved: list[Moved]
-    parting: list[tuple[float, float]]
-    series: dict[str, tuple[list, list]]  # by server: its share over time, recorded and replayed
 
+class Comparison:
+    """Compares the orders of a day step by step; memory does not grow with its length.
 
-class Compare:
-    """Takes a day step by step; memory does not grow with its length."""
+    ``recorded`` and ``replayed`` are the settings of the two sides, by the decisions' names.
+    """
 
     def __init__(self, begin_us: int, recorded: dict[str, Any], replayed: dict[str, Any]):
         self.begin_us = begin_us
-        one = View(recorded)
-        # One view serves for both until they part: most days are played to see that they do not.
-        self.sides = one, one if recorded == replayed else View(replayed)
-        self.looked_us = begin_us
-        self.parting = Series(begin_us)
-        self.lately: list[float] = []
-        self.shares: dict[Any, tuple[Series, Series]] = {}
-        self.means: tuple[Counter, Counter] = Counter(), Counter()
-        self.looks, self.apart = 0, 0.0
-        self.tells_until_us: int | None = None
-
-    def take(self, now: int, events: list, recorded: list, replayed: list) -> None:
-        one, other = self.sides
-        if one is other and list(replayed) != list(recorded):
-            other = copy.deepcopy(one)
-            self.sides = one, other
-        one.hear(now, events)
-        one.take(now, recorded)
-        if other is not one:
-            other.hear(now, events)
-            other.take(now, replayed)
-        # Once a second is enough: proxies are told weights some times a tick at most.
-        if now - self.looked_us >= 1_000_000:
-            self.look(now)
-
-    def look(self, now: int) -> None:
-        self.looked_us = now
-        old = self.sides[0].shares()
-        new = old if self.sides[0] is self.sides[1] else self.sides[1].shares()
-        every = dict.fromkeys((*old, *new))  # not a set: sums must not hang on a hash seed
-        apart = sum(abs(old.get(server, 0.0) - new.get(server, 0.0)) for server in every) / 2
-        self.looks, self.apart = self.looks + 1, self.apart + apart
-        self.parting.add(now, apart)
-        self.lately = [*self.lately[-OVER_S + 1 :], apart]
-        if self.tells_until_us is None and sum(self.lately) / OVER_S > PARTS:
-            self.tells_until_us = now
-        for server in every:
-            pair = self.shares.setdefault(server, (Series(self.begin_us), Series(self.begin_us)))
-            for side, share in enumerate((old.get(server, 0.0), new.get(server, 0.0))):
-                pair[side].add(now, share)
-                self.means[side][server] += share
-
-    def result(self, most: int = 12) -> Compared:
-        """``most``: so many servers, those whose share moved most."""
-        old, new = self.sides
-        looks = max(1, self.looks)
-        moved = [
-            Moved(named(server), self.means[0][server] / looks, self.means[1][server] / looks)
-            for server in self.shares
-        ]
-        distance = {
-            named(server): sum(
-                abs(one[1] - two[1]) for one, two in zip(*(each.points() for each in pair), strict=False)
+        view = FleetView(recorded)
+        # One view serves for both until they differ: most days are replayed to see that they do not.
+        self.views = view, view if recorded == replayed else FleetView(replayed)
+        self.sampled_us = begin_us
+        self.samples = 0
+        self.diverted_sum = 0.0
+        self.diverted_series = TimeSeries(begin_us)
+        self.latest_diverted: list[float] = []  # of the last samples
+        self.share_series: dict[Any, tuple[TimeSeries, TimeSeries]] = {}  # by server
+        # Sums of the sampled shares, by server.
+        self.share_sums: tuple[dict[Any, float], dict[Any, float]] = defaultdict(float), defaultdict(float)
+        self.valid_until_us: int | None = None
+
+    def apply(self, now: int, events: list[Any], recorded: list[Any], replayed: list[Any]) -> None:
+        """Follow one step: its events, and the orders of both sides."""
+        recorded_view, replayed_view = self.views
+        if recorded_view is replayed_view and list(replayed) != list(recorded):
+            replayed_view = copy.deepcopy(recorded_view)
+            self.views = recorded_view, replayed_view
+        recorded_view.apply_events(now, events)
+        recorded_view.apply_orders(now, recorded)
+        if replayed_view is not recorded_view:
+            replayed_view.apply_events(now, events)
+            replayed_view.apply_orders(now, replayed)
+        if now - self.sampled_us >= SAMPLE_US:
+            self.sample(now)
+
+    def sample(self, now: int) -> None:
+        """Add the shares of the calls at this moment to the series."""
+        self.sampled_us = now
+        recorded_view, replayed_view = self.views
+        recorded = recorded_view.shares()
+        replayed = recorded if recorded_view is replayed_view else replayed_view.shares()
+        servers = dict.fromkeys((*recorded, *replayed))  # not a set: sums must not depend on a hash seed
+        self.add_diverted(
+            now,
+            sum(abs(recorded.get(server, 0.0) - replayed.get(server, 0.0)) for server in servers) / 2,
+        )
+        for server in servers:
+            series = self.share_series.setdefault(
+                server, (TimeSeries(self.begin_us), TimeSeries(self.begin_us))
             )
-            for server, pair in self.shares.items()
-        }
-        moved.sort(key=lambda row: (-distance[row.server], row.server))
-        chosen = {row.server for row in moved[:most] if distance[row.server] > 1e-9}
-        until = self.tells_until_us
-        return Compared(
-            {name: (old.counts[name], new.counts[name]) for name in sorted(old.counts | new.counts)},
-            (old.throttled_us / 1e6, new.throttled_us / 1e6),
+            for side, shares in enumerate((recorded, replayed)):
+                share = shares.get(server, 0.0)
+                series[side].add(now, share)
+                self.share_sums[side][server] += share
+
+    def add_diverted(self, now: int, diverted: float) -> None:
+        """Note which fraction of the calls goes elsewhere, and when the mean of it is too much."""
+        self.samples += 1
+        self.diverted_sum += diverted
+        self.diverted_series.add(now, diverted)
+        self.latest_diverted = [*self.latest_diverted[-DIVERTED_OVER_S + 1 :], diverted]
+        if self.valid_until_us is None and sum(self.latest_diverted) / DIVERTED_OVER_S > DIVERTED_MOST:
+            self.valid_until_us = now
+
+    def result(self, most: int = CHANGES_MOST) -> ComparisonResult:
+        """The result up to now, with ``most`` servers: those whose share changed most."""
+        recorded, replayed = self.views
+        share_changes = self.share_changes(most)
+        servers = {change.server for change in share_changes}
+        until = self.valid_until_us
+        return ComparisonResult(
+            {
+                name: (recorded.counts[name], replayed.counts[name])
+                for name in sorted(recorded.counts | replayed.counts)
+            },
+            (recorded.throttled_us / 1e6, replayed.throttled_us / 1e6),
             {
-                name: (old.nearest.get(name), new.nearest.get(name))
-                for name in sorted(old.nearest.keys() | new.nearest.keys())
+                limit: (recorded.approaches.get(limit), replayed.approaches.get(limit))
+                for limit in sorted(recorded.approaches.keys() | replayed.approaches.keys())
             },
             None if until is None else (until - self.begin_us) / 1e6,
-            self.apart / looks,
-            [row for row in moved if row.server in chosen],
-            self.parting.points(),
+            self.diverted_sum / max(1, self.samples),
+            share_changes,
+            self.diverted_series.points(),
             {
-                named(server): (pair[0].points(), pair[1].points())
-                for server, pair in self.shares.items()
-                if named(server) in chosen
+                named(server): (series[0].points(), series[1].points())
+                for server, series in self.share_series.items()
+                if named(server) in servers
             },
         )
+
+    def share_changes(self, most: int) -> list[ShareChange]:
+        """The servers whose share changed most, those first; none whose share is the same."""
+        samples = max(1, self.samples)
+        recorded_sums, replayed_sums = self.share_sums
+        distances: dict[str, float] = {}
+        changes = []
+        for server, (recorded, replayed) in self.share_series.items():
+            name = named(server)
+            distances[name] = sum(
+                abs(one[1] - other[1])
+                for one, other in zip(recorded.points(), replayed.points(), strict=False)
+            )
+            changes.append(
+                ShareChange(name, recorded_sums[server] / samples, replayed_sums[server] / samples)
+            )
+        changes.sort(key=lambda change: (-distances[change.server], change.server))
+        return [change for change in changes[:most] if distances[change.server] > 1e-9]
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -10,8 +10,11 @@
 import pygal
 from pygal.style import Style
 
-from rainpick.record.replay import Played
+from rainpick.record.compare import ComparisonResult, ShareChange
+from rainpick.record.replay import Difference, ReplayResult
 from rainpick.record.schema import describe
+from rainpick.record.series import Point
+from rainpick.record.view import LimitApproach
 
 STYLE = Style(
     background="transparent",
@@ -19,7 +22,8 @@
     font_family="sans-serif",
     colors=("#7a7a7a", "#c0392b", "#2471a3", "#229954", "#b9770e", "#7d3c98"),
 )
-CHARTS = 8  # servers that get one
+CHARTS_MOST = 8  # servers that get one
+ORDERS_MOST = 8  # events or orders that are listed of a step
 TEMPLATES = jinja2.Environment(autoescape=True, trim_blocks=True, lstrip_blocks=True)
 PAGE = TEMPLATES.from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
@@ -33,36 +37,36 @@
 figcaption { font-weight: bold }
 </style></head><body>
 <h1>{{ title }}</h1>
-{% for one in lives %}
-<h2>Director {{ one.life.director }}, from {{ one.begun }}</h2>
-{% if not one.differing %}
-<p class="good">{{ one.steps }} steps played again: every one of {{ one.orders }} orders is the same.</p>
+{% for run in replays %}
+<h2>Director {{ run.director }}, from {{ run.begun }}</h2>
+{% if not run.differing %}
+<p class="good">{{ run.steps }} steps played again: every one of {{ run.orders }} orders is the same.</p>
 {% else %}
-<p class="bad">{{ one.differing }} of {{ one.steps }} steps have other orders,
-the first at {{ one.first_s }} s.</p>
+<p class="bad">{{ run.differing }} of {{ run.steps }} steps have other orders,
+the first at {{ run.first_s }} s.</p>
 {% endif %}
-{% if one.hole %}<p class="bad">Not to the end: {{ one.hole }}.</p>{% endif %}
-{% if one.told %}
-<p>In the mean {{ one.parted }} of the calls would go to other servers.
-{% if one.until is none %}It stays so small that the recorded reports tell of both.
-{% else %}<b>From {{ one.until }} s on it is too much for the recorded reports to tell how the day
+{% if run.missing %}<p class="bad">Not to the end: {{ run.missing }}.</p>{% endif %}
+{% if run.compared %}
+<p>In the mean {{ run.diverted }} of the calls would go to other servers.
+{% if run.valid_until is none %}It stays so small that the recorded reports tell of both.
+{% else %}<b>From {{ run.valid_until }} s on it is too much for the recorded reports to tell how the day
 would have gone</b>: they answer the recorded orders. After that the page shows what the module makes of
 those reports, no more.{% endif %}</p>
 <table><tr><th></th><th>recorded</th><th>replayed</th></tr>
-{% for name, old, new in one.counts %}
+{% for name, old, new in run.counts %}
 <tr><td>{{ name }}</td><td class="n">{{ old }}</td><td class="n">{{ new }}</td></tr>
 {% endfor %}</table>
 <h3>Nearest to a limit</h3>
 <table><tr><th>limit</th><th>recorded</th><th>replayed</th></tr>
-{% for name, old, new in one.nearest %}
+{% for name, old, new in run.approaches %}
 <tr><td>{{ name }}</td><td>{{ old }}</td><td>{{ new }}</td></tr>
 {% endfor %}</table>
-{% if one.first %}
+{% if run.first %}
 <h3>Where they part</h3>
-<pre>{% for word, rows in one.first %}{% for row in rows %}{{ word }}: {{ row }}
+<pre>{% for title, rows in run.first %}{% for row in rows %}{{ title }}: {{ row }}
 {% endfor %}{% endfor %}</pre>
 {% endif %}
-{% for name, svg in one.charts %}
+{% for name, svg in run.charts %}
 <figure><figcaption>{{ name }}</figcaption>{{ svg|safe }}</figure>
 {% endfor %}
 {% endif %}
@@ -71,14 +75,15 @@
 """)
 
 
-def chart(lines: list[tuple[str, list[tuple[float, float]]]], title_y: str, mark: float | None = None) -> str:
+def chart(lines: list[tuple[str, list[Point]]], y_title: str, valid_until_s: float | None = None) -> str:
+    """An SVG of some lines over the seconds; a dashed line marks the second until which a replay is valid."""
     figure = pygal.XY(
         style=STYLE,
         show_dots=False,
         height=260,
         width=520,
         x_title="second",
-        y_title=title_y,
+        y_title=y_title,
         legend_at_bottom=True,
         js=(),
         explicit_size=False,
@@ -87,10 +92,12 @@
     )
     for name, points in lines:
         figure.add(name, points)
-    if mark is not None:
+    if valid_until_s is not None:
         top = max((value for _, points in lines for _, value in points), default=1.0)
-        figure.add("tells until", [(mark, 0), (mark, top)], stroke_style={"dasharray": "4, 4"})
-    # The library writes its settings as a script, for tooltips that we do not load.
+        figure.add(
+            "tells until", [(valid_until_s, 0), (valid_until_s, top)], stroke_style={"dasharray": "4, 4"}
+        )
+    # The library writes its settings as a script, for tooltips that are not loaded.
     return re.sub(
         r"<script.*?</script>",
         "",
@@ -99,64 +106,87 @@
     )
 
 
-def near(found: Any, begin: int) -> str:
-    return "-" if found is None else f"{found.part:.0%} at {(found.at_us - begin) / 1e6:.1f} s ({found.who})"
+def charts(compared: ComparisonResult) -> list[tuple[str, str]]:
+    """Title and SVG of each chart."""
+    until_s = compared.valid_until_s
 
+    def share_chart(change: ShareChange) -> str:
+        recorded, replayed = compared.share_series[change.server]
+        return chart([("recorded", recorded), ("replayed", replayed)], "share", until_s)
 
-def one_life(one: Played) -> dict[str, Any]:
-    begun = datetime.fromtimestamp(one.life.wall_us / 1e6, UTC).isoformat(sep=" ", timespec="seconds")
-    found: dict[str, Any] = {
-        "life": one.life,
+    diverted = chart([("part of calls", compared.diverted_series)], "part", until_s)
+    return [
+        ("Calls that would go elsewhere", diverted),
+        *(
+            (f"{change.server}: its share of the calls", share_chart(change))
+            for change in compared.share_changes[:CHARTS_MOST]
+        ),
+    ]
+
+
+def approach_text(approach: LimitApproach | None, begin_us: int) -> str:
+    """How near a limit was, when, and who was there."""
+    if approach is None:
+        return "-"
+    return f"{approach.fraction:.0%} at {(approach.at_us - begin_us) / 1e6:.1f} s ({approach.subject})"
+
+
+def difference_fields(difference: Difference, begin_us: int) -> dict[str, Any]:
+    """What the template needs of the first difference."""
+    return {
+        "first_s": f"{(difference.now - begin_us) / 1e6:.2f}",
+        "first": [
+            (title, [describe(value) for value in values[:ORDERS_MOST]])
+            for title, values in (
+                ("heard before", difference.events_before),
+                ("heard", difference.events),
+                ("no longer", difference.recorded),
+                ("instead", difference.replayed),
+            )
+        ],
+    }
+
+
+def comparison_fields(compared: ComparisonResult, begin_us: int) -> dict[str, Any]:
+    """What the template needs of a comparison."""
+    until_s = compared.valid_until_s
+    recorded_s, replayed_s = compared.throttled_s
+    return {
+        "diverted": f"{compared.diverted:.1%}",
+        "valid_until": None if until_s is None else f"{until_s:.0f}",
+        "counts": [
+            *((name, recorded, replayed) for name, (recorded, replayed) in compared.counts.items()),
+            ("seconds throttled", f"{recorded_s:.1f}", f"{replayed_s:.1f}"),
+        ],
+        "approaches": [
+            (limit, approach_text(recorded, begin_us), approach_text(replayed, begin_us))
+            for limit, (recorded, replayed) in compared.approaches.items()
+        ],
+        "charts": charts(compared),
+    }
+
+
+def replay_fields(result: ReplayResult) -> dict[str, Any]:
+    """What the template needs of a replay."""
+    incarnation, compared = result.incarnation, result.comparison
+    begun = datetime.fromtimestamp(incarnation.wall_us / 1e6, UTC).isoformat(sep=" ", timespec="seconds")
+    fields: dict[str, Any] = {
+        "director": incarnation.director,
         "begun": begun,
-        "steps": one.steps,
-        "orders": one.orders,
-        "differing": one.differing,
-        "hole": one.hole and one.hole.why,
+        "steps": result.steps,
+        "orders": result.orders,
+        "differing": result.differing,
+        "missing": result.missing and result.missing.reason,
         "first": (),
-        "told": one.compared,
+        "compared": compared is not None,
     }
-    if one.first:
-        found["first_s"] = f"{(one.first.now - one.life.now) / 1e6:.2f}"
-        found["first"] = [
-            (word, [describe(each) for each in rows[:8]])
-            for word, rows in (
-                ("heard before", one.first.before),
-                ("heard", one.first.heard),
-                ("no longer", one.first.recorded),
-                ("instead", one.first.replayed),
-            )
-        ]
-    told = one.compared
-    if told:
-        until = told.tells_until_s
-        found |= {
-            "parted": f"{told.parted:.1%}",
-            "until": None if until is None else f"{until:.0f}",
-            "counts": [
-                *((name, *pair) for name, pair in told.counts.items()),
-                ("seconds throttled", *(f"{each:.1f}" for each in told.throttled_s)),
-            ],
-            "nearest": [
-                (name, *(near(each, one.life.now) for each in pair)) for name, pair in told.nearest.items()
-            ],
-            "charts": [
-                ("Calls that would go elsewhere", chart([("part of calls", told.parting)], "part", until))
-            ]
-            + [
-                (
-                    f"{row.server}: its share of the calls",
-                    chart(
-                        [("recorded", told.series[row.server][0]), ("replayed", told.series[row.server][1])],
-                        "share",
-                        until,
-                    ),
-                )
-                for row in told.moved[:CHARTS]
-            ],
-        }
-    return found
-
-
-def page(title: str, found: list[Played]) -> str:
-    """The whole page. ``found``: played with ``compare``."""
-    return PAGE.render(title=title, lives=[one_life(one) for one in found])
+    if result.first_difference:
+        fields |= difference_fields(result.first_difference, incarnation.now)
+    if compared is not None:
+        fields |= comparison_fields(compared, incarnation.now)
+    return fields
+
+
+def page(title: str, results: list[ReplayResult]) -> str:
+    """The whole page, of replays that were compared."""
+    return PAGE.render(title=title, replays=[replay_fields(result) for result in results])
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -1,156 +1,184 @@
-"""A recorded day fed through the module again, its orders compared one by one. Free of sockets and clocks."""
+"""Replay of a recorded day: its events go to the decisions again, and the orders are compared one by one.
+
+Free of sockets and clocks.
+"""
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
 from rainpick import model
 from rainpick.decisions.director import Director
-from rainpick.record.compare import Compare, Compared
-from rainpick.record.steps import LIFE, LOST, STEP, Life, Reader, Step, StepError, read_life
-from rainpick.store import Damage, Gap, Record, Torn
-
-
-class Hole(NamedTuple):
-    """Steps are missing here; the module can't be brought to where it was."""
-
-    why: str
+from rainpick.record.compare import Comparison, ComparisonResult
+from rainpick.record.incarnations import MissingSteps, read_incarnations, select_incarnation
+from rainpick.record.steps import Incarnation, Step
 
 
 class Difference(NamedTuple):
-    """The first step of a life in which the orders are not the same."""
+    """The first step of an incarnation in which the orders are not the same."""
 
-    step: int
+    step: int  # its number, from 1
     now: int
-    before: list  # what the module was told in the step before
-    heard: list  # and in this one
-    recorded: list  # orders that were given and would not be
-    replayed: list  # orders that would be given and were not
+    events_before: list[Any]  # of the previous step
+    events: list[Any]
+    recorded: list[Any]  # orders that were given and are not in the replay
+    replayed: list[Any]  # orders of the replay that were not given
+
+    @property
+    def before(self) -> list[Any]:
+        """The old name, until the other packages use the new one."""
+        return self.events_before
 
+    @property
+    def heard(self) -> list[Any]:
+        """The old name, until the other packages use the new one."""
+        return self.events
 
-class Played(NamedTuple):
-    """A life played again."""
 
-    life: Life
+class ReplayResult(NamedTuple):
+    """What the replay of an incarnation gave."""
+
+    incarnation: Incarnation
     steps: int
-    orders: int
+    orders: int  # recorded ones
     differing: int  # steps with other orders
-    first: Difference | None
-    compared: Compared | None
-    hole: Hole | None
-    last_us: int
-
-
-def lives(found: Iterable[Record | Damage | Torn | Gap]) -> Iterator[tuple[Life, Iterator[Step | Hole]]]:
-    """The lives in a record, each with its steps; read one to its end before the next."""
-    found = iter(found)
-    ahead: list = []
-
-    def steps(reader: Reader) -> Iterator[Step | Hole]:
-        for one in found:
-            if not isinstance(one, Record):
-                if not isinstance(one, Torn):
-                    yield Hole(f"{type(one).__name__.lower()}: {tuple(one)}")
-                continue
-            if one.kind == LIFE:
-                ahead.append(one)
-                return
-            if one.kind == LOST:
-                yield Hole(f"{one.payload.decode()} steps were not recorded")
-            elif one.kind == STEP:
-                try:
-                    yield reader.step(one.payload)
-                except StepError as flaw:
-                    yield Hole(str(flaw))
-
-    for _ in steps(Reader()):
-        pass  # steps of a life whose beginning is no longer kept
-    while ahead:
-        life = read_life(ahead.pop().payload)
-        yield life, steps(Reader(life.types))
-
-
-def nth(found: Callable[[], Iterable[Any]], number: int) -> tuple[Life, Iterator[Step | Hole]]:
-    """A life of a record by its number, from the end if it is negative. ``LookupError`` if there is none."""
-    many = 0
-    for _, steps in lives(found()):
-        many += 1
-        deque(steps, maxlen=0)
-    if not -many <= number < many:
-        raise LookupError(f"there are {many} lives, none has number {number}")
-    for place, (life, steps) in enumerate(lives(found())):
-        if place == number % many:
-            return life, steps
-        deque(steps, maxlen=0)
-    raise LookupError("the record was cut meanwhile")
-
-
-class Playing:
-    """A life under way: ``take`` its steps one by one, then ask what was ``played``.
-
-    ``changes``: settings, by the module's names, that are other now; ``replace``: all of them. With
-    ``compare`` the two streams of orders are told in users' terms.
+    first_difference: Difference | None
+    comparison: ComparisonResult | None  # None unless it was asked for
+    missing: MissingSteps | None  # where the replay ended early
+    last_us: int  # the director's clock at the last step
+
+    @property
+    def life(self) -> Incarnation:
+        """The old name, until the other packages use the new one."""
+        return self.incarnation
+
+    @property
+    def first(self) -> Difference | None:
+        """The old name, until the other packages use the new one."""
+        return self.first_difference
+
+    @property
+    def compared(self) -> ComparisonResult | None:
+        """The old name, until the other packages use the new one."""
+        return self.comparison
+
+    @property
+    def hole(self) -> MissingSteps | None:
+        """The old name, until the other packages use the new one."""
+        return self.missing
+
+
+class Replay:
+    """The replay of one incarnation, step by step.
+
+    ``module`` makes the decisions to replay. ``changes`` are settings, by the decisions' names, that replace
+    recorded ones; ``replace`` takes the place of all of them. With ``compare`` the two streams of orders are
+    compared in users' terms.
     """
 
     def __init__(
         self,
-        life: Life,
+        incarnation: Incarnation,
         module: Callable[[], Director] = Director,
         changes: dict[str, Any] | None = None,
         replace: dict[str, Any] | None = None,
         compare: bool = False,
     ):
-        self.life, self.director, self.compare = life, module(), compare
+        self.incarnation, self.director, self.compare = incarnation, module(), compare
         self.changes, self.replace = changes or {}, replace
         self.steps = self.orders = self.differing = 0
-        self.first: Difference | None = None
-        self.hole: Hole | None = None
-        self.sides: Compare | None = None
-        self.last: Step | None = None
-
-    def take(self, one: Step | Hole) -> None:
-        """After a hole the rest of the life can't be played: it is left out."""
-        if isinstance(one, Hole):
-            self.hole = self.hole or one
-        if self.hole is not None:
+        self.first_difference: Difference | None = None
+        self.missing: MissingSteps | None = None
+        self.comparison: Comparison | None = None
+        self.last_step: Step | None = None
+
+    @property
+    def life(self) -> Incarnation:
+        """The old name, until the other packages use the new one."""
+        return self.incarnation
+
+    @property
+    def hole(self) -> MissingSteps | None:
+        """The old name, until the other packages use the new one."""
+        return self.missing
+
+    def take(self, step: Step | MissingSteps) -> None:
+        """The old name, until the other packages use the new one."""
+        self.apply(step)
+
+    def apply(self, step: Step | MissingSteps) -> None:
+        """Replay the next step. After missing steps the rest of the incarnation is left out."""
+        if self.missing is not None:
+            return
+        if isinstance(step, MissingSteps):
+            self.missing = step
             return
-        events = one.events
+        events = step.events
         if events and type(events[0]) is model.Started:
-            old = events[0].settings
-            new = (old if self.replace is None else self.replace) | self.changes
-            events = [events[0]._replace(settings=new), *events[1:]]
-            self.sides = Compare(one.now, old, new) if self.compare else None
-        given = self.director.step(one.now, events)
-        self.steps, self.orders = self.steps + 1, self.orders + len(one.orders)
-        if self.sides:
-            self.sides.take(one.now, one.events, one.orders, given)
-        if list(given) != one.orders:
+            events = [self.start(step.now, events[0]), *events[1:]]
+        replayed = self.director.step(step.now, events)
+        self.steps += 1
+        self.orders += len(step.orders)
+        if self.comparison:
+            self.comparison.apply(step.now, step.events, step.orders, replayed)
+        if list(replayed) != step.orders:
             self.differing += 1
-            if self.first is None:
-                before = self.last.events if self.last else []
-                gone = [order for order in one.orders if order not in given]
-                fresh = [order for order in given if order not in one.orders]
-                self.first = Difference(self.steps, one.now, before, events, gone, fresh)
-        self.last = one
-
-    def played(self) -> Played:
-        return Played(
-            self.life,
+            if self.first_difference is None:
+                self.first_difference = self.difference(step, events, replayed)
+        self.last_step = step
+
+    def start(self, now: int, event: model.Started) -> model.Started:
+        """The first event, with the settings of the replay."""
+        recorded = event.settings
+        replayed = (recorded if self.replace is None else self.replace) | self.changes
+        self.comparison = Comparison(now, recorded, replayed) if self.compare else None
+        return event._replace(settings=replayed)
+
+    def difference(self, step: Step, events: list[Any], replayed: list[Any]) -> Difference:
+        """How the orders of a step differ."""
+        return Difference(
+            self.steps,
+            step.now,
+            self.last_step.events if self.last_step else [],
+            events,
+            [order for order in step.orders if order not in replayed],
+            [order for order in replayed if order not in step.orders],
+        )
+
+    def result(self) -> ReplayResult:
+        """The result up to the last step that was applied."""
+        return ReplayResult(
+            self.incarnation,
             self.steps,
             self.orders,
             self.differing,
-            self.first,
-            self.sides.result() if self.sides else None,
-            self.hole,
-            self.last.now if self.last else self.life.now,
+            self.first_difference,
+            self.comparison.result() if self.comparison else None,
+            self.missing,
+            self.last_step.now if self.last_step else self.incarnation.now,
         )
 
 
-def play(life: Life, steps: Iterable[Step | Hole], *how: Any, **words: Any) -> Played:
-    """Feed a life to a fresh module; the rest as for ``Playing``."""
-    playing = Playing(life, *how, **words)
-    for one in steps:
-        playing.take(one)
-    return playing.played()
+def replay_incarnation(
+    incarnation: Incarnation,
+    steps: Iterable[Step | MissingSteps],
+    module: Callable[[], Director] = Director,
+    changes: dict[str, Any] | None = None,
+    replace: dict[str, Any] | None = None,
+    compare: bool = False,
+) -> ReplayResult:
+    """Replay an incarnation from its start to its end; the parameters are those of ``Replay``."""
+    replay = Replay(incarnation, module, changes, replace, compare)
+    for step in steps:
+        replay.apply(step)
+    return replay.result()
+
+
+# The old names, until the other packages use the new ones.
+Hole = MissingSteps
+Played = ReplayResult
+Playing = Replay
+lives = read_incarnations
+nth = select_incarnation
+play = replay_incarnation
--- a/rainpick/record/schema.py
+++ b/rainpick/record/schema.py
@@ -58,19 +58,52 @@
     stored(model.LogMessage, "Note", "text"),
     stored(model.Retransmitted, "Repeated", "number"),
 )
-# An entry of a list is no event of its own: records name it after all others.
+# An endpoint is part of an update and no event of its own: records declare it after all others.
 STORED_ENTRY = stored(model.Endpoint, "Server", "weight zone started_us machine cell address state")
 
 CODES = {row.type: code for code, row in enumerate(STORED_TYPES)}
 STORED_NAMES = {row.type: row.name for row in STORED_TYPES}
 BY_STORED_NAME = {row.name: row for row in (*STORED_TYPES, STORED_ENTRY)}
 ROWS = {row.type: row for row in (*STORED_TYPES, STORED_ENTRY)}
-# What a record says of the types in it: stored name and fields, by number.
+# What a record declares of the types in it: stored name and fields, by number.
 TYPE_ROWS = tuple((row.name, *row.fields) for row in (*STORED_TYPES, STORED_ENTRY))
 
+# Records from before December 2026 do not declare their types; these are the types that they hold.
+UNDECLARED_TYPE_ROWS = tuple(
+    tuple(row.split())
+    for row in (
+        "Started seed settings",
+        "Listed kind servers version",
+        "TimerDue token",
+        "ProbeEnded server outcome took_us load",
+        "PeerSaid peer data",
+        "ProxyJoined proxy fresh rate zone",
+        "ProxyLeft proxy",
+        "Applied proxy number took_us",
+        "ServerMet server zone tries dropped mean_us span_us load",
+        "ProxyMet proxy route calls dropped span_us",
+        "SliceMet slice route calls dropped span_us",
+        "SliceGiven slice on",
+        "SliceLine slice server weight",
+        "SetLine table server weight",
+        "ClearTable table",
+        "Withdraw server on",
+        "Mark number everyone",
+        "Bind table routes proxy",
+        "Admit table routes level retry",
+        "Probe server",
+        "Tell peer data",
+        "SetTimer token delay_us",
+        "Subscribe on",
+        "FetchList",
+        "Note text",
+        "Server weight zone started_us machine cell address state",
+    )
+)
+
 
 def describe(value: Any) -> str:
-    """A value as people read it, by its stored names: what is printed does not change with the program.
+    """A value as people read it, by its stored names: the output does not change with the program.
 
     >>> describe(model.TimerFired(3))
     'TimerDue(token=3)'
--- a/rainpick/record/steps.py
+++ b/rainpick/record/steps.py
@@ -1,129 +1,159 @@
-"""Steps of the engine as bytes: what the module was told at what time, and what it ordered. Free of I/O."""
+"""Records of a director as bytes: incarnations, and the steps of its decisions. Free of I/O.
+
+A record in the store has a kind, a time and a payload. ``docs/store-format.md`` describes the payloads.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from enum import IntEnum
 from typing import Any, NamedTuple
 
 import msgspec
 
 from rainpick import model
-from rainpick.record.schema import BY_STORED_NAME, CODES, TYPE_ROWS
-
-LIFE, STEP, LOST = 1, 2, 3  # kinds of records
-# Records of before the first of December 2026 do not say it: theirs were these.
-UNSAID = tuple(
-    tuple(words.split())
-    for words in """
-Started seed settings|Listed kind servers version|TimerDue token|ProbeEnded server outcome took_us load
-PeerSaid peer data|ProxyJoined proxy fresh rate zone|ProxyLeft proxy|Applied proxy number took_us
-ServerMet server zone tries dropped mean_us span_us load|ProxyMet proxy route calls dropped span_us
-SliceMet slice route calls dropped span_us|SliceGiven slice on|SliceLine slice server weight
-SetLine table server weight|ClearTable table|Withdraw server on|Mark number everyone|Bind table routes proxy
-Admit table routes level retry|Probe server|Tell peer data|SetTimer token delay_us|Subscribe on|FetchList
-Note text|Server weight zone started_us machine cell address state
-""".strip()
-    .replace("\n", "|")
-    .split("|")
-)
+from rainpick.record.schema import BY_STORED_NAME, CODES, TYPE_ROWS, UNDECLARED_TYPE_ROWS
+
 encoder = msgspec.msgpack.Encoder()
 
 
+class RecordKind(IntEnum):
+    """The kinds of records, by their number in the store."""
+
+    INCARNATION = 1  # payload: an ``Incarnation``
+    STEP = 2  # payload: a ``Step``
+    LOST = 3  # payload: in decimal digits, how many steps were lost up to here
+
+
 class StepError(ValueError):
-    """Bytes that are no step."""
+    """The bytes of a record can't be read; the text says why."""
 
 
 class Step(NamedTuple):
-    """One step: the clock, what was heard, what was ordered."""
+    """One step of the decisions. ``now``: microseconds of the director's own clock."""
 
     now: int
-    events: list
-    orders: list
+    events: list[Any]
+    orders: list[Any]
 
 
-class Life(NamedTuple):
-    """A director begins: who it is, the text of its module, the offset of its clock from the wall's."""
+class Incarnation(NamedTuple):
+    """A director from its start to its end: the first record of each.
+
+    ``wall_us`` and ``now`` are the same moment by the wall clock and by the director's own.
+    """
 
     director: int
     epoch: str
-    module: str  # XXH3 (128 bits) of the module's text
-    wall_us: int
-    now: int
-    settings: dict[str, Any]  # as the file has them
-    types: tuple[tuple[str, ...], ...] = TYPE_ROWS
+    module: str  # digest of the decision modules' text
+    wall_us: int  # microseconds since 1970
+    now: int  # microseconds
+    settings: dict[str, Any]  # the parsed settings file
+    types: tuple[tuple[str, ...], ...] = TYPE_ROWS  # stored name and fields of each type, by its code
+
+
+Life = Incarnation  # the old name, until the other packages use the new one
 
 
 def write_step(step: Step) -> bytes:
-    rows = [[[CODES[type(one)], *one] for one in part] for part in (step.events, step.orders)]
+    """The payload of a step."""
+    rows = [[[CODES[type(value)], *value] for value in values] for values in (step.events, step.orders)]
     return encoder.encode([step.now, *rows])
 
 
-def solid(value: Any) -> Any:
-    """Lists back to tuples: the module's values are tuples, and addresses are keys."""
+def as_tuples(value: Any) -> Any:
+    """Lists back to tuples, at any depth: the values of the model are tuples, and addresses are keys.
+
+    >>> as_tuples([["10.0.0.1", 80], {"zones": ["a"]}])
+    (('10.0.0.1', 80), {'zones': ('a',)})
+    """
     if type(value) is list:
-        return tuple([solid(one) for one in value])
+        return tuple([as_tuples(item) for item in value])
     if type(value) is dict:
-        return {name: solid(one) for name, one in value.items()}
+        return {name: as_tuples(item) for name, item in value.items()}
     return value
 
 
-class Reader:
-    """Reads the steps of a life by the types it says: the interface may have changed since.
+class StoredLayout(NamedTuple):
+    """How a record lays out a type. ``type`` is None if this program can't read it.
+
+    ``order`` has the stored index of each of the program's fields; None: the fields are in the same order.
+    """
+
+    type: type[Any] | None
+    name: str
+    order: list[int] | None
+
+
+def layout(name: str, fields: Sequence[str]) -> StoredLayout:
+    """How to read a type that a record declares by its stored name and fields."""
+    row = BY_STORED_NAME.get(name)
+    if row is None:
+        return StoredLayout(None, name, None)
+    if list(row.fields) == list(fields):
+        return StoredLayout(row.type, name, None)
+    if not set(row.fields) <= set(fields):
+        return StoredLayout(None, name, None)
+    return StoredLayout(row.type, name, [list(fields).index(field) for field in row.fields])
+
 
-    Fields that came since or went are told when such a value is met; values of other types are read as ever.
+class StepReader:
+    """Reads the steps of an incarnation by the types that it declares: the model may have changed since.
+
+    Fields that this program does not know are skipped. A type that lacks one of its fields raises
+    ``StepError`` when such a value is read; values of other types are read as ever.
     """
 
     def __init__(self, types: Sequence[Sequence[str]] = TYPE_ROWS):
-        self.places: list[tuple[type | None, str, list[int] | None]] = []
-        for name, *fields in types:
-            row = BY_STORED_NAME.get(name)
-            kind = None if row is None else row.type
-            same = row is not None and list(row.fields) == fields
-            try:
-                order = None if same or row is None else [fields.index(field) for field in row.fields]
-                self.places.append((kind, name, order))
-            except ValueError:
-                self.places.append((None, name, None))
-
-    def make(self, code: int, fields: Sequence[Any]) -> Any:
-        kind, name, order = self.places[code]
+        self.layouts = [layout(name, fields) for name, *fields in types]
+
+    def build(self, code: int, fields: Sequence[Any]) -> Any:
+        """A value from the code of its type and its stored fields."""
+        kind, name, order = self.layouts[code]
         if kind is None:
             raise StepError(f"{name} is not what this program knows by that name")
         if kind is model.EndpointUpdate:
             fields = list(fields)
-            place = order[1] if order else 1
-            fields[place] = tuple([self.make(-1, entry) for entry in fields[place]])
-        return kind(*(fields if order is None else [fields[at] for at in order]))
+            index = order[1] if order else 1
+            # The type of the endpoints in an update is declared last.
+            fields[index] = tuple([self.build(-1, entry) for entry in fields[index]])
+        return kind(*(fields if order is None else [fields[index] for index in order]))
 
-    def one(self, row: list) -> Any:
+    def read_value(self, row: list[Any]) -> Any:
+        """An event or order from its code and fields."""
         code, *fields = row
-        return self.make(code, [solid(field) for field in fields])
+        return self.build(code, [as_tuples(field) for field in fields])
 
-    def step(self, data: bytes) -> Step:
-        """``StepError`` if the bytes are not a step."""
+    def read_step(self, payload: bytes) -> Step:
+        """A step from its payload; ``StepError`` if the bytes are none."""
         try:
-            now, events, orders = msgspec.msgpack.decode(data)
-            return Step(now, [self.one(row) for row in events], [self.one(row) for row in orders])
-        except (msgspec.MsgspecError, ValueError, TypeError, IndexError) as flaw:
-            raise StepError(str(flaw)) from None
+            now, events, orders = msgspec.msgpack.decode(payload)
+            return Step(
+                now, [self.read_value(row) for row in events], [self.read_value(row) for row in orders]
+            )
+        except (msgspec.MsgspecError, ValueError, TypeError, IndexError) as error:
+            raise StepError(str(error)) from None
 
 
-def read_step(data: bytes) -> Step:
-    """A step that this program wrote; ``StepError`` if the bytes are none."""
-    return NOW.step(data)
+CURRENT_READER = StepReader()
 
 
-NOW = Reader()
+def read_step(payload: bytes) -> Step:
+    """A step that this version of the program wrote; ``StepError`` if the bytes are none."""
+    return CURRENT_READER.read_step(payload)
 
 
-def write_life(life: Life) -> bytes:
-    return encoder.encode(life)
+def write_incarnation(incarnation: Incarnation) -> bytes:
+    """The payload of an incarnation."""
+    return encoder.encode(incarnation)
 
 
-def read_life(data: bytes) -> Life:
+def read_incarnation(payload: bytes) -> Incarnation:
+    """An incarnation from its payload; ``StepError`` if the bytes are none."""
     try:
-        words = msgspec.msgpack.decode(data)
-        types = words[6] if len(words) > 6 else UNSAID
-        return Life(*words[:6], types=tuple(tuple(row) for row in types))
-    except (msgspec.MsgspecError, TypeError) as flaw:
-        raise StepError(str(flaw)) from None
+        director, epoch, module, wall_us, now, settings, *rest = msgspec.msgpack.decode(payload)
+        types = rest[0] if rest else UNDECLARED_TYPE_ROWS
+        rows = tuple(tuple(row) for row in types)
+        return Incarnation(director, epoch, module, wall_us, now, settings, rows)
+    except (msgspec.MsgspecError, TypeError, ValueError) as error:
+        raise StepError(str(error)) from None
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -1,258 +1,317 @@
-"""What a stream of orders did, in users' terms, and how near the rules' limits it came. Free of I/O.
+"""What a stream of orders did, in users' terms, and how near it came to the limits of the rules. Free of I/O.
 
-A view follows one side of a comparison: it keeps what proxies were told and counts from that alone, so the
-recorded orders and the replayed ones are judged by the same eyes. It decides nothing.
+A view follows one side of a comparison: it keeps what proxies were sent and counts from that alone, so the
+recorded orders and the replayed ones are judged in the same way. It decides nothing.
 """
 
 from __future__ import annotations
 
 from collections import Counter, deque
+from collections.abc import Iterable
 from typing import Any, NamedTuple
 
 from rainpick import model
 
-HEAD_LINES = 1  # of a message, its mark
+HEAD_LINES = 1  # of a message: its nonce
 
 
-class Nearest(NamedTuple):
-    """The nearest approach to a limit: part of it (1.0 is at the limit), when, and who."""
+class LimitApproach(NamedTuple):
+    """The nearest approach to a limit."""
 
-    part: float
+    fraction: float  # of the limit; 1.0 is at it
     at_us: int
-    who: str
+    subject: str  # a server, a proxy or a number of lines
 
+    @property
+    def part(self) -> float:
+        """The old name, until the other packages use the new one."""
+        return self.fraction
 
-class Server:
-    """What is known of a server, and what proxies were told of it."""
+    @property
+    def who(self) -> str:
+        """The old name, until the other packages use the new one."""
+        return self.subject
 
-    __slots__ = ("drained_us", "entry", "lines", "shut")
+
+class ServerView:
+    """The endpoint list's entry of a server, and what proxies were sent for it."""
+
+    __slots__ = ("ended_us", "entry", "weights", "withdrawn")
 
     def __init__(self) -> None:
         self.entry: model.Endpoint | None = None
-        self.lines: dict[int, float] = {}
-        self.shut = False
-        self.drained_us: int | None = None  # since when the list says that it drains or is gone
+        self.weights: dict[int, float] = {}  # by table
+        self.withdrawn = False
+        self.ended_us: int | None = None  # since when the list says that it is draining or gone
+
+    def is_open(self) -> bool:
+        """Whether any table still sends it calls."""
+        return not self.withdrawn and any(self.weights.values())
 
-    def open(self) -> bool:
-        return not self.shut and any(self.lines.values())
 
+class ProxyView:
+    """What a proxy was sent."""
 
-class Proxy:
-    __slots__ = ("sent", "table", "unread")
+    __slots__ = ("sent_us", "table", "unacknowledged")
 
     def __init__(self) -> None:
-        self.table: int | None = None
-        self.unread: deque[tuple[int, int]] = deque()
-        self.sent: deque[int] = deque()  # when messages were written to it
+        self.table: int | None = None  # to which it is bound
+        self.unacknowledged: deque[tuple[int, int]] = deque()  # nonce and lines of each message
+        self.sent_us: deque[int] = deque()  # when it was sent messages lately
 
 
 def named(server: Any) -> str:
+    """A server's address as people read it.
+
+    >>> named(("10.0.0.1", 80))
+    '10.0.0.1:80'
+    """
     return f"{server[0]}:{server[1]}" if isinstance(server, tuple) and len(server) == 2 else str(server)
 
 
-class View:
-    """Follows events and orders. ``words``: the module's settings, for the limits of the rules."""
-
-    def __init__(self, words: dict[str, Any]):
-        self.pending = words.get("proxies.pending_max") or 0
-        self.cap = words.get("proxies.pushes_allowed") or 0
-        self.over_us = words.get("proxies.counted_over_us") or 1
-        self.head = words.get("proxies.head", 0) + HEAD_LINES
-        self.grace_us = words.get("rules.drain_grace_us") or 0
-        self.warm_us = words.get("rules.warm_after_us") or 0
-        self.least = words.get("rules.start_capacity", 1.0)
-        self.full = 1.0 if words.get("proxies.admit") == "ratio" else 1e6
-        self.servers: dict[Any, Server] = {}
-        self.proxies: dict[int, Proxy] = {}
-        self.loose: set[int] = set()  # proxies that are on no table
-        self.cold: dict[Any, None] = {}  # servers that started lately, in an order that no hash seed changes
+class FleetView:
+    """Follows events and orders. ``settings``: the decisions' settings, for the limits of the rules.
+
+    Containers that are iterated keep the order of insertion, or hold numbers alone: results must not depend
+    on a hash seed.
+    """
+
+    def __init__(self, settings: dict[str, Any]):
+        self.pending_most = settings.get("proxies.pending_max") or 0  # lines; 0: no limit
+        self.messages_most = settings.get("proxies.pushes_allowed") or 0  # per proxy; 0: no limit
+        self.messages_over_us = settings.get("proxies.counted_over_us") or 1
+        self.head_lines = settings.get("proxies.head", 0) + HEAD_LINES
+        self.grace_us = settings.get("rules.drain_grace_us") or 0
+        self.warm_us = settings.get("rules.warm_after_us") or 0
+        self.start_capacity = settings.get("rules.start_capacity", 1.0)
+        self.full_rate = 1.0 if settings.get("proxies.admit") == "ratio" else 1e6
+        self.servers: dict[Any, ServerView] = {}
+        self.proxies: dict[int, ProxyView] = {}
+        self.unbound: set[int] = set()  # proxies
+        self.warming: dict[Any, None] = {}  # servers that started lately, in the order of the list
         self.bound: dict[int, set[int]] = {}  # proxies by table
-        self.levels: dict[tuple[int, int], float] = {}
+        self.admission_rates: dict[tuple[int, int], float] = {}  # by table and routes
         self.counts: Counter[str] = Counter()
-        self.nearest: dict[str, Nearest] = {}
+        self.approaches: dict[str, LimitApproach] = {}  # by limit
         self.throttled, self.throttled_us = False, 0
-        self.waiting = 0
-        self.last_us: int | None = None
-        self.changed: set[int] = set()  # tables whose lines or proxies are other since it was asked last
-        self.mixes: dict[int, dict[Any, float]] = {}
+        self.waiting = 0  # lines of unacknowledged messages
+        self.last_us: int | None = None  # of the last step
+        self.changed_tables: set[int] = set()  # whose weights or proxies changed since ``shares``
+        self.table_shares: dict[int, dict[Any, float]] = {}
 
-    def near(self, limit: str, part: float, now: int, who: str) -> None:
-        if limit not in self.nearest or part > self.nearest[limit].part:
-            self.nearest[limit] = Nearest(part, now, who)
+    def approach(self, limit: str, fraction: float, now: int, subject: str) -> None:
+        """Keep the nearest approach to a limit; of equals the first."""
+        if limit not in self.approaches or fraction > self.approaches[limit].fraction:
+            self.approaches[limit] = LimitApproach(fraction, now, subject)
 
     # Events
 
-    def hear(self, now: int, events: list) -> None:
-        if self.last_us is not None:
-            passed = now - self.last_us
-            self.throttled_us += passed if self.throttled else 0
+    def apply_events(self, now: int, events: list[Any]) -> None:
+        """Follow the events of a step."""
+        if self.last_us is not None and self.throttled:
+            self.throttled_us += now - self.last_us
         self.last_us = now
         for event in events:
             kind = type(event)
             if kind is model.EndpointUpdate:
-                self.listed(now, event)
+                self.update_endpoints(now, event)
             elif kind is model.ProxyJoined:
-                self.leave(event.proxy)
-                self.proxies[event.proxy] = Proxy()
-                self.loose.add(event.proxy)
+                self.remove_proxy(event.proxy)
+                self.proxies[event.proxy] = ProxyView()
+                self.unbound.add(event.proxy)
             elif kind is model.ProxyLeft:
-                self.leave(event.proxy)
-            elif kind is model.Acknowledged and event.proxy in self.proxies:
-                unread = self.proxies[event.proxy].unread
-                while any(mark == event.nonce for mark, _ in unread):
-                    self.waiting -= unread.popleft()[1]
+                self.remove_proxy(event.proxy)
+            elif kind is model.Acknowledged:
+                self.acknowledge(event)
 
-    def listed(self, now: int, event: model.EndpointUpdate) -> None:
+    def update_endpoints(self, now: int, event: model.EndpointUpdate) -> None:
+        """Follow the endpoint list; a server that a whole list lacks is gone."""
         if event.kind == model.UpdateKind.FAILED:
             return
         for entry in event.endpoints:
-            held = self.servers.setdefault(entry.address, Server())
-            held.entry = entry
+            server = self.servers.setdefault(entry.address, ServerView())
+            server.entry = entry
             if entry.started_us and now - entry.started_us < self.warm_us:
-                self.cold[entry.address] = None
-            self.settle(held, entry.state != model.EndpointState.READY, now)
+                self.warming[entry.address] = None
+            self.set_ended(server, entry.state != model.EndpointState.READY, now)
         if event.kind != model.UpdateKind.DELTA:
             present = {entry.address for entry in event.endpoints}
-            for address, held in self.servers.items():
+            for address, server in self.servers.items():
                 if address not in present:
-                    self.settle(held, True, now)
+                    self.set_ended(server, True, now)
 
-    def settle(self, held: Server, ended: bool, now: int) -> None:
+    def set_ended(self, server: ServerView, ended: bool, now: int) -> None:
+        """Note since when a server is draining or gone."""
         if not ended:
-            held.drained_us = None
-        elif held.drained_us is None:
-            held.drained_us = now
-            self.counts["drains or losses listed"] += held.open()
+            server.ended_us = None
+        elif server.ended_us is None:
+            server.ended_us = now
+            self.counts["drains or losses listed"] += server.is_open()
 
-    def leave(self, number: int) -> None:
+    def remove_proxy(self, number: int) -> None:
+        """A proxy has left, or joins anew; it need not be known."""
         proxy = self.proxies.pop(number, None)
-        self.loose.discard(number)
+        self.unbound.discard(number)
         if proxy is not None:
-            self.waiting -= sum(lines for _, lines in proxy.unread)
+            self.waiting -= sum(lines for _, lines in proxy.unacknowledged)
             if proxy.table is not None:
                 self.bound[proxy.table].discard(number)
-                self.changed.add(proxy.table)
+                self.changed_tables.add(proxy.table)
+
+    def acknowledge(self, event: model.Acknowledged) -> None:
+        """A proxy has read a message, and with it all that were sent before."""
+        if event.proxy not in self.proxies:
+            return
+        unacknowledged = self.proxies[event.proxy].unacknowledged
+        while any(nonce == event.nonce for nonce, _ in unacknowledged):
+            self.waiting -= unacknowledged.popleft()[1]
 
     # Orders
 
-    def take(self, now: int, orders: list) -> None:
-        lines: Counter[int] = Counter()  # by proxy
-        mark = None
-        loose = tuple(self.loose)  # as they were when the step began
+    def apply_orders(self, now: int, orders: list[Any]) -> None:
+        """Follow the orders of a step."""
+        lines: Counter[int] = Counter()  # that the step writes, by proxy
+        nonce = None
+        unbound = tuple(self.unbound)  # as they were when the step began
         for order in orders:
             kind = type(order)
             if kind is model.SetWeight:
-                self.set_line(now, order)
+                self.set_weight(now, order)
                 lines.update(self.bound.get(order.table, ()))
             elif kind is model.SetWithdrawn:
-                self.withdraw(now, order)
-                for table in self.servers[order.server].lines:
-                    lines.update(self.bound.get(table, ()))
-                lines.update(number for number in loose if number in self.proxies)
+                self.set_withdrawn(now, order)
+                lines.update(self.receivers(order.server, unbound))
             elif kind is model.BindProxy and order.proxy in self.proxies:
-                self.counts["binds"] += 1
-                self.proxies[order.proxy].table = order.table
-                self.loose.discard(order.proxy)
-                self.bound.setdefault(order.table, set()).add(order.proxy)
-                self.changed.add(order.table)
-                lines[order.proxy] += 1 + sum(order.table in held.lines for held in self.servers.values())
+                self.bind(order)
+                lines[order.proxy] += 1 + self.size(order.table)
             elif kind is model.SetAdmission:
-                self.admit(order)
+                self.set_admission(order)
                 lines.update(self.bound.get(order.table, ()))
             elif kind is model.RequestAcknowledgement:
-                mark = order.nonce
-        if mark is not None:
-            self.sent(now, mark, lines)
-        self.watch(now)
-
-    def set_line(self, now: int, order: model.SetWeight) -> None:
-        held = self.servers.setdefault(order.server, Server())
-        before = held.lines.get(order.table, 0.0)
+                nonce = order.nonce
+        if nonce is not None:
+            self.send(now, nonce, lines)
+        self.check_warming(now)
+
+    def set_weight(self, now: int, order: model.SetWeight) -> None:
+        """Set a server's weight in a table, or remove it from there."""
+        server = self.servers.setdefault(order.server, ServerView())
+        before = server.weights.get(order.table, 0.0)
         if order.weight:
-            held.lines[order.table] = order.weight
+            server.weights[order.table] = order.weight
+        else:
+            server.weights.pop(order.table, None)
+            if server.ended_us is not None and not server.withdrawn and not server.weights:
+                self.end_calls(now, order.server, server.ended_us)
+        if not before:
+            count = "lines laid"
+        elif order.weight > before:
+            count = "weights raised"
         else:
-            held.lines.pop(order.table, None)
-            if held.drained_us is not None and not held.shut and not held.lines:
-                self.let_go(now, order.server, held)
-        ended = held.drained_us is not None
-        rise = "weights raised" if order.weight > before else "weights lowered"
-        word = rise if before else "lines laid"
-        self.counts[word] += order.weight != before and not (ended and not order.weight)
-        self.changed.add(order.table)
-
-    def let_go(self, now: int, server: Any, held: Server) -> None:
+            count = "weights lowered"
+        removes_ended = server.ended_us is not None and not order.weight
+        self.counts[count] += order.weight != before and not removes_ended
+        self.changed_tables.add(order.table)
+
+    def end_calls(self, now: int, address: Any, ended_us: int) -> None:
+        """Proxies were sent the last that keeps calls from a server that is draining or gone."""
         self.counts["drains and losses told"] += 1
         if self.grace_us:
-            self.near("drain", (now - held.drained_us) / self.grace_us, now, named(server))
-
-    def withdraw(self, now: int, order: model.SetWithdrawn) -> None:
-        held = self.servers.setdefault(order.server, Server())
-        if order.withdrawn and not held.shut:
-            if held.drained_us is not None:
-                self.let_go(now, order.server, held)
+            self.approach("drain", (now - ended_us) / self.grace_us, now, named(address))
+
+    def set_withdrawn(self, now: int, order: model.SetWithdrawn) -> None:
+        """Withdraw or readmit a server; what is withdrawn without being ended is ejected."""
+        server = self.servers.setdefault(order.server, ServerView())
+        if order.withdrawn and not server.withdrawn:
+            if server.ended_us is not None:
+                self.end_calls(now, order.server, server.ended_us)
             else:
                 self.counts["ejections"] += 1
-        elif not order.withdrawn and held.shut:
+        elif not order.withdrawn and server.withdrawn:
             self.counts["returns"] += 1
-        held.shut = order.withdrawn
-        self.changed.update(held.lines)
-
-    def admit(self, order: model.SetAdmission) -> None:
-        lower = order.rate < self.levels.get((order.table, order.routes), self.full)
-        self.counts["throttled further"] += lower
-        self.counts["throttled less"] += order.rate > self.levels.get((order.table, order.routes), self.full)
-        self.levels[order.table, order.routes] = order.rate
-        self.throttled = any(level < self.full for level in self.levels.values())
-
-    def sent(self, now: int, mark: int, lines: Counter) -> None:
-        for number, many in lines.items():
+        server.withdrawn = order.withdrawn
+        self.changed_tables.update(server.weights)
+
+    def receivers(self, address: Any, unbound: tuple[int, ...]) -> Iterable[int]:
+        """The proxies that are sent a line for a server's withdrawal, as often as they are sent one."""
+        for table in self.servers[address].weights:
+            yield from self.bound.get(table, ())
+        yield from (number for number in unbound if number in self.proxies)
+
+    def bind(self, order: model.BindProxy) -> None:
+        """Bind a proxy to a table."""
+        self.counts["binds"] += 1
+        self.proxies[order.proxy].table = order.table
+        self.unbound.discard(order.proxy)
+        self.bound.setdefault(order.table, set()).add(order.proxy)
+        self.changed_tables.add(order.table)
+
+    def size(self, table: int) -> int:
+        """How many servers a table has."""
+        return sum(table in server.weights for server in self.servers.values())
+
+    def set_admission(self, order: model.SetAdmission) -> None:
+        """Set the admission rate of some routes in a table."""
+        key = order.table, order.routes
+        before = self.admission_rates.get(key, self.full_rate)
+        self.counts["throttled further"] += order.rate < before
+        self.counts["throttled less"] += order.rate > before
+        self.admission_rates[key] = order.rate
+        self.throttled = any(rate < self.full_rate for rate in self.admission_rates.values())
+
+    def send(self, now: int, nonce: int, lines: Counter[int]) -> None:
+        """Send each proxy its lines of a step as one message."""
+        for number, own_lines in lines.items():
             proxy = self.proxies[number]
-            many += self.head
-            proxy.unread.append((mark, many))
-            self.waiting += many
+            size = own_lines + self.head_lines
+            proxy.unacknowledged.append((nonce, size))
+            self.waiting += size
             self.counts["messages"] += 1
-            self.counts["lines"] += many
-            while proxy.sent and proxy.sent[0] <= now - self.over_us:
-                proxy.sent.popleft()
-            proxy.sent.append(now)
-            if self.cap:
-                self.near("messages", len(proxy.sent) / self.cap, now, f"proxy {number}")
-        if self.pending:
-            self.near("queue", self.waiting / self.pending, now, f"{self.waiting} lines")
-
-    def watch(self, now: int) -> None:
-        """Cold servers: the weight that proxies were told, over what the server surely can do."""
-        for server in tuple(self.cold):
-            held = self.servers[server]
-            age_us = now - held.entry.started_us
+            self.counts["lines"] += size
+            while proxy.sent_us and proxy.sent_us[0] <= now - self.messages_over_us:
+                proxy.sent_us.popleft()
+            proxy.sent_us.append(now)
+            if self.messages_most:
+                self.approach("messages", len(proxy.sent_us) / self.messages_most, now, f"proxy {number}")
+        if self.pending_most:
+            self.approach("queue", self.waiting / self.pending_most, now, f"{self.waiting} lines")
+
+    def check_warming(self, now: int) -> None:
+        """Servers in slow start: the weight that proxies were sent, over what the server surely can do."""
+        for address in tuple(self.warming):
+            server = self.servers[address]
+            entry = server.entry
+            if entry is None:
+                continue
+            age_us = now - entry.started_us
             if age_us >= self.warm_us:
-                del self.cold[server]
-            elif age_us >= 0 and held.lines and not held.shut:
-                sure = self.least + (1 - self.least) * age_us / self.warm_us
-                part = max(held.lines.values()) / max(held.entry.weight * sure, 1e-9)
-                self.near("cold", part, now, named(server))
-
-    # What calls go where
-
-    def mix(self, table: int) -> dict[Any, float]:
-        """By server its share of the calls of a table's proxies, by the weights that they hold."""
-        found = {
-            server: held.lines[table]
-            for server, held in self.servers.items()
-            if table in held.lines and not held.shut
+                del self.warming[address]
+            elif age_us >= 0 and server.weights and not server.withdrawn:
+                capacity = self.start_capacity + (1 - self.start_capacity) * age_us / self.warm_us
+                fraction = max(server.weights.values()) / max(entry.weight * capacity, 1e-9)
+                self.approach("cold", fraction, now, named(address))
+
+    # Shares of the calls
+
+    def shares_in(self, table: int) -> dict[Any, float]:
+        """The share of each server in the calls of a table's proxies, by the weights that they hold."""
+        weights = {
+            address: server.weights[table]
+            for address, server in self.servers.items()
+            if table in server.weights and not server.withdrawn
         }
-        total = sum(found.values()) or 1.0
-        return {server: weight / total for server, weight in found.items()}
+        total = sum(weights.values()) or 1.0
+        return {address: weight / total for address, weight in weights.items()}
 
     def shares(self) -> dict[Any, float]:
-        """By server the share of the bound proxies' calls that their weights give it; they sum up to 1."""
-        for table in self.changed:
-            self.mixes[table] = self.mix(table)
-        self.changed.clear()
-        found: dict[Any, float] = {}
-        many = sum(map(len, self.bound.values())) or 1
+        """The share of each server in the bound proxies' calls, if each proxy makes as many; the sum is 1."""
+        for table in self.changed_tables:
+            self.table_shares[table] = self.shares_in(table)
+        self.changed_tables.clear()
+        shares: dict[Any, float] = {}
+        proxy_count = sum(map(len, self.bound.values())) or 1
         for table, proxies in self.bound.items():
             if proxies:
-                for server, share in self.mixes.get(table, {}).items():
-                    found[server] = found.get(server, 0.0) + share * len(proxies) / many
-        return found
+                for address, share in self.table_shares.get(table, {}).items():
+                    shares[address] = shares.get(address, 0.0) + share * len(proxies) / proxy_count
+        return shares
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -9,12 +9,13 @@
 from rainpick import model
 from rainpick.cli import main
 from rainpick.record import inspect
-from rainpick.record.compare import POINTS, Compare, Series
+from rainpick.record.compare import Comparison
 from rainpick.record.load import ModuleError, changes, module
-from rainpick.record.replay import lives, nth, play
-from rainpick.record.view import View
+from rainpick.record.replay import nth
+from rainpick.record.series import POINTS, TimeSeries
+from rainpick.record.view import FleetView
 from rainpick.store import read
-from tests.record.test_replay import lived
+from tests.record.test_replay import lived, replay_all
 
 SAMPLES = Path(__file__).parent / "samples"
 ONE, TWO = ("10.0.0.1", 1), ("10.0.0.1", 2)
@@ -33,15 +34,15 @@
 
 
 def view():
-    one = View(WORDS)
-    one.hear(
+    one = FleetView(WORDS)
+    one.apply_events(
         0,
         [
             model.EndpointUpdate(model.UpdateKind.CACHED, (entry(ONE), entry(TWO)), 1),
             model.ProxyJoined(7, True, 1.0, 0),
         ],
     )
-    one.take(
+    one.apply_orders(
         0,
         [
             model.SetWeight(0, ONE, 1.0),
@@ -55,17 +56,17 @@
 
 def test_a_view_counts_what_users_ask_for():
     one = view()
-    one.hear(
+    one.apply_events(
         1_000_000,
         [
             model.Acknowledged(7, 1, 5),
             model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2),
         ],
     )
-    one.take(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
-    assert one.nearest["drain"].part == 0.5 and one.nearest["drain"].who == "10.0.0.1:1"
-    one.take(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
-    one.take(
+    one.apply_orders(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
+    assert one.approaches["drain"].fraction == 0.5 and one.approaches["drain"].subject == "10.0.0.1:1"
+    one.apply_orders(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
+    one.apply_orders(
         2_700_000,
         [
             model.SetWithdrawn(TWO, False),
@@ -73,8 +74,8 @@
             model.RequestAcknowledgement(4, False),
         ],
     )
-    one.hear(2_800_000, [])
-    one.take(
+    one.apply_events(2_800_000, [])
+    one.apply_orders(
         2_800_000,
         [
             model.SetWeight(0, TWO, 0.5),
@@ -82,71 +83,74 @@
             model.RequestAcknowledgement(5, False),
         ],
     )
-    one.hear(5_800_000, [])
+    one.apply_events(5_800_000, [])
     found = one.counts
     assert (found["ejections"], found["returns"], found["drains and losses told"]) == (1, 1, 1)
     assert (found["lines laid"], found["weights lowered"], found["weights raised"]) == (2, 1, 1)
     assert found["messages"] == 5 and found["throttled further"] == 1 and one.throttled_us == 3_000_000
-    assert one.nearest["messages"].part == 5 / 4 and one.nearest["queue"].part == one.waiting / 100 > 0
+    assert (
+        one.approaches["messages"].fraction == 5 / 4
+        and one.approaches["queue"].fraction == one.waiting / 100 > 0
+    )
 
 
 def test_a_cold_server_is_measured_by_what_it_surely_can_do():
     one = view()
-    one.hear(
+    one.apply_events(
         20_000_000, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(TWO, started_us=20_000_000),), 2)]
     )
-    one.take(20_000_000, [])
-    assert one.nearest["cold"].part == pytest.approx(5.0)  # full weight, and it can do a fifth
-    one.take(20_000_000, [model.SetWeight(0, TWO, 0.1)])
-    assert one.nearest["cold"].part == pytest.approx(5.0)
+    one.apply_orders(20_000_000, [])
+    assert one.approaches["cold"].fraction == pytest.approx(5.0)  # full weight, and it can do a fifth
+    one.apply_orders(20_000_000, [model.SetWeight(0, TWO, 0.1)])
+    assert one.approaches["cold"].fraction == pytest.approx(5.0)
 
 
 def test_a_drain_told_table_by_table_is_told_with_the_last():
     one = view()
-    one.take(0, [model.SetWeight(1, ONE, 1.0)])
-    one.hear(
+    one.apply_orders(0, [model.SetWeight(1, ONE, 1.0)])
+    one.apply_events(
         0, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2)]
     )
-    one.take(500_000, [model.SetWeight(0, ONE, 0.0)])
-    assert "drain" not in one.nearest
-    one.take(1_000_000, [model.SetWeight(1, ONE, 0.0)])
-    assert one.nearest["drain"].part == 0.5
+    one.apply_orders(500_000, [model.SetWeight(0, ONE, 0.0)])
+    assert "drain" not in one.approaches
+    one.apply_orders(1_000_000, [model.SetWeight(1, ONE, 0.0)])
+    assert one.approaches["drain"].fraction == 0.5
 
 
 def test_shares_are_of_calls_and_follow_the_proxies():
     one = view()
     assert one.shares() == {ONE: 0.5, TWO: 0.5}
-    one.take(1, [model.SetWeight(0, ONE, 3.0)])
+    one.apply_orders(1, [model.SetWeight(0, ONE, 3.0)])
     assert one.shares() == {ONE: 0.75, TWO: 0.25}
-    one.take(2, [model.SetWithdrawn(ONE, True)])
+    one.apply_orders(2, [model.SetWithdrawn(ONE, True)])
     assert one.shares() == {TWO: 1.0}
-    one.hear(3, [model.ProxyLeft(7)])
+    one.apply_events(3, [model.ProxyLeft(7)])
     assert one.shares() == {}
 
 
 def test_where_the_two_part_too_far_the_replay_says_that_it_no_longer_tells():
-    both = Compare(0, WORDS, WORDS)
+    both = Comparison(0, WORDS, WORDS)
     first = [
         model.SetWeight(0, ONE, 1.0),
         model.SetWeight(0, TWO, 1.0),
         model.BindProxy(0, 1, 7),
         model.RequestAcknowledgement(1, False),
     ]
-    both.take(0, [model.ProxyJoined(7, True, 1.0, 0)], first, first)
+    both.apply(0, [model.ProxyJoined(7, True, 1.0, 0)], first, first)
     for second in range(1, 20):
-        both.take(second * 1_000_000, [], [], [])
-    assert both.result().tells_until_s is None
-    both.take(20_000_000, [], [], [model.SetWithdrawn(ONE, True)])
+        both.apply(second * 1_000_000, [], [], [])
+    assert both.result().valid_until_s is None
+    both.apply(20_000_000, [], [], [model.SetWithdrawn(ONE, True)])
     for second in range(21, 40):
-        both.take(second * 1_000_000, [], [], [])
+        both.apply(second * 1_000_000, [], [], [])
     found = both.result()
     # Half of the calls go elsewhere: over a fifth of ten seconds from the fifth such second on.
-    assert found.tells_until_s == 24 and 0.2 < found.parted < 0.3
-    assert {row.server for row in found.moved} == {"10.0.0.1:1", "10.0.0.1:2"}
+    assert found.valid_until_s == 24 and 0.2 < found.diverted < 0.3
+    assert {row.server for row in found.share_changes} == {"10.0.0.1:1", "10.0.0.1:2"}
 
 
 def test_series_keep_their_size_and_their_means_however_long_the_day():
-    series = Series(0)
+    series = TimeSeries(0)
     for second in range(10_000):
         series.add(second * 1_000_000, second % 2)
     points = series.points()
@@ -154,20 +158,17 @@
 
 
 def test_a_record_of_before_types_were_said_is_read_and_replays():
-    (one,) = [play(life, steps) for life, steps in lives(read(SAMPLES / "without-types"))]
-    assert one.steps == 78 and one.differing == 0 and one.hole is None
+    (one,) = replay_all(SAMPLES / "without-types")
+    assert one.steps == 78 and one.differing == 0 and one.missing is None
 
 
 def test_another_text_of_the_module_is_told_by_what_it_does(tmp_path):
     lived(tmp_path / "day")
     text = Path(__file__).parents[2] / "rainpick" / "decisions" / "director.py"
     (tmp_path / "slow.py").write_text(text.read_text().replace(" = 4, 1.6, 0.6", " = 10**9, 1.6, 0.6"))
-    (one,) = [
-        play(life, steps, module(tmp_path / "slow.py"), compare=True)
-        for life, steps in lives(read(tmp_path / "day"))
-    ]
-    assert one.differing and one.compared.counts["lines"][0] != one.compared.counts["lines"][1]
-    (same,) = [play(life, steps, module(text)) for life, steps in lives(read(tmp_path / "day"))]
+    (one,) = replay_all(tmp_path / "day", module(tmp_path / "slow.py"), compare=True)
+    assert one.differing and one.comparison.counts["lines"][0] != one.comparison.counts["lines"][1]
+    (same,) = replay_all(tmp_path / "day", module(text))
     assert same.differing == 0
     for words, why in (
         ("x = 1\n", "has no Director"),
--- a/tests/record/test_load.py
+++ b/tests/record/test_load.py
@@ -11,11 +11,9 @@
 from rainpick import decisions, model
 from rainpick.decisions import send_queue
 from rainpick.decisions.director import Director
+from rainpick.record.digest import decisions_digest
 from rainpick.record.load import ModuleError, module
-from rainpick.record.recorder import module_digest
-from rainpick.record.replay import lives, play
-from rainpick.store import read
-from tests.record.test_replay import lived
+from tests.record.test_replay import lived, replay_all
 
 INSTALLED = Path(decisions.__file__).parent
 NOTHING_FITS = "\n\nSendQueue.fits = lambda queue, lines, claim: False\n"
@@ -32,10 +30,6 @@
     return folder
 
 
-def replayed(day, *how):
-    return [play(life, steps, *how) for life, steps in lives(read(day))]
-
-
 def put(folder, **texts):
     folder.mkdir(exist_ok=True)
     for name, text in texts.items():
@@ -50,35 +44,35 @@
 
 def test_two_folders_that_differ_in_the_send_queue_alone_have_different_digests(tmp_path):
     same, other = copied(tmp_path / "same"), with_slow_queue(tmp_path / "other")
-    assert module_digest(same) == module_digest() != module_digest(other)
+    assert decisions_digest(same) == decisions_digest() != decisions_digest(other)
 
 
 def test_the_digest_covers_the_names_of_the_modules_and_no_other_files(tmp_path):
     folder = put(tmp_path / "a", one="x = 1\n", two="")
-    digest = module_digest(folder)
-    assert module_digest(put(tmp_path / "b", one="", two="x = 1\n")) != digest
-    assert module_digest(put(tmp_path / "c", one="x = 1\n")) != digest
+    digest = decisions_digest(folder)
+    assert decisions_digest(put(tmp_path / "b", one="", two="x = 1\n")) != digest
+    assert decisions_digest(put(tmp_path / "c", one="x = 1\n")) != digest
     (folder / "__pycache__").mkdir()
     (folder / "__pycache__" / "one.cpython-311.pyc").write_bytes(b"compiled")
-    assert module_digest(folder) == digest
+    assert decisions_digest(folder) == digest
 
 
 def test_the_digest_does_not_hang_on_the_order_in_which_a_folder_is_listed(tmp_path, monkeypatch):
     folder = copied(tmp_path / "same")
     glob = Path.rglob
     monkeypatch.setattr(Path, "rglob", lambda path, pattern: sorted(glob(path, pattern), reverse=True))
-    assert module_digest(folder) == module_digest(INSTALLED)
+    assert decisions_digest(folder) == decisions_digest(INSTALLED)
 
 
 def test_a_folder_whose_send_queue_differs_gives_the_orders_of_that_queue(tmp_path):
     lived(tmp_path / "day")
-    (same,) = replayed(tmp_path / "day", module(copied(tmp_path / "same")))
+    (same,) = replay_all(tmp_path / "day", module(copied(tmp_path / "same")))
     assert same.differing == 0
     assert callable(send_queue.SendQueue.fits)
-    (other,) = replayed(tmp_path / "day", module(with_slow_queue(tmp_path / "other")))
+    (other,) = replay_all(tmp_path / "day", module(with_slow_queue(tmp_path / "other")))
     assert other.differing and other.orders == same.orders
     # The installed modules are as they were.
-    assert replayed(tmp_path / "day") == [same]
+    assert replay_all(tmp_path / "day") == [same]
     assert "Director" in vars(sys.modules["rainpick.decisions.director"])
     assert sys.modules["rainpick.decisions.send_queue"] is decisions.send_queue is send_queue
 
@@ -91,11 +85,10 @@
             "import sys",
             "from pathlib import Path",
             "from rainpick.record.load import module",
-            "from rainpick.record.replay import lives, play",
-            "from rainpick.store import read",
+            "from rainpick.record.clock import replay_together",
             "day, text = map(Path, sys.argv[1:])",
-            "found = [play(life, steps, module(text)).differing for life, steps in lives(read(day))]",
-            "sys.exit(0 if found[0] else 1)",
+            "(result,) = replay_together([day], module(text))",
+            "sys.exit(0 if result.differing else 1)",
         ]
     )
     for text, expected in ((tmp_path / "other", 0), (INSTALLED, 1)):
--- a/tests/record/test_replay.py
+++ b/tests/record/test_replay.py
@@ -12,18 +12,17 @@
 from hypothesis import strategies as st
 
 from rainpick import model
+from rainpick.record.incarnations import MissingSteps, read_incarnations
 from rainpick.record.recorder import Recorder
-from rainpick.record.replay import Hole, lives, play
+from rainpick.record.replay import replay_incarnation
 from rainpick.record.schema import CODES
 from rainpick.record.steps import (
-    LIFE,
-    LOST,
-    STEP,
-    Life,
+    Incarnation,
+    RecordKind,
     Step,
     StepError,
     read_step,
-    write_life,
+    write_incarnation,
     write_step,
 )
 from rainpick.store import Log, read
@@ -31,15 +30,17 @@
 from tests.loopback.help import MemberEnd, ProxyEnd, running, status
 from tests.waiting import until
 
-LIFE_ = Life(0, "e", "m", 1_000_000, 0, {})
+INCARNATION = Incarnation(0, "e", "m", 1_000_000, 0, {})
 
 
 def lived(folder, seconds=20):
     """A director under a virtual clock, its steps recorded: drains, reports, a loss, joins."""
     drive = Drive('rules: {warm_after: "6s"}, proxies: {count: 1}')
     log = Log(folder, sync=False)
-    log.append(1, LIFE, write_life(LIFE_))
-    drive.engine.stepper.watch = lambda now, *parts: log.append(now, STEP, write_step(Step(now, *parts)))
+    log.append(1, RecordKind.INCARNATION, write_incarnation(INCARNATION))
+    drive.engine.stepper.watch = lambda now, *parts: log.append(
+        now, RecordKind.STEP, write_step(Step(now, *parts))
+    )
     for number in range(4):
         drive.join(number)
     drive.run(2)
@@ -57,14 +58,18 @@
     return drive
 
 
-def played(folder, **words):
-    return [play(life, steps, **words) for life, steps in lives(read(folder))]
+def replay_all(folder, *module, **options):
+    """The results of all incarnations in a record."""
+    return [
+        replay_incarnation(incarnation, steps, *module, **options)
+        for incarnation, steps in read_incarnations(read(folder))
+    ]
 
 
 def test_the_same_day_again_has_not_one_order_different(tmp_path):
     drive = lived(tmp_path)
-    (one,) = played(tmp_path)
-    assert one.differing == 0 and one.hole is None and one.steps == drive.engine.stepper.steps > 50
+    (one,) = replay_all(tmp_path)
+    assert one.differing == 0 and one.missing is None and one.steps == drive.engine.stepper.steps > 50
     assert one.orders == drive.engine.stepper.ordered
 
 
@@ -80,41 +85,46 @@
 
 def test_another_setting_is_told_by_its_first_difference_and_by_weights(tmp_path):
     lived(tmp_path)
-    (one,) = played(tmp_path, changes={"rules.warm_after_us": 12_000_000}, compare=True)
-    assert one.differing and one.first.recorded and one.first.replayed
-    moved = {row.server: row for row in one.compared.moved}
-    assert moved["127.0.0.1:9009"].replayed < moved["127.0.0.1:9009"].recorded
+    (one,) = replay_all(tmp_path, changes={"rules.warm_after_us": 12_000_000}, compare=True)
+    assert one.differing and one.first_difference.recorded and one.first_difference.replayed
+    changes = {change.server: change for change in one.comparison.share_changes}
+    assert changes["127.0.0.1:9009"].replayed < changes["127.0.0.1:9009"].recorded
 
 
 def test_a_setting_that_alters_the_very_first_decision(tmp_path):
     lived(tmp_path)
-    (one,) = played(tmp_path, changes={"proxies.pending_max": 1})
-    assert one.first.now == played(tmp_path)[0].life.now + 1_000_000 or one.first.step < 5
+    (one,) = replay_all(tmp_path, changes={"proxies.pending_max": 1})
+    assert (
+        one.first_difference.now == replay_all(tmp_path)[0].incarnation.now + 1_000_000
+        or one.first_difference.step < 5
+    )
 
 
 def test_several_lives_in_one_record(tmp_path):
     lived(tmp_path)
     lived(tmp_path, seconds=3)
-    found = played(tmp_path)
+    found = replay_all(tmp_path)
     assert len(found) == 2 and not any(one.differing for one in found) and found[0].steps > found[1].steps
 
 
-def test_after_a_hole_nothing_of_that_life_is_played(tmp_path):
+def test_after_a_hole_nothing_of_that_life_is_replay_all(tmp_path):
     lived(tmp_path)
     log = Log(tmp_path, sync=False)
-    log.append(9, LOST, b"5")
-    log.append(10, STEP, write_step(Step(99_000_000, [model.TimerFired(0)], [model.LogMessage("never")])))
+    log.append(9, RecordKind.LOST, b"5")
+    log.append(
+        10, RecordKind.STEP, write_step(Step(99_000_000, [model.TimerFired(0)], [model.LogMessage("never")]))
+    )
     log.close()
-    (one,) = played(tmp_path)
-    assert one.hole == Hole("5 steps were not recorded") and one.differing == 0
+    (one,) = replay_all(tmp_path)
+    assert one.missing == MissingSteps("5 steps were not recorded") and one.differing == 0
 
 
 def test_a_torn_end_loses_the_end_and_nothing_else(tmp_path):
     lived(tmp_path)
     (path,) = tmp_path.glob("*.seg")
     path.write_bytes(path.read_bytes() + b"RPBK half a block")
-    (one,) = played(tmp_path)
-    assert one.hole is None and one.differing == 0
+    (one,) = replay_all(tmp_path)
+    assert one.missing is None and one.differing == 0
 
 
 values = st.one_of(
@@ -166,14 +176,14 @@
             fleet.quiesce(9002)
             proxy.until(lambda held: len(held) == 2)
             assert status(daemon)["record"]["lost"] == 0
-    found = played(folder)
+    found = replay_all(folder)
     assert len(found) == 2
-    assert all(one.differing == 0 and one.hole is None and one.orders > 5 for one in found)
+    assert all(one.differing == 0 and one.missing is None and one.orders > 5 for one in found)
 
 
 def test_a_slow_disk_never_holds_up_the_core_and_what_is_lost_is_counted(tmp_path, monkeypatch):
     monkeypatch.setattr("rainpick.record.recorder.QUEUE_MOST", 8)
-    recorder = Recorder(tmp_path, LIFE_, 1 << 20, 0, 0, False)
+    recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
     slow = recorder.store.append
     recorder.store.append = lambda *words: (time.sleep(0.05), slow(*words))
     begin = time.monotonic()
@@ -184,6 +194,6 @@
     until(lambda: recorder.queue.empty())
     recorder.step(1000, [], [])
     recorder.close()
-    ((_, steps),) = lives(read(tmp_path))
-    holes = [one for one in steps if isinstance(one, Hole)]
-    assert holes and "were not recorded" in holes[-1].why
+    ((_, steps),) = read_incarnations(read(tmp_path))
+    holes = [one for one in steps if isinstance(one, MissingSteps)]
+    assert holes and "were not recorded" in holes[-1].reason
