--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -58,7 +58,7 @@
 
 def replay_together(
     folders: list[Path],
-    module: Callable[[], Director] = Director,
+    make_director: Callable[[], Director] = Director,
     changes: dict[str, Any] | None = None,
     replace: dict[str, Any] | None = None,
     compare: bool = False,
@@ -68,13 +68,13 @@
     for moment in merge_by_wall_clock(folders):
         key = moment.record, moment.number
         if key not in replays:
-            replays[key] = Replay(moment.incarnation, module, changes, replace, compare)
+            replays[key] = Replay(moment.incarnation, make_director, changes, replace, compare)
         replays[key].apply(moment.step)
     return [replays[key].result() for key in sorted(replays)]
 
 
 def replay_until(
-    folders: list[Path], second: float | None, module: Callable[[], Director] = Director
+    folders: list[Path], second: float | None, make_director: Callable[[], Director] = Director
 ) -> list[Replay]:
     """The incarnations that ran at one moment of the wall clock, one for each record that had begun.
 
@@ -90,7 +90,7 @@
             break
         if numbers.get(moment.record) != moment.number:
             numbers[moment.record] = moment.number
-            replays[moment.record] = Replay(moment.incarnation, module)
+            replays[moment.record] = Replay(moment.incarnation, make_director)
         replays[moment.record].apply(moment.step)
     return [replays[record] for record in sorted(replays)]
 
--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -12,8 +12,10 @@
 from collections import defaultdict
 from typing import Any, NamedTuple
 
+from rainpick.record.limits import LimitApproach
+from rainpick.record.schema import format_address
 from rainpick.record.series import Point, TimeSeries
-from rainpick.record.view import FleetView, LimitApproach, named
+from rainpick.record.view import FleetView
 
 DIVERTED_MOST = 0.2  # fraction of the calls, as a mean over the last while, up to which a replay is valid
 DIVERTED_OVER_S = 10
@@ -137,6 +139,7 @@
     def result(self, most: int = CHANGES_MOST) -> ComparisonResult:
         """The result up to now, with ``most`` servers: those whose share changed most."""
         recorded, replayed = self.views
+        recorded_approaches, replayed_approaches = recorded.limits.approaches, replayed.limits.approaches
         share_changes = self.share_changes(most)
         servers = {change.server for change in share_changes}
         until = self.valid_until_us
@@ -147,17 +150,17 @@
             },
             (recorded.throttled_us / 1e6, replayed.throttled_us / 1e6),
             {
-                limit: (recorded.approaches.get(limit), replayed.approaches.get(limit))
-                for limit in sorted(recorded.approaches.keys() | replayed.approaches.keys())
+                limit: (recorded_approaches.get(limit), replayed_approaches.get(limit))
+                for limit in sorted(recorded_approaches.keys() | replayed_approaches.keys())
             },
             None if until is None else (until - self.begin_us) / 1e6,
             self.diverted_sum / max(1, self.samples),
             share_changes,
             self.diverted_series.points(),
             {
-                named(server): (series[0].points(), series[1].points())
+                format_address(server): (series[0].points(), series[1].points())
                 for server, series in self.share_series.items()
-                if named(server) in servers
+                if format_address(server) in servers
             },
         )
 
@@ -168,7 +171,7 @@
         distances: dict[str, float] = {}
         changes = []
         for server, (recorded, replayed) in self.share_series.items():
-            name = named(server)
+            name = format_address(server)
             distances[name] = sum(
                 abs(one[1] - other[1])
                 for one, other in zip(recorded.points(), replayed.points(), strict=False)
--- /dev/null
+++ b/rainpick/record/folder_package.py
@@ -0,0 +1,124 @@
+"""A folder of decision modules as a package beside the installed one, for replays by another text."""
+
+from __future__ import annotations
+
+import builtins
+import importlib
+import importlib.util
+import sys
+from collections.abc import Callable, Sequence
+from importlib.abc import MetaPathFinder
+from importlib.machinery import ModuleSpec, SourceFileLoader
+from pathlib import Path
+from types import CodeType, ModuleType
+from typing import Any
+
+import rainpick
+
+INSTALLED = "rainpick.decisions"
+
+
+class RainpickView(ModuleType):
+    """The package ``rainpick`` as modules of a loaded folder see it: its ``decisions`` are the folder's."""
+
+    def __init__(self, package: ModuleType):
+        super().__init__("rainpick", rainpick.__doc__)
+        self.decisions = package
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(rainpick, name)
+
+
+class FolderLoader(SourceFileLoader):
+    """Loads a module whose import statements are resolved by ``import_function``."""
+
+    def __init__(self, name: str, path: Path, import_function: Callable[..., ModuleType]):
+        super().__init__(name, str(path))
+        self.import_function = import_function
+
+    def get_code(self, fullname: str) -> CodeType:
+        """Compile the text itself: a cached file may stem from a text of the same size and second."""
+        path = self.get_filename(fullname)
+        return self.source_to_code(self.get_data(path), path)
+
+    def exec_module(self, module: ModuleType) -> None:
+        """Run the module with its own ``__import__``; import statements within functions use it, too."""
+        vars(module)["__builtins__"] = vars(builtins) | {"__import__": self.import_function}
+        super().exec_module(module)
+
+
+class FolderPackage(MetaPathFinder):
+    """A folder of decision modules as a package under a private name, beside the installed package.
+
+    Its modules import each other as ``rainpick.decisions.NAME`` or relatively. Both give the folder's own
+    modules; one that the folder lacks can't be imported, even if it is installed. ``sys.modules`` gets
+    entries under the private name alone, so the installed decisions stay as they are.
+    """
+
+    def __init__(self, name: str, folder: Path):
+        self.name, self.folder = name, folder
+
+    def load(self, module_name: str) -> ModuleType:
+        """Import a module of the folder; whatever its text raises passes through, see ``unload``."""
+        sys.meta_path.insert(0, self)  # it stays there: functions may import when they are called
+        return importlib.import_module(f"{self.name}.{module_name}")
+
+    def unload(self) -> None:
+        """Remove every trace of the folder from the import system."""
+        sys.meta_path.remove(self)
+        for name in [name for name in sys.modules if f"{name}.".startswith(f"{self.name}.")]:
+            del sys.modules[name]
+
+    def find_spec(
+        self,
+        fullname: str,
+        path: Sequence[str] | None,  # noqa: ARG002 - the import system's signature
+        target: ModuleType | None = None,  # noqa: ARG002 - the import system's signature
+    ) -> ModuleSpec | None:
+        """The folder itself and the modules in it; None for every other name."""
+        if fullname == self.name:
+            return self.package_spec(fullname, self.folder)
+        if not fullname.startswith(f"{self.name}."):
+            return None
+        location = self.folder.joinpath(*fullname.removeprefix(f"{self.name}.").split("."))
+        if location.is_dir():
+            return self.package_spec(fullname, location)
+        file = location.with_name(f"{location.name}.py")
+        if not file.is_file():
+            return None
+        return importlib.util.spec_from_file_location(
+            fullname, file, loader=FolderLoader(fullname, file, self.import_module)
+        )
+
+    def package_spec(self, fullname: str, folder: Path) -> ModuleSpec:
+        """A folder need not have an ``__init__.py``."""
+        file = folder / "__init__.py"
+        loader = FolderLoader(fullname, file, self.import_module) if file.is_file() else None
+        spec = ModuleSpec(fullname, loader, origin=str(file), is_package=True)
+        spec.submodule_search_locations = [str(folder)]
+        return spec
+
+    def import_module(
+        self,
+        name: str,
+        globals: dict[str, Any] | None = None,
+        locals: dict[str, Any] | None = None,
+        fromlist: Sequence[str] | None = (),
+        level: int = 0,
+    ) -> ModuleType:
+        """What an import statement of the folder's modules calls; see ``builtins.__import__``."""
+        if level or name.partition(".")[0] != "rainpick":
+            return builtins.__import__(name, globals, locals, fromlist or (), level)
+        if name == INSTALLED or name.startswith(f"{INSTALLED}."):
+            private_name = self.name + name.removeprefix(INSTALLED)
+            if fromlist:
+                return builtins.__import__(private_name, globals, locals, fromlist, 0)
+            importlib.import_module(private_name)
+            return self.rainpick_view()
+        others = [each for each in fromlist or () if (name, each) != ("rainpick", "decisions")]
+        module = builtins.__import__(name, globals, locals, others, 0)
+        return module if fromlist and name != "rainpick" else self.rainpick_view()
+
+    def rainpick_view(self) -> ModuleType:
+        """The module that is bound to the name ``rainpick``."""
+        return RainpickView(importlib.import_module(self.name))
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -11,10 +11,10 @@
 from pygal.style import Style
 
 from rainpick.record.compare import ComparisonResult, ShareChange
+from rainpick.record.limits import LimitApproach
 from rainpick.record.replay import Difference, ReplayResult
 from rainpick.record.schema import describe
 from rainpick.record.series import Point
-from rainpick.record.view import LimitApproach
 
 STYLE = Style(
     background="transparent",
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -72,20 +72,20 @@
 class Replay:
     """The replay of one incarnation, step by step.
 
-    ``module`` makes the decisions to replay. ``changes`` are settings, by the decisions' names, that replace
-    recorded ones; ``replace`` takes the place of all of them. With ``compare`` the two streams of orders are
-    compared in users' terms.
+    ``make_director`` makes the decisions that replay it. ``changes`` are settings, by the decisions' names,
+    that replace recorded ones; ``replace`` takes the place of all of them. With ``compare`` the two streams
+    of orders are compared in users' terms.
     """
 
     def __init__(
         self,
         incarnation: Incarnation,
-        module: Callable[[], Director] = Director,
+        make_director: Callable[[], Director] = Director,
         changes: dict[str, Any] | None = None,
         replace: dict[str, Any] | None = None,
         compare: bool = False,
     ):
-        self.incarnation, self.director, self.compare = incarnation, module(), compare
+        self.incarnation, self.director, self.compare = incarnation, make_director(), compare
         self.changes, self.replace = changes or {}, replace
         self.steps = self.orders = self.differing = 0
         self.first_difference: Difference | None = None
@@ -163,13 +163,13 @@
 def replay_incarnation(
     incarnation: Incarnation,
     steps: Iterable[Step | MissingSteps],
-    module: Callable[[], Director] = Director,
+    make_director: Callable[[], Director] = Director,
     changes: dict[str, Any] | None = None,
     replace: dict[str, Any] | None = None,
     compare: bool = False,
 ) -> ReplayResult:
     """Replay an incarnation from its start to its end; the parameters are those of ``Replay``."""
-    replay = Replay(incarnation, module, changes, replace, compare)
+    replay = Replay(incarnation, make_director, changes, replace, compare)
     for step in steps:
         replay.apply(step)
     return replay.result()
--- a/rainpick/record/schema.py
+++ b/rainpick/record/schema.py
@@ -102,6 +102,17 @@
 )
 
 
+def format_address(address: Any) -> str:
+    """A server's address as people read it.
+
+    >>> format_address(("10.0.0.1", 80))
+    '10.0.0.1:80'
+    """
+    if isinstance(address, tuple) and len(address) == 2:
+        return f"{address[0]}:{address[1]}"
+    return str(address)
+
+
 def describe(value: Any) -> str:
     """A value as people read it, by its stored names: the output does not change with the program.
 
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -1,4 +1,4 @@
-"""What a stream of orders did, in users' terms, and how near it came to the limits of the rules. Free of I/O.
+"""What a stream of orders did, in users' terms. Free of I/O.
 
 A view follows one side of a comparison: it keeps what proxies were sent and counts from that alone, so the
 recorded orders and the replayed ones are judged in the same way. It decides nothing.
@@ -8,31 +8,15 @@
 
 from collections import Counter, deque
 from collections.abc import Iterable
-from typing import Any, NamedTuple
+from typing import Any
 
 from rainpick import model
+from rainpick.record.limits import Limits
+from rainpick.record.schema import format_address
 
 HEAD_LINES = 1  # of a message: its nonce
 
 
-class LimitApproach(NamedTuple):
-    """The nearest approach to a limit."""
-
-    fraction: float  # of the limit; 1.0 is at it
-    at_us: int
-    subject: str  # a server, a proxy or a number of lines
-
-    @property
-    def part(self) -> float:
-        """The old name, until the other packages use the new one."""
-        return self.fraction
-
-    @property
-    def who(self) -> str:
-        """The old name, until the other packages use the new one."""
-        return self.subject
-
-
 class ServerView:
     """The endpoint list's entry of a server, and what proxies were sent for it."""
 
@@ -60,13 +44,7 @@
         self.sent_us: deque[int] = deque()  # when it was sent messages lately
 
 
-def named(server: Any) -> str:
-    """A server's address as people read it.
-
-    >>> named(("10.0.0.1", 80))
-    '10.0.0.1:80'
-    """
-    return f"{server[0]}:{server[1]}" if isinstance(server, tuple) and len(server) == 2 else str(server)
+named = format_address  # the old name, until the other packages use the new one
 
 
 class FleetView:
@@ -77,13 +55,8 @@
     """
 
     def __init__(self, settings: dict[str, Any]):
-        self.pending_most = settings.get("proxies.pending_max") or 0  # lines; 0: no limit
-        self.messages_most = settings.get("proxies.pushes_allowed") or 0  # per proxy; 0: no limit
-        self.messages_over_us = settings.get("proxies.counted_over_us") or 1
+        self.limits = Limits(settings)
         self.head_lines = settings.get("proxies.head", 0) + HEAD_LINES
-        self.grace_us = settings.get("rules.drain_grace_us") or 0
-        self.warm_us = settings.get("rules.warm_after_us") or 0
-        self.start_capacity = settings.get("rules.start_capacity", 1.0)
         self.full_rate = 1.0 if settings.get("proxies.admit") == "ratio" else 1e6
         self.servers: dict[Any, ServerView] = {}
         self.proxies: dict[int, ProxyView] = {}
@@ -92,18 +65,12 @@
         self.bound: dict[int, set[int]] = {}  # proxies by table
         self.admission_rates: dict[tuple[int, int], float] = {}  # by table and routes
         self.counts: Counter[str] = Counter()
-        self.approaches: dict[str, LimitApproach] = {}  # by limit
         self.throttled, self.throttled_us = False, 0
         self.waiting = 0  # lines of unacknowledged messages
         self.last_us: int | None = None  # of the last step
         self.changed_tables: set[int] = set()  # whose weights or proxies changed since ``shares``
         self.table_shares: dict[int, dict[Any, float]] = {}
 
-    def approach(self, limit: str, fraction: float, now: int, subject: str) -> None:
-        """Keep the nearest approach to a limit; of equals the first."""
-        if limit not in self.approaches or fraction > self.approaches[limit].fraction:
-            self.approaches[limit] = LimitApproach(fraction, now, subject)
-
     # Events
 
     def apply_events(self, now: int, events: list[Any]) -> None:
@@ -131,7 +98,7 @@
         for entry in event.endpoints:
             server = self.servers.setdefault(entry.address, ServerView())
             server.entry = entry
-            if entry.started_us and now - entry.started_us < self.warm_us:
+            if entry.started_us and now - entry.started_us < self.limits.warm_us:
                 self.warming[entry.address] = None
             self.set_ended(server, entry.state != model.EndpointState.READY, now)
         if event.kind != model.UpdateKind.DELTA:
@@ -216,8 +183,7 @@
     def end_calls(self, now: int, address: Any, ended_us: int) -> None:
         """Proxies were sent the last that keeps calls from a server that is draining or gone."""
         self.counts["drains and losses told"] += 1
-        if self.grace_us:
-            self.approach("drain", (now - ended_us) / self.grace_us, now, named(address))
+        self.limits.note_drain(now, address, ended_us)
 
     def set_withdrawn(self, now: int, order: model.SetWithdrawn) -> None:
         """Withdraw or readmit a server; what is withdrawn without being ended is ejected."""
@@ -268,28 +234,21 @@
             self.waiting += size
             self.counts["messages"] += 1
             self.counts["lines"] += size
-            while proxy.sent_us and proxy.sent_us[0] <= now - self.messages_over_us:
-                proxy.sent_us.popleft()
-            proxy.sent_us.append(now)
-            if self.messages_most:
-                self.approach("messages", len(proxy.sent_us) / self.messages_most, now, f"proxy {number}")
-        if self.pending_most:
-            self.approach("queue", self.waiting / self.pending_most, now, f"{self.waiting} lines")
+            self.limits.note_message(now, number, proxy.sent_us)
+        self.limits.note_queue(now, self.waiting)
 
     def check_warming(self, now: int) -> None:
-        """Servers in slow start: the weight that proxies were sent, over what the server surely can do."""
+        """Note the largest weight that proxies were sent for each server in slow start."""
         for address in tuple(self.warming):
             server = self.servers[address]
             entry = server.entry
             if entry is None:
                 continue
             age_us = now - entry.started_us
-            if age_us >= self.warm_us:
+            if age_us >= self.limits.warm_us:
                 del self.warming[address]
             elif age_us >= 0 and server.weights and not server.withdrawn:
-                capacity = self.start_capacity + (1 - self.start_capacity) * age_us / self.warm_us
-                fraction = max(server.weights.values()) / max(entry.weight * capacity, 1e-9)
-                self.approach("cold", fraction, now, named(address))
+                self.limits.note_warming(now, entry, max(server.weights.values()))
 
     # Shares of the calls
 
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -10,7 +10,7 @@
 from rainpick.cli import main
 from rainpick.record import inspect
 from rainpick.record.compare import Comparison
-from rainpick.record.load import ModuleError, changes, module
+from rainpick.record.load import ModuleError, load_decisions, parse_changes
 from rainpick.record.replay import nth
 from rainpick.record.series import POINTS, TimeSeries
 from rainpick.record.view import FleetView
@@ -64,7 +64,10 @@
         ],
     )
     one.apply_orders(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
-    assert one.approaches["drain"].fraction == 0.5 and one.approaches["drain"].subject == "10.0.0.1:1"
+    assert (
+        one.limits.approaches["drain"].fraction == 0.5
+        and one.limits.approaches["drain"].subject == "10.0.0.1:1"
+    )
     one.apply_orders(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
     one.apply_orders(
         2_700_000,
@@ -89,8 +92,8 @@
     assert (found["lines laid"], found["weights lowered"], found["weights raised"]) == (2, 1, 1)
     assert found["messages"] == 5 and found["throttled further"] == 1 and one.throttled_us == 3_000_000
     assert (
-        one.approaches["messages"].fraction == 5 / 4
-        and one.approaches["queue"].fraction == one.waiting / 100 > 0
+        one.limits.approaches["messages"].fraction == 5 / 4
+        and one.limits.approaches["queue"].fraction == one.waiting / 100 > 0
     )
 
 
@@ -100,9 +103,9 @@
         20_000_000, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(TWO, started_us=20_000_000),), 2)]
     )
     one.apply_orders(20_000_000, [])
-    assert one.approaches["cold"].fraction == pytest.approx(5.0)  # full weight, and it can do a fifth
+    assert one.limits.approaches["cold"].fraction == pytest.approx(5.0)  # full weight, and it can do a fifth
     one.apply_orders(20_000_000, [model.SetWeight(0, TWO, 0.1)])
-    assert one.approaches["cold"].fraction == pytest.approx(5.0)
+    assert one.limits.approaches["cold"].fraction == pytest.approx(5.0)
 
 
 def test_a_drain_told_table_by_table_is_told_with_the_last():
@@ -112,9 +115,9 @@
         0, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2)]
     )
     one.apply_orders(500_000, [model.SetWeight(0, ONE, 0.0)])
-    assert "drain" not in one.approaches
+    assert "drain" not in one.limits.approaches
     one.apply_orders(1_000_000, [model.SetWeight(1, ONE, 0.0)])
-    assert one.approaches["drain"].fraction == 0.5
+    assert one.limits.approaches["drain"].fraction == 0.5
 
 
 def test_shares_are_of_calls_and_follow_the_proxies():
@@ -166,9 +169,9 @@
     lived(tmp_path / "day")
     text = Path(__file__).parents[2] / "rainpick" / "decisions" / "director.py"
     (tmp_path / "slow.py").write_text(text.read_text().replace(" = 4, 1.6, 0.6", " = 10**9, 1.6, 0.6"))
-    (one,) = replay_all(tmp_path / "day", module(tmp_path / "slow.py"), compare=True)
+    (one,) = replay_all(tmp_path / "day", load_decisions(tmp_path / "slow.py"), compare=True)
     assert one.differing and one.comparison.counts["lines"][0] != one.comparison.counts["lines"][1]
-    (same,) = replay_all(tmp_path / "day", module(text))
+    (same,) = replay_all(tmp_path / "day", load_decisions(text))
     assert same.differing == 0
     for words, why in (
         ("x = 1\n", "has no Director"),
@@ -177,14 +180,14 @@
     ):
         (tmp_path / "bad.py").write_text(words)
         with pytest.raises(ModuleError, match=why):
-            module(tmp_path / "bad.py")
+            load_decisions(tmp_path / "bad.py")
 
 
 def test_changes_are_json_or_text_and_have_a_name():
-    assert changes(["a=1", "b=x", 'c="1"', "d=[1, 2]"]) == {"a": 1, "b": "x", "c": "1", "d": [1, 2]}
+    assert parse_changes(["a=1", "b=x", 'c="1"', "d=[1, 2]"]) == {"a": 1, "b": "x", "c": "1", "d": [1, 2]}
     for word in ("a", "=1"):
         with pytest.raises(ValueError, match="NAME=VALUE"):
-            changes([word])
+            parse_changes([word])
 
 
 def test_each_factor_of_a_weight_is_told_and_their_product_is_the_weight(tmp_path):
--- a/tests/record/test_load.py
+++ b/tests/record/test_load.py
@@ -12,7 +12,7 @@
 from rainpick.decisions import send_queue
 from rainpick.decisions.director import Director
 from rainpick.record.digest import decisions_digest
-from rainpick.record.load import ModuleError, module
+from rainpick.record.load import ModuleError, load_decisions
 from tests.record.test_replay import lived, replay_all
 
 INSTALLED = Path(decisions.__file__).parent
@@ -66,10 +66,10 @@
 
 def test_a_folder_whose_send_queue_differs_gives_the_orders_of_that_queue(tmp_path):
     lived(tmp_path / "day")
-    (same,) = replay_all(tmp_path / "day", module(copied(tmp_path / "same")))
+    (same,) = replay_all(tmp_path / "day", load_decisions(copied(tmp_path / "same")))
     assert same.differing == 0
     assert callable(send_queue.SendQueue.fits)
-    (other,) = replay_all(tmp_path / "day", module(with_slow_queue(tmp_path / "other")))
+    (other,) = replay_all(tmp_path / "day", load_decisions(with_slow_queue(tmp_path / "other")))
     assert other.differing and other.orders == same.orders
     # The installed modules are as they were.
     assert replay_all(tmp_path / "day") == [same]
@@ -84,10 +84,10 @@
         [
             "import sys",
             "from pathlib import Path",
-            "from rainpick.record.load import module",
+            "from rainpick.record.load import load_decisions",
             "from rainpick.record.clock import replay_together",
             "day, text = map(Path, sys.argv[1:])",
-            "(result,) = replay_together([day], module(text))",
+            "(result,) = replay_together([day], load_decisions(text))",
             "sys.exit(0 if result.differing else 1)",
         ]
     )
@@ -125,7 +125,7 @@
     for word in ("first", "second"):  # both at once, apart from each other
         folder = put(tmp_path / word, director=text, words=f"TEXT = {word!r}\n")
         put(folder / "part", inner=f"from rainpick.decisions.words import TEXT\nassert TEXT == {word!r}\n")
-    first, second = module(tmp_path / "first")(), module(tmp_path / "second")()
+    first, second = load_decisions(tmp_path / "first")(), load_decisions(tmp_path / "second")()
     assert [first_order(director) for director in (first, second, first)] == ["first", "second", "first"]
     assert type(first.step(0, [])[0]) is model.LogMessage
 
@@ -133,15 +133,15 @@
 def test_a_folder_never_falls_back_on_an_installed_decision_module(tmp_path):
     text = "from rainpick.decisions.send_queue import SendQueue\nclass Director: pass\n"
     with pytest.raises(ModuleError, match="send_queue"):
-        module(put(tmp_path / "short", director=text))
-    assert module(put(tmp_path / "short", send_queue="class SendQueue: pass\n"))
+        load_decisions(put(tmp_path / "short", director=text))
+    assert load_decisions(put(tmp_path / "short", send_queue="class SendQueue: pass\n"))
 
 
 def test_a_text_that_is_edited_is_loaded_as_it_stands_now(tmp_path):
     text = "from .words import TEXT\nfrom rainpick.model import LogMessage\nclass Director:\n"
     text += "    def step(self, now, events):\n        return [LogMessage(TEXT)]\n"
     found = [
-        first_order(module(put(tmp_path / "edited", director=text, words=f"TEXT = {number}\n"))())
+        first_order(load_decisions(put(tmp_path / "edited", director=text, words=f"TEXT = {number}\n"))())
         for number in range(3)
     ]
     assert found == [0, 1, 2]  # also within one second, and of one size
@@ -160,11 +160,11 @@
 def test_a_folder_without_a_director_is_an_error_that_leaves_nothing_behind(tmp_path, texts, why):
     before = list(sys.meta_path), set(sys.modules)
     with pytest.raises(ModuleError, match=why):
-        module(put(tmp_path / "bad", **texts))
+        load_decisions(put(tmp_path / "bad", **texts))
     assert (list(sys.meta_path), set(sys.modules)) == before
 
 
 def test_a_file_imports_the_installed_modules(tmp_path):
     text = "from rainpick.decisions import director\nDirector = director.Director\n"
     (tmp_path / "text.py").write_text(text)
-    assert module(tmp_path / "text.py") is Director
+    assert load_decisions(tmp_path / "text.py") is Director
