--- a/rainpick/store/__init__.py
+++ b/rainpick/store/__init__.py
@@ -1,5 +1,10 @@
-"""Append-only storage that survives crashes: segments of checksummed, compressed blocks."""
+"""Append-only storage that survives crashes: segments of checksummed, compressed blocks.
 
-from rainpick.store.log import Damage, FullError, Gap, Log, Record, StoreError, Torn, read, segments
+``Log`` writes a store, ``read`` reads it; ``docs/store-format.md`` describes its bytes.
+"""
 
-__all__ = ["Damage", "FullError", "Gap", "Log", "Record", "StoreError", "Torn", "read", "segments"]
+from rainpick.store.errors import FullError, StoreError
+from rainpick.store.log import Log
+from rainpick.store.reader import Damage, Gap, Record, Torn, read, segment_numbers
+
+__all__ = ["Damage", "FullError", "Gap", "Log", "Record", "StoreError", "Torn", "read", "segment_numbers"]
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -1,150 +1,25 @@
-"""A log of records over segments in a folder: one writer, any readers, whole after any crash."""
+"""The one writer of a store: complete records only after a crash at any moment."""
 
 from __future__ import annotations
 
 import contextlib
 import os
-from collections.abc import Iterator
 from pathlib import Path
-from typing import NamedTuple
+from typing import BinaryIO
 
-from rainpick.store import blocks
-from rainpick.store.blocks import BLOCK, FORMAT, SEGMENT, BlockError
-
-NAME = "%010d.seg"
-
-
-class StoreError(Exception):
-    """The folder can't be used as a store; the text names the file and what is wrong."""
-
-
-class FullError(StoreError):
-    """A block could not be written; the store is as it was before it."""
-
-
-class Record(NamedTuple):
-    time_us: int
-    kind: int
-    payload: bytes
-
-
-class Torn(NamedTuple):
-    """The end of the last segment was cut off by a crash: so many bytes were dropped."""
-
-    segment: int
-    at: int
-    size: int
-
-
-class Damage(NamedTuple):
-    """Bytes within a segment that are not what was written; the records in them are not played."""
-
-    segment: int
-    at: int
-    size: int
-    why: str
-
-
-class Gap(NamedTuple):
-    """Segments are missing: the first and the last of them."""
-
-    first: int
-    last: int
-
-
-def segments(folder: Path) -> list[int]:
-    """The numbers of the segments that are there, in order."""
-    return sorted(int(path.stem) for path in folder.glob("*.seg") if path.stem.isdecimal())
-
-
-def path_of(folder: Path, number: int) -> Path:
-    return folder / (NAME % number)
-
-
-def check_head(data: bytes, number: int) -> None:
-    """``BlockError`` for a head that is cut or damaged, ``StoreError`` for another format."""
-    if len(data) < SEGMENT.size:
-        raise BlockError("the segment's head is cut off")
-    magic, form, written = SEGMENT.unpack_from(data)
-    if magic != blocks.SEGMENT_MAGIC or written != number:
-        raise BlockError("the segment's head is damaged")
-    if form != FORMAT:
-        raise StoreError(f"segment {number} has format {form}; this program reads {FORMAT}")
-
-
-def blocks_of(
-    folder: Path, number: int, from_us: int = 0, until_us: int | None = None
-) -> Iterator[tuple[int, list] | Damage | Torn]:
-    """(offset, records) block by block; damage where it is; a torn end if nothing whole comes after it.
-
-    Heads are the index by time: a block wholly out of the range asked for is passed over, unchecked.
-    """
-    data = path_of(folder, number).read_bytes()
-    try:
-        check_head(data, number)
-        at = SEGMENT.size
-    except BlockError as flaw:
-        at = data.find(blocks.BLOCK_MAGIC)
-        if at < 0:
-            yield Torn(number, 0, len(data))
-            return
-        yield Damage(number, 0, at, str(flaw))
-    while at < len(data):
-        try:
-            head = blocks.read_head(data[at : at + BLOCK.size])
-            end = at + BLOCK.size + head.stored
-            if end <= len(data) and (
-                head.last_us < from_us or until_us is not None and head.first_us > until_us
-            ):
-                at = end
-                continue
-            rows = blocks.read_block(head, data[at + BLOCK.size : end])
-        except BlockError as flaw:
-            later = next_whole(data, at + 1)
-            if later is None:
-                yield Torn(number, at, len(data) - at)
-                return
-            yield Damage(number, at, later - at, str(flaw))
-            at = later
-            continue
-        yield at, rows
-        at = end
-
-
-def next_whole(data: bytes, at: int) -> int | None:
-    """Where the next block stands that is whole to the last bit."""
-    while (at := data.find(blocks.BLOCK_MAGIC, at)) >= 0:
-        try:
-            head = blocks.read_head(data[at : at + BLOCK.size])
-            blocks.read_block(head, data[at + BLOCK.size : at + BLOCK.size + head.stored])
-            return at
-        except BlockError:
-            at += 1
-    return None
-
-
-def read(
-    folder: Path, from_us: int = 0, until_us: int | None = None
-) -> Iterator[Record | Damage | Torn | Gap]:
-    """All records in the order in which they were written; what is missing or damaged, where it is."""
-    last = None
-    for number in segments(folder):
-        if last is not None and number != last + 1:
-            yield Gap(last + 1, number - 1)
-        last = number
-        for found in blocks_of(folder, number, from_us, until_us):
-            if not isinstance(found, tuple) or isinstance(found, Damage | Torn):
-                yield found
-                continue
-            for time_us, kind, payload in found[1]:
-                if time_us >= from_us and (until_us is None or time_us <= until_us):
-                    yield Record(time_us, kind, payload)
+from rainpick.store.blocks import SEGMENT_HEADER, Row, write_block, write_segment_header
+from rainpick.store.errors import FullError
+from rainpick.store.reader import Torn, read_segment, segment_numbers, segment_path
 
 
 class Log:
-    """The one writer. Records are kept in memory until ``flush``; a crash loses those, and no others.
+    """Appends records to a store. Records are in memory until ``flush``; a crash loses those, and no others.
 
-    Opening looks at the last segment alone and cuts its torn end; ``torn`` says what was cut.
+    Opening looks at the last segment alone and cuts off its incomplete end; ``torn`` says what was cut.
+
+    A segment ends when a block takes it over ``segment_most`` bytes. Then old segments are deleted: those
+    that take the store over ``keep_most`` bytes, and those whose last change is ``keep_us`` microseconds
+    older than the newest segment's; 0 is no limit. ``sync``: a flush waits until the disk has the bytes.
     """
 
     def __init__(
@@ -155,65 +30,73 @@
         keep_us: int = 0,
         sync: bool = True,
     ):
-        self.folder, self.segment_most = folder, segment_most
-        self.keep_most, self.keep_us, self.sync = keep_most, keep_us, sync
-        self.waiting: list[tuple[int, int, bytes]] = []
-        self.written = self.lost = 0
+        self.folder = folder
+        self.segment_most = segment_most
+        self.keep_most, self.keep_us = keep_most, keep_us
+        self.sync = sync
+        self.waiting: list[Row] = []
+        self.written = 0  # records
+        self.lost = 0  # records
         self.torn: Torn | None = None
+        self.number = 0  # of the last segment
+        self.file: BinaryIO
         folder.mkdir(parents=True, exist_ok=True)
-        there = segments(folder)
-        self.number = there[-1] if there else 0
-        self.file = None
-        if there:
-            self.mend()
+        numbers = segment_numbers(folder)
+        if numbers:
+            self.number = numbers[-1]
+            self.reopen_segment()
         else:
-            self.begin()
-
-    def mend(self) -> None:
-        """Go on after the last whole block of the last segment."""
-        path = path_of(self.folder, self.number)
-        found = blocks_of(self.folder, self.number)
-        self.torn = next((one for one in found if isinstance(one, Torn)), None)
-        if self.torn is not None and self.torn.at < SEGMENT.size:
-            path.unlink()  # not even its head was written
+            self.begin_segment()
+
+    def reopen_segment(self) -> None:
+        """Go on after the last complete block of the last segment."""
+        path = segment_path(self.folder, self.number)
+        entries = read_segment(self.folder, self.number)
+        self.torn = next((entry for entry in entries if isinstance(entry, Torn)), None)
+        if self.torn is not None and self.torn.at < SEGMENT_HEADER.size:
+            path.unlink()  # not even its header was written
             self.number -= 1
-            self.begin()
+            self.begin_segment()
             return
-        self.file = open(path, "r+b")  # noqa: SIM115
+        self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
         self.file.seek(0, os.SEEK_END)
         if self.torn is not None:
             self.file.truncate(self.torn.at)
             self.file.seek(self.torn.at)
-            self.settle()
+            self.write_through()
 
-    def begin(self) -> None:
-        """A new segment; old ones go by age and size."""
-        if self.file is not None:
-            self.file.close()
+    def begin_segment(self) -> None:
+        """Begin a new segment and delete old ones."""
         self.number += 1
-        self.file = open(path_of(self.folder, self.number), "w+b")  # noqa: SIM115
-        self.file.write(SEGMENT.pack(blocks.SEGMENT_MAGIC, FORMAT, self.number))
-        self.settle()
-        self.forget()
-
-    def settle(self) -> None:
+        path = segment_path(self.folder, self.number)
+        self.file = open(path, "w+b")  # noqa: SIM115 - it stays open until the segment ends
+        self.file.write(write_segment_header(self.number))
+        self.write_through()
+        self.delete_old_segments()
+
+    def write_through(self) -> None:
+        """Hand written bytes to the system and, with ``sync``, wait until the disk has them."""
         self.file.flush()
         if self.sync:
             os.fsync(self.file.fileno())
 
-    def forget(self) -> None:
-        """Drop the oldest segments over the size, and those whose last change is over the age."""
-        there = [(number, path_of(self.folder, number).stat()) for number in segments(self.folder)]
-        total, newest = sum(stat.st_size for _, stat in there), there[-1][1].st_mtime
-        for number, stat in there[:-1]:
-            old = self.keep_us and (newest - stat.st_mtime) * 1e6 > self.keep_us
-            if old or self.keep_most and total > self.keep_most:
-                path_of(self.folder, number).unlink()
-                total -= stat.st_size
-            else:
+    def delete_old_segments(self) -> None:
+        """Delete the oldest segments that are over the size or over the age; never the last one."""
+        stats = [
+            (number, segment_path(self.folder, number).stat()) for number in segment_numbers(self.folder)
+        ]
+        total = sum(stat.st_size for _, stat in stats)
+        newest_s = stats[-1][1].st_mtime
+        for number, stat in stats[:-1]:
+            is_old = self.keep_us and (newest_s - stat.st_mtime) * 1e6 > self.keep_us
+            is_over = self.keep_most and total > self.keep_most
+            if not is_old and not is_over:
                 break
+            segment_path(self.folder, number).unlink()
+            total -= stat.st_size
 
     def append(self, time_us: int, kind: int, payload: bytes) -> None:
+        """Add a record; it is written with the next ``flush``."""
         self.waiting.append((time_us, kind, payload))
 
     def flush(self) -> None:
@@ -221,33 +104,36 @@
         if not self.waiting:
             return
         rows, self.waiting = self.waiting, []
-        data = blocks.write_block(rows)
+        data = write_block(rows)
         start = self.file.tell()
         try:
             self.write(data)
-            self.settle()
-        except OSError as flaw:
+            self.write_through()
+        except OSError as error:
             self.lost += len(rows)
-            self.back_to(start)
-            raise FullError(f"{path_of(self.folder, self.number)}: {flaw.strerror}") from None
+            self.roll_back(start)
+            path = segment_path(self.folder, self.number)
+            raise FullError(f"{path}: {error.strerror}") from None
         self.written += len(rows)
         if self.file.tell() >= self.segment_most:
-            self.begin()
+            self.file.close()
+            self.begin_segment()
 
     def write(self, data: bytes) -> None:
-        """A disk that is full is made here in tests."""
+        """Write a block; tests replace this to simulate a full disk."""
         self.file.write(data)
 
-    def back_to(self, start: int) -> None:
-        """Half a block must not stand before the next one."""
-        path = path_of(self.folder, self.number)
+    def roll_back(self, start: int) -> None:
+        """Cut the segment back to ``start``: part of a block must not stand before the next one."""
         with contextlib.suppress(OSError):
-            self.file.close()  # what it still held is the half block
-        self.file = open(path, "r+b")  # noqa: SIM115
+            self.file.close()  # what it still buffers is part of the block
+        path = segment_path(self.folder, self.number)
+        self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
         self.file.truncate(start)
         self.file.seek(start)
 
     def close(self) -> None:
+        """Write what waits and close the file; ``FullError`` as for ``flush``."""
         try:
             self.flush()
         finally:
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rainpick.store import Damage, FullError, Gap, Log, Record, StoreError, Torn, blocks, read, segments
-from rainpick.store.blocks import SEGMENT
+from rainpick.store import Damage, FullError, Gap, Log, Record, StoreError, Torn, read, segment_numbers
+from rainpick.store.blocks import SEGMENT_HEADER, read_block
 
 
 def fill(folder, blocks=3, each=4, **words):
@@ -64,14 +64,14 @@
         assert numbers(folder) == [*kept, 77] and not others(folder)
 
 
-@pytest.mark.parametrize("cut", range(SEGMENT.size))
+@pytest.mark.parametrize("cut", range(SEGMENT_HEADER.size))
 def test_a_segment_whose_head_was_not_written_is_begun_again(tmp_path, cut):
     fill(tmp_path).close()
     (tmp_path / "0000000002.seg").write_bytes(b"RPSG\0\1\0\0\0\0\0\0\0\2"[:cut])
     log = Log(tmp_path, sync=False)
     log.append(1, 0, b"payload 50")
     log.close()
-    assert numbers(tmp_path) == [*range(12), 50] and segments(tmp_path) == [1, 2]
+    assert numbers(tmp_path) == [*range(12), 50] and segment_numbers(tmp_path) == [1, 2]
 
 
 @given(st.integers(0, 10_000), st.integers(0, 7))
@@ -88,20 +88,20 @@
     try:
         found = list(read(folder))
     except StoreError as flaw:
-        assert at < SEGMENT.size and "format" in str(flaw)
+        assert at < SEGMENT_HEADER.size and "format" in str(flaw)
         return
     told = [one for one in found if isinstance(one, Damage | Torn)]
     assert told and any(one.at <= at < one.at + one.size for one in told)
     played = [int(one.payload.split()[1]) for one in found if isinstance(one, Record)]
     assert played == [one for one in range(12) if one in played], "in order, none twice"
     assert {one // 4 for one in played} == {block for block in range(3) if block * 4 in played}
-    assert len(played) == (12 if at < SEGMENT.size else 8)
+    assert len(played) == (12 if at < SEGMENT_HEADER.size else 8)
 
 
 def test_a_missing_segment_is_told(tmp_path):
     log = fill(tmp_path, blocks=9, segment_most=100)
     log.close()
-    there = segments(tmp_path)
+    there = segment_numbers(tmp_path)
     assert len(there) > 5
     (tmp_path / "0000000003.seg").unlink()
     (tmp_path / "0000000004.seg").unlink()
@@ -141,10 +141,10 @@
     assert numbers(tmp_path / "size")[-1] == 119
     log.close()
     fill(tmp_path / "age", blocks=4, segment_most=100).close()
-    for number in segments(tmp_path / "age")[:2]:
+    for number in segment_numbers(tmp_path / "age")[:2]:
         os.utime(tmp_path / "age" / f"{number:010d}.seg", (1, 1))
     fill(tmp_path / "age", blocks=1, segment_most=100, keep_us=1_000_000).close()
-    assert segments(tmp_path / "age")[0] == 3
+    assert segment_numbers(tmp_path / "age")[0] == 3
 
 
 def test_blocks_out_of_the_time_asked_for_are_not_read(tmp_path, monkeypatch):
@@ -155,7 +155,12 @@
         log.append(second * 10 + 5, 1, b"b")
         log.flush()
     log.close()
-    unpacked, whole = [], blocks.read_block
-    monkeypatch.setattr(blocks, "read_block", lambda *words: unpacked.append(words) or whole(*words))
+    unpacked = []
+
+    def counting(header, stored):
+        unpacked.append(header)
+        return read_block(header, stored)
+
+    monkeypatch.setattr("rainpick.store.reader.read_block", counting)
     found = [one.time_us for one in read(tmp_path, 100, 125)]
     assert found == [100, 105, 110, 115, 120, 125] and len(unpacked) == 3
