--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -17,7 +17,9 @@
 
 from rainpick.director.listing import ListCache, read_cache, read_list
 from rainpick.model import Endpoint
-from rainpick.record.replay import Hole, lives, play
+from rainpick.record.incarnations import MissingSteps as Hole
+from rainpick.record.incarnations import read_incarnations as lives
+from rainpick.record.replay import replay_incarnation as play
 from rainpick.settings import load, plain_map
 from rainpick.standins.scenario import Scenario
 from rainpick.store import read
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -1,7 +1,6 @@
-"""What differs is told in users' terms, and what can't be told is said."""
+"""Differences are shown in users' terms; inspection, the HTML page and the options of a replay."""
 
 import json
-from pathlib import Path
 
 import pytest
 from click.testing import CliRunner
@@ -10,16 +9,14 @@
 from rainpick.cli import main
 from rainpick.record import inspect
 from rainpick.record.compare import Comparison
-from rainpick.record.load import ModuleError, load_decisions, parse_changes
 from rainpick.record.replay import nth
 from rainpick.record.series import POINTS, TimeSeries
 from rainpick.record.view import FleetView
 from rainpick.store import read
-from tests.record.test_replay import lived, replay_all
+from tests.record.recorded_day import record_day as lived
 
-SAMPLES = Path(__file__).parent / "samples"
 ONE, TWO = ("10.0.0.1", 1), ("10.0.0.1", 2)
-WORDS = {
+SETTINGS = {
     "proxies.pending_max": 100,
     "proxies.pushes_allowed": 4,
     "proxies.counted_over_us": 10_000_000,
@@ -33,16 +30,16 @@
     return model.Endpoint(weight, 0, started_us, 0, 0, address, state)
 
 
-def view():
-    one = FleetView(WORDS)
-    one.apply_events(
+def fleet_view():
+    view = FleetView(SETTINGS)
+    view.apply_events(
         0,
         [
             model.EndpointUpdate(model.UpdateKind.CACHED, (entry(ONE), entry(TWO)), 1),
             model.ProxyJoined(7, True, 1.0, 0),
         ],
     )
-    one.apply_orders(
+    view.apply_orders(
         0,
         [
             model.SetWeight(0, ONE, 1.0),
@@ -51,25 +48,25 @@
             model.RequestAcknowledgement(1, False),
         ],
     )
-    return one
+    return view
 
 
-def test_a_view_counts_what_users_ask_for():
-    one = view()
-    one.apply_events(
+def test_a_view_counts_in_users_terms():
+    view = fleet_view()
+    view.apply_events(
         1_000_000,
         [
             model.Acknowledged(7, 1, 5),
             model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2),
         ],
     )
-    one.apply_orders(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
+    view.apply_orders(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
     assert (
-        one.limits.approaches["drain"].fraction == 0.5
-        and one.limits.approaches["drain"].subject == "10.0.0.1:1"
+        view.limits.approaches["drain"].fraction == 0.5
+        and view.limits.approaches["drain"].subject == "10.0.0.1:1"
     )
-    one.apply_orders(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
-    one.apply_orders(
+    view.apply_orders(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
+    view.apply_orders(
         2_700_000,
         [
             model.SetWithdrawn(TWO, False),
@@ -77,8 +74,8 @@
             model.RequestAcknowledgement(4, False),
         ],
     )
-    one.apply_events(2_800_000, [])
-    one.apply_orders(
+    view.apply_events(2_800_000, [])
+    view.apply_orders(
         2_800_000,
         [
             model.SetWeight(0, TWO, 0.5),
@@ -86,73 +83,73 @@
             model.RequestAcknowledgement(5, False),
         ],
     )
-    one.apply_events(5_800_000, [])
-    found = one.counts
+    view.apply_events(5_800_000, [])
+    found = view.counts
     assert (found["ejections"], found["returns"], found["drains and losses told"]) == (1, 1, 1)
     assert (found["lines laid"], found["weights lowered"], found["weights raised"]) == (2, 1, 1)
-    assert found["messages"] == 5 and found["throttled further"] == 1 and one.throttled_us == 3_000_000
+    assert found["messages"] == 5 and found["throttled further"] == 1 and view.throttled_us == 3_000_000
     assert (
-        one.limits.approaches["messages"].fraction == 5 / 4
-        and one.limits.approaches["queue"].fraction == one.waiting / 100 > 0
+        view.limits.approaches["messages"].fraction == 5 / 4
+        and view.limits.approaches["queue"].fraction == view.waiting / 100 > 0
     )
 
 
-def test_a_cold_server_is_measured_by_what_it_surely_can_do():
-    one = view()
-    one.apply_events(
+def test_a_server_in_slow_start_is_measured_by_what_it_surely_can_do():
+    view = fleet_view()
+    view.apply_events(
         20_000_000, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(TWO, started_us=20_000_000),), 2)]
     )
-    one.apply_orders(20_000_000, [])
-    assert one.limits.approaches["cold"].fraction == pytest.approx(5.0)  # full weight, and it can do a fifth
-    one.apply_orders(20_000_000, [model.SetWeight(0, TWO, 0.1)])
-    assert one.limits.approaches["cold"].fraction == pytest.approx(5.0)
+    view.apply_orders(20_000_000, [])
+    assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)  # full weight, and it can do a fifth
+    view.apply_orders(20_000_000, [model.SetWeight(0, TWO, 0.1)])
+    assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)
 
 
-def test_a_drain_told_table_by_table_is_told_with_the_last():
-    one = view()
-    one.apply_orders(0, [model.SetWeight(1, ONE, 1.0)])
-    one.apply_events(
+def test_a_drain_ends_with_the_last_table():
+    view = fleet_view()
+    view.apply_orders(0, [model.SetWeight(1, ONE, 1.0)])
+    view.apply_events(
         0, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2)]
     )
-    one.apply_orders(500_000, [model.SetWeight(0, ONE, 0.0)])
-    assert "drain" not in one.limits.approaches
-    one.apply_orders(1_000_000, [model.SetWeight(1, ONE, 0.0)])
-    assert one.limits.approaches["drain"].fraction == 0.5
+    view.apply_orders(500_000, [model.SetWeight(0, ONE, 0.0)])
+    assert "drain" not in view.limits.approaches
+    view.apply_orders(1_000_000, [model.SetWeight(1, ONE, 0.0)])
+    assert view.limits.approaches["drain"].fraction == 0.5
 
 
 def test_shares_are_of_calls_and_follow_the_proxies():
-    one = view()
-    assert one.shares() == {ONE: 0.5, TWO: 0.5}
-    one.apply_orders(1, [model.SetWeight(0, ONE, 3.0)])
-    assert one.shares() == {ONE: 0.75, TWO: 0.25}
-    one.apply_orders(2, [model.SetWithdrawn(ONE, True)])
-    assert one.shares() == {TWO: 1.0}
-    one.apply_events(3, [model.ProxyLeft(7)])
-    assert one.shares() == {}
-
-
-def test_where_the_two_part_too_far_the_replay_says_that_it_no_longer_tells():
-    both = Comparison(0, WORDS, WORDS)
+    view = fleet_view()
+    assert view.shares() == {ONE: 0.5, TWO: 0.5}
+    view.apply_orders(1, [model.SetWeight(0, ONE, 3.0)])
+    assert view.shares() == {ONE: 0.75, TWO: 0.25}
+    view.apply_orders(2, [model.SetWithdrawn(ONE, True)])
+    assert view.shares() == {TWO: 1.0}
+    view.apply_events(3, [model.ProxyLeft(7)])
+    assert view.shares() == {}
+
+
+def test_a_replay_is_valid_until_too_many_calls_go_elsewhere():
+    comparison = Comparison(0, SETTINGS, SETTINGS)
     first = [
         model.SetWeight(0, ONE, 1.0),
         model.SetWeight(0, TWO, 1.0),
         model.BindProxy(0, 1, 7),
         model.RequestAcknowledgement(1, False),
     ]
-    both.apply(0, [model.ProxyJoined(7, True, 1.0, 0)], first, first)
+    comparison.apply(0, [model.ProxyJoined(7, True, 1.0, 0)], first, first)
     for second in range(1, 20):
-        both.apply(second * 1_000_000, [], [], [])
-    assert both.result().valid_until_s is None
-    both.apply(20_000_000, [], [], [model.SetWithdrawn(ONE, True)])
+        comparison.apply(second * 1_000_000, [], [], [])
+    assert comparison.result().valid_until_s is None
+    comparison.apply(20_000_000, [], [], [model.SetWithdrawn(ONE, True)])
     for second in range(21, 40):
-        both.apply(second * 1_000_000, [], [], [])
-    found = both.result()
+        comparison.apply(second * 1_000_000, [], [], [])
+    found = comparison.result()
     # Half of the calls go elsewhere: over a fifth of ten seconds from the fifth such second on.
     assert found.valid_until_s == 24 and 0.2 < found.diverted < 0.3
     assert {row.server for row in found.share_changes} == {"10.0.0.1:1", "10.0.0.1:2"}
 
 
-def test_series_keep_their_size_and_their_means_however_long_the_day():
+def test_a_series_keeps_its_size_and_its_means_however_long_the_day():
     series = TimeSeries(0)
     for second in range(10_000):
         series.add(second * 1_000_000, second % 2)
@@ -160,36 +157,6 @@
     assert POINTS <= len(points) <= 2 * POINTS and all(value == 0.5 for _, value in points)
 
 
-def test_a_record_of_before_types_were_said_is_read_and_replays():
-    (one,) = replay_all(SAMPLES / "without-types")
-    assert one.steps == 78 and one.differing == 0 and one.missing is None
-
-
-def test_another_text_of_the_module_is_told_by_what_it_does(tmp_path):
-    lived(tmp_path / "day")
-    text = Path(__file__).parents[2] / "rainpick" / "decisions" / "director.py"
-    (tmp_path / "slow.py").write_text(text.read_text().replace(" = 4, 1.6, 0.6", " = 10**9, 1.6, 0.6"))
-    (one,) = replay_all(tmp_path / "day", load_decisions(tmp_path / "slow.py"), compare=True)
-    assert one.differing and one.comparison.counts["lines"][0] != one.comparison.counts["lines"][1]
-    (same,) = replay_all(tmp_path / "day", load_decisions(text))
-    assert same.differing == 0
-    for words, why in (
-        ("x = 1\n", "has no Director"),
-        ("1 / 0\n", "ZeroDivisionError"),
-        ("(", "SyntaxError"),
-    ):
-        (tmp_path / "bad.py").write_text(words)
-        with pytest.raises(ModuleError, match=why):
-            load_decisions(tmp_path / "bad.py")
-
-
-def test_changes_are_json_or_text_and_have_a_name():
-    assert parse_changes(["a=1", "b=x", 'c="1"', "d=[1, 2]"]) == {"a": 1, "b": "x", "c": "1", "d": [1, 2]}
-    for word in ("a", "=1"):
-        with pytest.raises(ValueError, match="NAME=VALUE"):
-            parse_changes([word])
-
-
 def test_each_factor_of_a_weight_is_told_and_their_product_is_the_weight(tmp_path):
     lived(tmp_path)
     life, steps = nth(lambda: read(tmp_path), -1)
@@ -244,7 +211,7 @@
     assert found.exit_code == 2 and why in found.output
 
 
-def test_the_page_holds_charts_and_is_whole(tmp_path):
+def test_the_page_holds_charts_and_loads_nothing(tmp_path):
     lived(tmp_path / "day")
     page = tmp_path / "page.html"
     words = ["replay", str(tmp_path / "day"), "--set", "rules.warm_after_us=20000000", "--html", str(page)]
--- /dev/null
+++ b/tests/record/test_recorder.py
@@ -0,0 +1,74 @@
+"""A live director is recorded; a slow or full disk loses steps and says so."""
+
+import errno
+import time
+
+from rainpick import model
+from rainpick.record.incarnations import MissingSteps, read_incarnations
+from rainpick.record.recorder import Recorder
+from rainpick.record.steps import Step
+from rainpick.store import Record, read
+from tests.loopback.help import MemberEnd, ProxyEnd, running, status
+from tests.record.recorded_day import INCARNATION, replay_all
+from tests.waiting import until
+
+
+def test_a_live_director_is_recorded_over_sockets_and_replays_exactly(tmp_path):
+    folder = tmp_path / "day"
+    for _ in range(2):  # two incarnations in one record
+        with running(f'record: {{folder: "{folder}", sync: false}}') as daemon:
+            fleet = MemberEnd(daemon, 9001, 9002, 9003)
+            proxy = ProxyEnd(daemon, "edge-1")
+            proxy.until(lambda held: len(held) == 3)
+            fleet.quiesce(9002)
+            proxy.until(lambda held: len(held) == 2)
+            assert status(daemon)["record"]["lost"] == 0
+    results = replay_all(folder)
+    assert len(results) == 2
+    assert all(not result.differing and result.missing is None for result in results)
+    assert all(result.orders > 5 for result in results)
+
+
+def test_a_slow_disk_never_blocks_the_core_and_lost_steps_are_counted(tmp_path, monkeypatch):
+    monkeypatch.setattr("rainpick.record.recorder.QUEUE_MOST", 8)
+    recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
+    slow = recorder.store.append
+    recorder.store.append = lambda *words: (time.sleep(0.05), slow(*words))
+    begin = time.monotonic()
+    for now in range(100):
+        recorder.step(now, [model.TimerFired(now)], [])
+    assert time.monotonic() - begin < 0.1 and recorder.lost > 50
+    recorder.store.append = slow
+    until(lambda: recorder.queue.empty())
+    recorder.step(1000, [], [])
+    recorder.close()
+    ((_, steps),) = read_incarnations(read(tmp_path))
+    missing = [step for step in steps if isinstance(step, MissingSteps)]
+    assert missing and "were not recorded" in missing[-1].reason
+
+
+def test_a_disk_that_fills_up_within_a_block_loses_that_block(tmp_path):
+    """The core goes on, lost steps are counted, and the replay of that incarnation ends there."""
+    recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
+    recorder.step(1, [model.TimerFired(1)], [])
+    until(lambda: recorder.store.written >= 1)
+    whole = recorder.store.write
+
+    def half(data):
+        recorder.store.file.write(data[: len(data) // 2])
+        raise OSError(errno.ENOSPC, "No space left on device")
+
+    recorder.store.write = half
+    for now in range(2, 12):
+        recorder.step(now, [model.TimerFired(now)], [])
+    until(lambda: recorder.lost >= 10)
+    recorder.store.write = whole
+    recorder.step(50, [model.TimerFired(50)], [])
+    recorder.close()
+    ((_, steps),) = read_incarnations(read(tmp_path))
+    entries = list(steps)
+    assert [entry.now for entry in entries if isinstance(entry, Step)] == [1, 50]
+    assert [entry for entry in entries if isinstance(entry, MissingSteps)] == [
+        MissingSteps("10 steps were not recorded")
+    ]
+    assert all(isinstance(entry, Record) for entry in read(tmp_path))
