--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -173,8 +173,10 @@
         for server, (recorded, replayed) in self.share_series.items():
             name = format_address(server)
             distances[name] = sum(
-                abs(one[1] - other[1])
-                for one, other in zip(recorded.points(), replayed.points(), strict=False)
+                abs(recorded_share - replayed_share)
+                for (_, recorded_share), (_, replayed_share) in zip(
+                    recorded.points(), replayed.points(), strict=False
+                )
             )
             changes.append(
                 ShareChange(name, recorded_sums[server] / samples, replayed_sums[server] / samples)
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -38,7 +38,7 @@
 </style></head><body>
 <h1>{{ title }}</h1>
 {% for run in replays %}
-<h2>Director {{ run.director }}, from {{ run.begun }}</h2>
+<h2>Director {{ run.director }}, from {{ run.started }}</h2>
 {% if not run.differing %}
 <p class="good">{{ run.steps }} steps played again: every one of {{ run.orders }} orders is the same.</p>
 {% else %}
@@ -111,6 +111,7 @@
     until_s = compared.valid_until_s
 
     def share_chart(change: ShareChange) -> str:
+        """One server's share of the calls on both sides."""
         recorded, replayed = compared.share_series[change.server]
         return chart([("recorded", recorded), ("replayed", replayed)], "share", until_s)
 
@@ -169,10 +170,10 @@
 def replay_fields(result: ReplayResult) -> dict[str, Any]:
     """What the template needs of a replay."""
     incarnation, compared = result.incarnation, result.comparison
-    begun = datetime.fromtimestamp(incarnation.wall_us / 1e6, UTC).isoformat(sep=" ", timespec="seconds")
+    started = datetime.fromtimestamp(incarnation.wall_us / 1e6, UTC).isoformat(sep=" ", timespec="seconds")
     fields: dict[str, Any] = {
         "director": incarnation.director,
-        "begun": begun,
+        "started": started,
         "steps": result.steps,
         "orders": result.orders,
         "differing": result.differing,
