--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -9,9 +9,10 @@
 from benchmarks.peers import folder
 from rainpick import model
 from rainpick.director.engine import Engine
+from rainpick.record.incarnations import read_incarnations
 from rainpick.record.recorder import Recorder
-from rainpick.record.replay import lives, play
-from rainpick.record.steps import Life
+from rainpick.record.replay import replay_incarnation
+from rainpick.record.steps import Incarnation
 from rainpick.settings import parse
 from rainpick.store import Log, read
 
@@ -86,7 +87,7 @@
     engine, chance, turns = Engine(parse(TEXT), 5, 1_000_000), random.Random(3), []
     recorder = None
     if sync is not None:
-        life = Life(0, "bench", "", 1_000_000, 1_000_000, {})
+        life = Incarnation(0, "bench", "", 1_000_000, 1_000_000, {})
         recorder = Recorder(folder() / f"live{sync}", life, 64 << 20, 0, 0, sync)
         engine.stepper.watch = recorder.step
     engine.list_changed(model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1))
@@ -133,7 +134,7 @@
     off = [day(2, None, plain)[0] for _ in range(3)]
     on, lost = [], 0
     for turn in range(3):
-        life = Life(0, "bench", "", 1_000_000, 1_000_000, {})
+        life = Incarnation(0, "bench", "", 1_000_000, 1_000_000, {})
         recorder = Recorder(folder() / f"cost{turn}", life, 64 << 20, 0, 0, False)
 
         def slowly(*words, recorder=recorder):  # virtual time outruns any disk: a live core would not wait
@@ -154,7 +155,7 @@
             f"a turn of the core at {part:.1%}: off {without:.0f} us, recording {with_it:.0f} us, "
             f"{with_it / without:.2f} times"
         )
-    life = Life(0, "bench", "", 1_000_000, 1_000_000, {})
+    life = Incarnation(0, "bench", "", 1_000_000, 1_000_000, {})
     recorder = Recorder(place, life, 64 << 20, 0, 0, False)
 
     def step(*words):
@@ -170,7 +171,7 @@
         f"{size / events:.1f} bytes an event, {size * 144 / 1e9 * 10 / MINUTES:.2f} GB a day"
     )
     begin = time.perf_counter()
-    (one,) = [play(life, rows) for life, rows in lives(read(place))]
+    (one,) = [replay_incarnation(life, rows) for life, rows in read_incarnations(read(place))]
     took = time.perf_counter() - begin
     print(
         f"replay: {took:.2f} s for {MINUTES} minutes, a day of 24 h in "
@@ -178,7 +179,7 @@
         f"{took / core_s:.2f} times the engine's own time"
     )
     begin = time.perf_counter()
-    (one,) = [play(life, rows, compare=True) for life, rows in lives(read(place))]
+    (one,) = [replay_incarnation(life, rows, compare=True) for life, rows in read_incarnations(read(place))]
     told = time.perf_counter() - begin
     rows = sum(len(pair[0]) + len(pair[1]) for pair in one.compared.series.values())
     print(f"the same, told in users' terms: {told / took:.2f} times that; {rows} points kept")
--- a/rainpick/cli/inspect_output.py
+++ b/rainpick/cli/inspect_output.py
@@ -12,9 +12,9 @@
 from rainpick.cli.errors import WRONG_CALL, CommandError
 from rainpick.decisions.director import Director
 from rainpick.record import inspect
-from rainpick.record.clock import reach_together
-from rainpick.record.replay import nth
-from rainpick.record.steps import Life
+from rainpick.record.clock import replay_until
+from rainpick.record.incarnations import select_incarnation
+from rainpick.record.steps import Incarnation
 from rainpick.store import read
 
 END_OF_TIME_US = 1 << 62
@@ -37,9 +37,9 @@
         if len(folders) == 1:
             directors = [_director_at(folders[0], until_s, session_number, module)]
         else:
-            sessions = reach_together(folders, until_s, module)
-            directors = [(playing.life, inspect.whole(playing)) for playing in sessions]
-        reports = [inspect.asked_for(director, subject) for _, director in directors]
+            sessions = replay_until(folders, until_s, module)
+            directors = [(replay.incarnation, inspect.completed(replay)) for replay in sessions]
+        reports = [inspect.inspect_subject(director, subject) for _, director in directors]
     except LookupError as error:
         raise CommandError(str(error), WRONG_CALL) from None
     if as_json:
@@ -53,9 +53,9 @@
 
 def _director_at(
     folder: Path, until_s: float | None, session_number: int, module: Callable[[], Director]
-) -> tuple[Life, Director]:
+) -> tuple[Incarnation, Director]:
     """One session of a record, and its director as it was ``until_s`` seconds after the session began."""
-    session, steps = nth(lambda: read(folder), session_number)
+    session, steps = select_incarnation(lambda: read(folder), session_number)
     until_us = END_OF_TIME_US if until_s is None else session.now + int(until_s * 1e6)
     return session, inspect.reach(session, steps, until_us, module)
 
--- a/rainpick/cli/record_commands.py
+++ b/rainpick/cli/record_commands.py
@@ -75,10 +75,10 @@
 @report_errors
 def export(folder: str, file: BinaryIO) -> None:
     """Write a record as lines of JSON."""
-    from rainpick.record.exchange import write
+    from rainpick.record.exchange import export_lines
     from rainpick.store import read
 
-    for line in write(read(Path(folder))):
+    for line in export_lines(read(Path(folder))):
         file.write(line)
 
 
--- a/rainpick/cli/record_output.py
+++ b/rainpick/cli/record_output.py
@@ -9,8 +9,8 @@
 from rich.table import Table
 
 from rainpick.cli.terminal import print_rich
-from rainpick.record.clock import reports_by_time, together
-from rainpick.record.replay import Hole, lives
+from rainpick.record.clock import merge_by_wall_clock, reports_by_time
+from rainpick.record.incarnations import MissingSteps, read_incarnations
 from rainpick.record.schema import describe
 from rainpick.store import read
 
@@ -18,11 +18,11 @@
 def print_sessions(folder: Path) -> None:
     """Print a row for each session of a director, from one start of it to the next."""
     table = Table("director", "epoch", "module", "begun (UTC)", "seconds", "steps", "holes")
-    for session, steps in lives(read(folder)):
+    for session, steps in read_incarnations(read(folder)):
         step_count = gap_count = 0
         last_us = session.now
         for step in steps:
-            if isinstance(step, Hole):
+            if isinstance(step, MissingSteps):
                 gap_count += 1
             else:
                 step_count += 1
@@ -47,16 +47,16 @@
     or command. Steps before ``begin_s`` and after ``end_s`` are left out.
     """
     first_us = None
-    for moment in together(folders):
+    for moment in merge_by_wall_clock(folders):
         first_us = moment.wall_us if first_us is None else first_us
         second = (moment.wall_us - first_us) / 1e6
         if second < begin_s:
             continue
         if end_s is not None and second > end_s:
             break
-        prefix = f"{second:10.3f} {moment.life.director} {moment.place:>7}"
-        if isinstance(moment.step, Hole):
-            click.echo(f"{prefix} hole     {moment.step.why}")
+        prefix = f"{second:10.3f} {moment.incarnation.director} {moment.position:>7}"
+        if isinstance(moment.step, MissingSteps):
+            click.echo(f"{prefix} hole     {moment.step.reason}")
             continue
         for event in moment.step.events:
             click.echo(f"{prefix} heard    {describe(event)}")
@@ -67,10 +67,10 @@
 def print_reports_by_time(folders: list[Path]) -> None:
     """Print load reports by the begin of the time that they are about, with both positions in the order."""
     for folder in folders:
-        for session, steps in lives(read(folder)):
+        for session, steps in read_incarnations(read(folder)):
             for position, received_position, report in reports_by_time(steps):
                 second = (report.began_us - session.now) / 1e6
-                delay_s = (report.heard_us - report.began_us) / 1e6
+                delay_s = (report.received_us - report.began_us) / 1e6
                 click.echo(
                     f"{second:10.3f} {session.director} {position:>7} heard as {received_position:>7}, "
                     f"{delay_s:.3f} s after its begin: {describe(report.event)}"
--- a/rainpick/cli/replay_command.py
+++ b/rainpick/cli/replay_command.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from rainpick.decisions.director import Director
-    from rainpick.record.replay import Played
+    from rainpick.record.replay import ReplayResult
 
 
 @click.command("replay")
@@ -31,7 +31,11 @@
     "--settings", "settings_file", type=FILE, help="Another settings file, in place of the recorded one."
 )
 @click.option(
-    "--module", "module_file", type=FILE, help="Another text of the module; it is run as it stands."
+    "--module",
+    "module_path",
+    type=click.Path(),
+    metavar="FILE",
+    help="Another text of the module; it is run as it stands.",
 )
 @click.option(
     "--until",
@@ -57,7 +61,7 @@
     folders: tuple[str, ...],
     overrides: tuple[str, ...],
     settings_file: str | None,
-    module_file: str | None,
+    module_path: str | None,
     until_s: float | None,
     subject: str | None,
     session_number: int,
@@ -70,37 +74,37 @@
     """
     from rainpick.cli.inspect_output import print_inspection
     from rainpick.cli.replay_output import print_replays
-    from rainpick.record.clock import play_together
+    from rainpick.record.clock import replay_together
 
     paths = [Path(folder) for folder in folders]
-    changes, director = _alternatives(overrides, module_file)
+    changes, director = _alternatives(overrides, module_path)
     replacement = plain_map(load(settings_file)) if settings_file else None
     if subject:
         print_inspection(paths, subject, until_s, session_number, director, as_json)
         return
-    replays = play_together(paths, director, changes, replacement, compare=True)
+    replays = replay_together(paths, director, changes, replacement, compare=True)
     if not replays:
         raise CommandError(f"no life of a director is in {', '.join(folders)}", WRONG_CALL)
     if page_file:
         _write_page(Path(page_file), paths, replays)
     print_replays(replays, as_json)
-    sys.exit(FAILED if any(played.differing or played.hole for played in replays) else 0)
+    sys.exit(FAILED if any(played.differing or played.missing for played in replays) else 0)
 
 
 def _alternatives(
-    overrides: tuple[str, ...], module_file: str | None
+    overrides: tuple[str, ...], module_path: str | None
 ) -> tuple[dict[str, Any], Callable[[], Director]]:
     """The settings that are overridden, and the decision module to play with."""
     from rainpick.decisions.director import Director
-    from rainpick.record.load import ModuleError, changes, module
+    from rainpick.record.load import ModuleError, load_decisions, parse_changes
 
     try:
-        return changes(list(overrides)), module(Path(module_file)) if module_file else Director
+        return parse_changes(list(overrides)), load_decisions(Path(module_path)) if module_path else Director
     except (ValueError, ModuleError) as error:
         raise click.BadParameter(str(error)) from None
 
 
-def _write_page(path: Path, folders: list[Path], replays: list[Played]) -> None:
+def _write_page(path: Path, folders: list[Path], replays: list[ReplayResult]) -> None:
     """Write the report as one HTML page."""
     from rainpick.record.page import page
 
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -31,8 +31,9 @@
 from rainpick.net.streams import Stream
 from rainpick.otlp.metrics import Batch
 from rainpick.publish.pins import PinError, Pins
-from rainpick.record.recorder import Recorder, module_digest
-from rainpick.record.steps import Life
+from rainpick.record.digest import decisions_digest
+from rainpick.record.recorder import Recorder
+from rainpick.record.steps import Incarnation
 from rainpick.sasp import codec
 from rainpick.sasp.codec import Deregistration, GetWeights, Group, Registration, SetLbState, SetMemberState
 from rainpick.sasp.session import Asked, Refused, reply
@@ -240,10 +241,10 @@
     def record(self, now: int) -> None:
         """Keep what the decisions are told and order, from the first step on."""
         words = self.settings.record
-        life = Life(
+        life = Incarnation(
             self.settings.director.number,
             self.subscribers.epoch,
-            module_digest(),
+            decisions_digest(),
             time.time_ns() // 1000,
             now,
             self.settings.model_dump(mode="json"),
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -1,7 +1,8 @@
-"""What a director held at a moment of a recorded day, and why a weight is what it is.
+"""What a director knew at a moment of a recorded day, and why a weight is what it is.
 
-The factors of a weight are asked of the module itself: it is given the same state with a cause taken away,
-and what changes is that cause's part. Nothing of its arithmetic is written here a second time.
+The factors of a weight are asked of the decisions themselves: they are given the same state without a cause,
+and what changes is that cause's factor. Nothing of their arithmetic is written here a second time. The names
+in what is returned are those that ``--inspect --json`` has always printed.
 """
 
 from __future__ import annotations
@@ -15,11 +16,16 @@
 from rainpick.decisions.slow_start import Conditions
 from rainpick.decisions.tables import Table
 from rainpick.model import EndpointState
-from rainpick.record.replay import Hole, Playing
-from rainpick.record.steps import Life, Step
-from rainpick.record.view import named
+from rainpick.record.incarnations import MissingSteps
+from rainpick.record.replay import Replay
+from rainpick.record.schema import format_address
+from rainpick.record.steps import Incarnation, Step
 
-STATES = {EndpointState.GONE: "gone", EndpointState.READY: "ready", EndpointState.DRAINING: "draining"}
+STATES: dict[int, str] = {
+    EndpointState.GONE: "gone",
+    EndpointState.READY: "ready",
+    EndpointState.DRAINING: "draining",
+}
 
 
 class InspectError(LookupError):
@@ -34,48 +40,52 @@
 
 
 def reach(
-    life: Life, steps: Iterable[Step | Hole], until_us: int, module: Callable[[], Director] = Director
+    incarnation: Incarnation,
+    steps: Iterable[Step | MissingSteps],
+    until_us: int,
+    director_factory: Callable[[], Director] = Director,
 ) -> Director:
-    """The module as it was after the last step at or before ``until_us``, by the director's clock."""
-    playing = Playing(life, module)
+    """The director as it was after the last step at or before ``until_us``, by its own clock."""
+    replay = Replay(incarnation, director_factory)
     for step in steps:
         if isinstance(step, Step) and step.now > until_us:
             break
-        playing.take(step)
-    if not playing.steps and playing.hole is None:
+        replay.apply(step)
+    if not replay.steps and replay.missing is None:
         raise InspectError("nothing was recorded before that moment")
-    return whole(playing)
+    return completed(replay)
 
 
-def whole(playing: Playing) -> Director:
-    """The module of a life that was played without a hole."""
-    if playing.hole is not None:
-        raise InspectError(f"steps are missing before that moment: {playing.hole.why}")
-    return playing.director
+def completed(replay: Replay) -> Director:
+    """The director of a replay without missing steps; ``InspectError`` if some are missing."""
+    if replay.missing is not None:
+        raise InspectError(f"steps are missing before that moment: {replay.missing.reason}")
+    return replay.director
 
 
-def asked_for(director: Director, words: str) -> dict[str, Any]:
-    """``fleet``, ``server=HOST:PORT``, ``table=N`` or ``proxy=N``."""
-    kind, _, name = words.partition("=")
+def inspect_subject(director: Director, subject: str) -> dict[str, Any]:
+    """What is known of ``fleet``, ``server=HOST:PORT``, ``table=N`` or ``proxy=N``."""
+    kind, _, name = subject.partition("=")
     if kind == "fleet":
         return fleet(director)
     if kind == "server":
         return server(director, name)
     if kind in ("table", "proxy") and name.isdecimal():
         return (table if kind == "table" else proxy)(director, int(name))
-    raise InspectError(f"{words!r} is not fleet, server=HOST:PORT, table=N or proxy=N")
+    raise InspectError(f"{subject!r} is not fleet, server=HOST:PORT, table=N or proxy=N")
 
 
-def find(director: Director, words: str) -> ServerState:
+def find(director: Director, address_text: str) -> ServerState:
     """The server whose address is printed so; ``InspectError`` if there is none."""
     servers = director.fleet.servers
     for address, server_state in servers.items():
-        if named(address) == words:
+        if format_address(address) == address_text:
             return server_state
-    raise InspectError(f"no server {words!r} is held; there are " + some(map(named, servers)))
+    raise InspectError(f"no server {address_text!r} is held; there are " + some(map(format_address, servers)))
 
 
 def some(names: Iterable[Any]) -> str:
+    """The first few names, for an error message."""
     names = [str(name) for name in names]
     return ", ".join(names[:8]) + (f" and {len(names) - 8} more" if len(names) > 8 else "") or "none"
 
@@ -135,14 +145,14 @@
     return [Factor("of another zone", local), Factor("cold, and few of the table are warm", rest)]
 
 
-def server(director: Director, words: str) -> dict[str, Any]:
-    """All that is known of a server. ``words``: its address as it is printed."""
-    state = find(director, words)
+def server(director: Director, address_text: str) -> dict[str, Any]:
+    """All that is known of a server. ``address_text``: its address as it is printed."""
+    state = find(director, address_text)
     clock, entry = director.fleet.clock, state.endpoint
     now = clock.now
     attempts, failures, latency_us = state.observations.sums(clock.bucket)
     return {
-        "server": words,
+        "server": address_text,
         "state": STATES.get(state.status, "dropped by a list that may be wrong"),
         "listed_weight": entry.weight,
         "zone": entry.zone,
@@ -177,7 +187,7 @@
     if state is None:
         raise InspectError(f"there is no table {number}; there are {len(tables)}")
     members = {
-        named(address): server
+        format_address(address): server
         for address, server in director.fleet.servers.items()
         if number in server.published_weights
     }
@@ -233,5 +243,7 @@
         "left_to_the_cold": capacity.warming_fraction,
         "limit_of_calls": director.admission.limit,
         "eased_types": {str(number): factor for number, factor in factors.items() if factor < 1},
-        "ejected": [named(address) for address, server in fleet.servers.items() if server.ejected_until_us],
+        "ejected": [
+            format_address(address) for address, server in fleet.servers.items() if server.ejected_until_us
+        ],
     }
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -19,7 +19,8 @@
 from rainpick.model import Endpoint
 from rainpick.operator_settings import translate_lines as operators_settings
 from rainpick.operator_settings import translate_nested as nested
-from rainpick.record.replay import Hole, lives, play
+from rainpick.record.incarnations import MissingSteps, read_incarnations
+from rainpick.record.replay import replay_incarnation
 from rainpick.settings import load, plain_map
 from rainpick.standins.scenario import Scenario
 from rainpick.store import read
@@ -84,19 +85,19 @@
 
 
 def test_a_recorded_day_gives_the_same_orders_again():
-    day, slices = [play(life, steps) for life, steps in lives(read(RECORDS["day"]))]
-    assert (day.steps, day.orders, day.differing, day.hole) == (123, 129, 0, None)
-    assert (slices.steps, slices.orders, slices.differing, slices.hole) == (18, 31, 0, None)
+    day, slices = [replay_incarnation(life, steps) for life, steps in read_incarnations(read(RECORDS["day"]))]
+    assert (day.steps, day.orders, day.differing, day.missing) == (123, 129, 0, None)
+    assert (slices.steps, slices.orders, slices.differing, slices.missing) == (18, 31, 0, None)
 
 
 @ALL_RECORDS
 def test_every_step_is_read_to_the_end_with_the_values_of_the_export(name):
     found = []
-    for life, steps in lives(read(RECORDS[name])):
+    for life, steps in read_incarnations(read(RECORDS[name])):
         found.append(plain(tuple(life)[:6]))
         for step in steps:
-            if isinstance(step, Hole):
-                found.append(step.why)
+            if isinstance(step, MissingSteps):
+                found.append(step.reason)
             else:
                 now, events, orders = step
                 found.append(
@@ -134,9 +135,13 @@
 def test_an_export_is_imported_replayed_and_exported_again(name, tmp_path):
     folder = tmp_path / "record"
     rainpick("record", "import", EXPECTED / f"{name}-export.jsonl", folder)
-    again = [(one.steps, one.orders, one.differing) for one in (play(*both) for both in lives(read(folder)))]
+    again = [
+        (one.steps, one.orders, one.differing)
+        for one in (replay_incarnation(*both) for both in read_incarnations(read(folder)))
+    ]
     before = [
-        (one.steps, one.orders, one.differing) for one in (play(*both) for both in lives(read(RECORDS[name])))
+        (one.steps, one.orders, one.differing)
+        for one in (replay_incarnation(*both) for both in read_incarnations(read(RECORDS[name])))
     ]
     assert again == before
     assert rainpick("record", "export", folder) == expected(f"{name}-export.jsonl")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,6 +11,7 @@
 import pytest
 from click.testing import CliRunner
 
+from rainpick import decisions
 from rainpick.cli import main
 from rainpick.standins.day import free_ports
 from tests.loopback.help import MemberEnd, ProxyEnd, running
@@ -200,3 +201,15 @@
         assert result.exit_code == code and verdict["good"] == (code == 0), result.output
         assert len(verdict["rules"]) == 5 and verdict["routes"]["lookup"]["asked"] > 10
     assert run("audit", str(tmp_path / "logs")).exit_code == 0
+
+
+def test_replay_takes_a_folder_of_decision_modules(tmp_path):
+    folder = tmp_path / "decisions"
+    shutil.copytree(Path(decisions.__file__).parent, folder, ignore=shutil.ignore_patterns("__pycache__"))
+    assert run("replay", str(RECORD), "--module", str(folder)).exit_code == 0
+    with open(folder / "send_queue.py", "a") as file:
+        file.write("\n\nSendQueue.fits = lambda queue, lines, claim: False\n")
+    assert run("replay", str(RECORD), "--module", str(folder)).exit_code == 1
+    (folder / "director.py").unlink()
+    result = run("replay", str(RECORD), "--module", str(folder))
+    assert result.exit_code == 2 and "director.py" in result.output
