--- a/rainpick/node/core.py
+++ b/rainpick/node/core.py
@@ -9,12 +9,13 @@
 from rainpick.decisions.director import Director
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.director.stepper import Stepper
-from rainpick.node.belief import Listing, Roster
 from rainpick.node.clock import Clock
 from rainpick.node.codec import Call, Doubt, Members, Merged, call
 from rainpick.node.configuration import Configuration
+from rainpick.node.endpoint_list import EndpointList
 from rainpick.node.log import log
 from rainpick.node.mailbox import Mailbox
+from rainpick.node.proxy_membership import ProxyMembership
 
 IDLE_S = 1.0
 STATUS_US = 10_000_000
@@ -41,8 +42,8 @@
         self.mailbox, self.send, self.clock = mailbox, send, Clock()
         self.round_us = told.settings.get("round_us", 1_000)
         self.stepper = Stepper(told.seed, told.settings, module)
-        self.listing, self.roster = Listing(self.clock), Roster()
-        self.stepper.events.append(self.listing.take(known, model.UpdateKind.CACHED))
+        self.endpoints, self.membership = EndpointList(self.clock), ProxyMembership()
+        self.stepper.events.append(self.endpoints.apply(known, model.UpdateKind.CACHED))
         self.stepped_us = self.unknown = 0
         self.status_us = self.clock() + STATUS_US
         self.channel_us, self.channel = 0, None
@@ -63,7 +64,7 @@
         for item in news:
             self.hear(item)
         for report in reports:
-            if type(report) is model.ServerLoadReport and not self.listing.knows(report.server):
+            if type(report) is model.ServerLoadReport and not self.endpoints.knows(report.server):
                 self.unknown += 1
             else:
                 self.stepper.events.append(report)
@@ -96,13 +97,13 @@
     def hear(self, item: object) -> None:
         kind = type(item)
         if kind is Members:
-            self.stepper.events.append(self.listing.take(item))
+            self.stepper.events.append(self.endpoints.apply(item))
         elif kind is Merged:
-            self.roster.merged(item)
+            self.membership.merge_nonces(item)
         elif kind is Doubt:
-            self.stepper.events += [model.Retransmitted(mark) for mark in self.roster.marks(item.number)]
+            self.stepper.events += [model.Retransmitted(mark) for mark in self.membership.nonces(item.number)]
         else:
-            self.stepper.events += self.roster.take(item)
+            self.stepper.events += self.membership.handle(item)
 
     def step(self, now: int) -> None:
         self.stepped_us = now
@@ -118,11 +119,11 @@
 
     def figures(self) -> dict:
         """What the director believes and did, for the log."""
-        stepper, listing = self.stepper, self.listing
+        stepper, endpoints = self.stepper, self.endpoints
         return {
-            "joined": len(self.roster.joined),
-            "servers": len(listing.entries),
-            "version": listing.version,
+            "joined": len(self.membership.joined),
+            "servers": len(endpoints.entries),
+            "version": endpoints.version,
             "steps": stepper.steps,
             "events": stepper.heard,
             "orders": stepper.ordered,
--- a/rainpick/node/relay.py
+++ b/rainpick/node/relay.py
@@ -9,7 +9,6 @@
 from collections.abc import Callable
 from itertools import count
 
-from rainpick.node.belief import Begun, Over, Told
 from rainpick.node.codec import (
     Call,
     Doubt,
@@ -25,6 +24,7 @@
 )
 from rainpick.node.configuration import Names
 from rainpick.node.log import log
+from rainpick.node.proxy_membership import StreamClosed, StreamEvent, StreamOpened
 
 PIECE = 65_536
 DIAL_S = 0.1  # a relay that is back is found within that
@@ -219,7 +219,7 @@
 
 
 class Subscription:
-    """Subscribes, again and again; ``give`` is handed lists of ``Begun``, ``Told`` and ``Over``.
+    """Subscribes, again and again; ``give`` is handed lists of the types of ``proxy_membership``.
 
     A stream is read by a thread of its own: at a new address the next one begins while the former is still
     read, until the old address ends it.
@@ -269,7 +269,7 @@
         except Exception as error:  # whatever it was, this stream is over, and only another one can help
             log.warning("news broke off", why=str(error) or type(error).__name__)
         finally:
-            self.give([Over(number)])
+            self.give([StreamClosed(number)])
             time.sleep(AGAIN_S)  # before the next one, if this was the newest
             with self.changed:
                 self.ended = max(self.ended, number)
@@ -291,10 +291,10 @@
                         raise ValueError(f"not subscribed: {line[:80]!r}")
                     begun = True
                     self.streams += 1
-                    found.append(Begun(number))
+                    found.append(StreamOpened(number))
                     continue
                 try:
-                    found.append(Told(number, news(line, self.names)))
+                    found.append(StreamEvent(number, news(line, self.names)))
                 except MalformedError as error:
                     self.malformed += 1
                     log.warning("news dropped", why=str(error))
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -14,8 +14,8 @@
 from rainpick.http1 import server as http
 from rainpick.mqtt import codec as mqtt
 from rainpick.net import Ended
-from rainpick.node import belief, configuration
 from rainpick.node import codec as platform
+from rainpick.node import configuration, proxy_membership
 from rainpick.publish import payloads
 from rainpick.sasp import codec as sasp
 
@@ -59,8 +59,8 @@
     "platform: discovery": platform.Members,
     "platform: names": configuration.Names,
     "platform: configuration": configuration.Configuration,
-    "platform: stream begun": belief.Begun,
-    "platform: stream told": belief.Told,
+    "platform: stream begun": proxy_membership.StreamOpened,
+    "platform: stream told": proxy_membership.StreamEvent,
     "stream ended": Ended,
     "mqtt: will": mqtt.Will,
     "mqtt: connect": mqtt.Connect,
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -3,9 +3,9 @@
 import pytest
 
 from rainpick import model
-from rainpick.node.belief import Listing
 from rainpick.node.clock import OFFSETS_MOST, Clock
 from rainpick.node.codec import members
+from rainpick.node.endpoint_list import EndpointList
 from tests.node.platform import NAMES, entry
 
 SECOND, HOUR = 1_000_000, 3_600_000_000
@@ -72,15 +72,15 @@
 def test_what_was_told_of_a_start_stands_while_it_is_told_the_same():
     """A list told again after a step must not make every warm server cold, nor undo a ramp."""
     machine = Machine()
-    listing = Listing(machine.clock)
+    endpoints = EndpointList(machine.clock)
     tell = [entry(1, started_ms=machine.wall() // 1000 - 60_000), entry(2, started_ms=machine.wall() // 1000)]
     news = members({"generation": 1, "reset": True, "instances": tell}, NAMES)
-    first = listing.take(news, model.UpdateKind.CACHED).endpoints
+    first = endpoints.apply(news, model.UpdateKind.CACHED).endpoints
     machine.real += 5 * SECOND
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
-        assert listing.take(news).endpoints == first
+        assert endpoints.apply(news).endpoints == first
     restarted = members(
         {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]}, NAMES
     )
-    assert listing.take(restarted).endpoints[0].started_us == pytest.approx(machine.clock(), abs=1_000)
+    assert endpoints.apply(restarted).endpoints[0].started_us == pytest.approx(machine.clock(), abs=1_000)
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -12,10 +12,10 @@
 from rainpick.net.streams import Stream
 from rainpick.node import relay as relay_module
 from rainpick.node import watch as watch_module
-from rainpick.node.belief import Told
 from rainpick.node.codec import Doubt, FrameReader, Ping, call
 from rainpick.node.listener import CollectorListener
 from rainpick.node.mailbox import Mailbox
+from rainpick.node.proxy_membership import StreamEvent
 from rainpick.node.relay import Calls, Subscription
 from rainpick.node.watch import Watch
 from tests.node.platform import NAMES, Discovery, Peer, Relay, cleared, entry, following, states
@@ -270,9 +270,9 @@
     monkeypatch.setattr(relay_module, "dial", dials)
     news = Subscription(relay.address, NAMES, found.extend)
     threading.Thread(target=news.run, daemon=True).start()
-    until(lambda: Told(1, Ping()) in found, "a heartbeat")
+    until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
     news.move(other.address)
-    until(lambda: found.count(Told(2, Ping())) > 2, "the stream at the new address")
+    until(lambda: found.count(StreamEvent(2, Ping())) > 2, "the stream at the new address")
     assert news.newest == 2 and len(news_threads()) == 1
     other.close()
 
--- /dev/null
+++ b/tests/node/test_proxy_membership.py
@@ -0,0 +1,100 @@
+"""Which proxies are joined between two streams of the relay's notifications."""
+
+from rainpick import model
+from rainpick.node import proxy_membership
+from rainpick.node.codec import Merged, Ping
+from rainpick.node.proxy_membership import ProxyMembership, StreamClosed, StreamEvent, StreamOpened
+
+
+def joined(proxy):
+    return model.ProxyJoined(proxy, False, 1.0, 0)
+
+
+def handle_all(membership, *notifications, stream=1):
+    """The events for notifications on one stream."""
+    return [
+        event
+        for notification in notifications
+        for event in membership.handle(StreamEvent(stream, notification))
+    ]
+
+
+def with_joined(*proxies):
+    membership = ProxyMembership()
+    membership.handle(StreamOpened(1))
+    assert handle_all(membership, *map(joined, proxies), Ping()) == [joined(proxy) for proxy in proxies]
+    return membership
+
+
+def test_a_stream_after_a_break_reports_all_joins_again_and_who_has_left():
+    membership = with_joined(1, 2, 3)
+    membership.handle(StreamClosed(1))
+    membership.handle(StreamOpened(2))
+    # 1 may have left and come back unseen, its binding lost: it has to be bound again.
+    assert handle_all(membership, joined(1), stream=2) == [joined(1)]
+    assert handle_all(membership, joined(3), model.ProxyLeft(3), stream=2) == [joined(3), model.ProxyLeft(3)]
+    assert handle_all(membership, Ping(), stream=2) == [model.ProxyLeft(2)] and set(membership.joined) == {1}
+    assert handle_all(membership, Ping(), stream=2) == []
+
+
+def test_no_join_is_reported_twice_after_a_change_of_address():
+    """Each new configuration bound all proxies anew: two thousand lines, most of a second of the channel."""
+    membership = with_joined(1, 2, 3)
+    membership.handle(StreamOpened(2))
+    assert handle_all(membership, joined(1), joined(4), stream=2) == [joined(4)]
+    assert handle_all(membership, Ping()) == [], "the former stream is alive, and has not listed anything"
+    assert handle_all(membership, joined(2), stream=2) == []
+    assert handle_all(membership, Ping(), stream=2) == [model.ProxyLeft(3)]
+    assert membership.handle(StreamClosed(1)) == [] and set(membership.joined) == {1, 2, 4}
+    assert handle_all(membership, joined(1), stream=2) == [joined(1)], "it came back after the listing"
+
+
+def test_a_former_stream_that_was_dead_leaves_all_joins_unconfirmed():
+    """Cut off before the new configuration came, it had missed whatever happened since."""
+    membership = with_joined(1, 2)
+    membership.handle(StreamOpened(2))
+    assert handle_all(membership, joined(1), joined(2), Ping(), stream=2) == []
+    assert handle_all(membership, model.ProxyLeft(2), stream=2) == [model.ProxyLeft(2)]
+    assert membership.handle(StreamClosed(1)) == [joined(1)]
+    assert membership.handle(StreamClosed(1)) == []
+
+
+def test_late_joins_and_leaves_on_a_former_stream_are_reported_as_joins():
+    """It left and came back just before the new stream listed it: the notification of that comes last."""
+    membership = with_joined(1, 2)
+    membership.handle(StreamOpened(2))
+    assert handle_all(membership, joined(1), Ping(), stream=2) == [model.ProxyLeft(2)]
+    late = handle_all(membership, model.ProxyLeft(1), joined(1), joined(2), stream=1)
+    assert late == [joined(1), joined(1)]
+    assert set(membership.joined) == {1}
+
+
+def test_notifications_of_a_proxy_that_is_not_joined_are_dropped():
+    membership = with_joined()
+    assert handle_all(membership, model.ProxyLeft(1), model.Acknowledged(1, 5, 0)) == []
+    handle_all(membership, joined(1))
+    assert handle_all(membership, model.Acknowledged(1, 5, 0)) == [model.Acknowledged(1, 5, 0)]
+
+
+def test_the_nonce_of_merged_calls_acknowledges_all_of_them():
+    """A proxy that only the earlier one reached would never have answered, and counts as waiting for good."""
+    membership = with_joined(1)
+    membership.merge_nonces(Merged(7, (5, 6)))
+    membership.merge_nonces(Merged(9, (7, 8)))  # the merged one had to wait again
+    nonces = [event.nonce for event in handle_all(membership, model.Acknowledged(1, 9, 20))]
+    assert nonces == [5, 6, 7, 8, 9]
+    assert [event.nonce for event in handle_all(membership, model.Acknowledged(1, 4, 20))] == [4]
+    for nonce in range(100, 100 + 2 * proxy_membership.MERGED_NONCE_LIMIT):
+        membership.merge_nonces(Merged(nonce, (1,)))
+    assert len(membership.merged_nonces) == proxy_membership.MERGED_NONCE_LIMIT
+
+
+def test_of_two_changes_of_address_the_last_one_counts_whichever_opens_first():
+    """The earlier one opened last and was taken for the newest: no proxy that joined then got a table."""
+    membership = with_joined(1)
+    membership.handle(StreamOpened(3))
+    membership.handle(StreamOpened(2))
+    assert handle_all(membership, joined(1), joined(4), stream=2) == [], "that is not the current stream"
+    assert handle_all(membership, joined(1), joined(5), Ping(), stream=3) == [joined(5)]
+    assert membership.handle(StreamClosed(2)) == [] and not membership.superseded
+    assert handle_all(membership, joined(6), stream=3) == [joined(6)]
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -7,8 +7,8 @@
 
 from rainpick import model
 from rainpick.node import relay as relay_module
-from rainpick.node.belief import Begun, Told
 from rainpick.node.codec import Merged, Ping, call
+from rainpick.node.proxy_membership import StreamEvent, StreamOpened
 from rainpick.node.relay import Calls, Subscription
 from tests.node.platform import NAMES, Relay, cleared
 from tests.waiting import until
@@ -138,27 +138,27 @@
 
 def turns(found):
     """Tuples of one number are equal whatever they are called: their names say which they are."""
-    return [f"{type(one).__name__} {one.stream}" for one in found if type(one) is not Told]
+    return [f"{type(one).__name__} {one.stream}" for one in found if type(one) is not StreamEvent]
 
 
 def events(found, stream):
     return [
         one.event
         for one in found
-        if type(one) is Told and one.stream == stream and type(one.event) is not Ping
+        if type(one) is StreamEvent and one.stream == stream and type(one.event) is not Ping
     ]
 
 
 def test_news_begin_with_who_is_joined(relay):
     relay.attach(1)
     with listening(relay) as (_, found):
-        until(lambda: Told(1, Ping()) in found, "a heartbeat")
-        assert type(found[0]) is Begun
+        until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
+        assert type(found[0]) is StreamOpened
         relay.tell("detach", node=1)
         relay.tell("done", node=1, nonce=5, latency=2.5)
         relay.tell("done", node=99, nonce=5, latency=2.5)  # nobody: dropped
         relay.tell("detach", node=2)
-        until(lambda: Told(1, model.ProxyLeft(2)) in found, "the last of them")
+        until(lambda: StreamEvent(1, model.ProxyLeft(2)) in found, "the last of them")
         assert events(found, 1) == [
             model.ProxyJoined(1, True, 10.0, 0),
             model.ProxyLeft(1),
@@ -170,7 +170,7 @@
 def test_news_that_fall_silent_break_off_or_cannot_be_read_are_asked_for_anew(relay, monkeypatch):
     monkeypatch.setattr(relay_module, "SILENT_S", 0.5)
     with listening(relay) as (news, found):
-        until(lambda: Told(1, Ping()) in found, "a heartbeat")
+        until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
         relay.silent = True
         until(lambda: news.streams == 2, "a second stream after silence")
         relay.silent = False
@@ -178,21 +178,29 @@
         until(lambda: news.streams == 3, "a third after a break")
         relay.readers[-1].sendall(b"\x00\x01nonsense\n")
         until(lambda: news.streams == 4, "a fourth after nonsense")
-        assert turns(found) == ["Begun 1", "Over 1", "Begun 2", "Over 2", "Begun 3", "Over 3", "Begun 4"]
+        assert turns(found) == [
+            "StreamOpened 1",
+            "StreamClosed 1",
+            "StreamOpened 2",
+            "StreamClosed 2",
+            "StreamOpened 3",
+            "StreamClosed 3",
+            "StreamOpened 4",
+        ]
 
 
 def test_news_begin_at_a_new_address_before_they_end_at_the_old_one(relay):
     other = Relay()
     other.attach(2)
     with listening(relay) as (news, found):
-        until(lambda: Told(1, Ping()) in found, "a heartbeat")
+        until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
         news.move(other.address)
         until(lambda: events(found, 2) == [model.ProxyJoined(2, True, 10.0, 0)], "who is joined there")
         relay.tell("done", node=2, nonce=5, latency=2.5)
         until(lambda: events(found, 1) == [model.Acknowledged(2, 5, 2500)], "what the old address still says")
         relay.close()
-        until(lambda: "Over 1" in turns(found), "its end")
-        assert turns(found) == ["Begun 1", "Begun 2", "Over 1"] and news.streams == 2
+        until(lambda: "StreamClosed 1" in turns(found), "its end")
+        assert turns(found) == ["StreamOpened 1", "StreamOpened 2", "StreamClosed 1"] and news.streams == 2
     other.close()
 
 
@@ -200,9 +208,9 @@
     monkeypatch.setattr(relay_module, "FORMER_S", 0.3)
     other = Relay()
     with listening(relay) as (news, found):
-        until(lambda: Told(1, Ping()) in found, "a heartbeat")
+        until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
         news.move(other.address)
-        until(lambda: "Over 1" in turns(found), "the end of the old one")
+        until(lambda: "StreamClosed 1" in turns(found), "the end of the old one")
         assert news.streams == 2
     other.close()
 
@@ -221,5 +229,5 @@
     given = []
     subscription = Subscription(relay.address, NAMES, given.extend)
     threading.Thread(target=subscription.run, daemon=True).start()
-    until(lambda: Begun in map(type, given), "the news")
+    until(lambda: StreamOpened in map(type, given), "the news")
     assert len(failures) == 3
