--- /dev/null
+++ b/rainpick/node/command_rendering.py
@@ -0,0 +1,56 @@
+"""Commands of the decisions as the relay reads them: a JSON object each. Free of I/O."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Sequence
+from typing import Any, TypeAlias
+
+from rainpick import model
+
+TableCommand: TypeAlias = (
+    model.SetWeight | model.ClearTable | model.BindProxy | model.SetWithdrawn | model.SetAdmission
+)
+
+
+def render_command(command: TableCommand | model.RequestAcknowledgement, routes: Sequence[str]) -> bytes:
+    """One command in the relay's words. ``routes``: their names by index."""
+    return json.dumps(relay_object(command, routes), separators=(",", ":")).encode()
+
+
+def relay_object(
+    command: TableCommand | model.RequestAcknowledgement, routes: Sequence[str]
+) -> dict[str, Any]:
+    """The relay's object for a command; ``TypeError`` for a command that is not for the relay."""
+    match command:
+        case model.SetWeight(table, server, weight):
+            return {"verb": "share", "cluster": table, "endpoint": server, "w": weight}
+        case model.ClearTable(table):
+            return {"verb": "clear", "cluster": table}
+        case model.BindProxy(table, route_set, proxy):
+            return {
+                "verb": "bind",
+                "node": proxy,
+                "cluster": table,
+                "for": route_names(route_set, routes),
+            }
+        case model.SetWithdrawn(server, withdrawn):
+            return {"verb": "withdraw" if withdrawn else "restore", "endpoint": server}
+        case model.SetAdmission(table, route_set, rate, retry_policy):
+            return {
+                "verb": "admit",
+                "cluster": "*" if table == model.ALL_TABLES else table,
+                "for": route_names(route_set, routes),
+                "gate": rate,
+                "again": retry_policy,
+            }
+        case model.RequestAcknowledgement(nonce, all_proxies):
+            return {"verb": "mark", "stamp": nonce, "set": int(all_proxies)}
+    raise TypeError(f"the relay has no command {type(command).__name__}")
+
+
+def route_names(route_set: int, routes: Sequence[str]) -> list[str]:
+    """The names of a set of routes, a bit a route."""
+    return [
+        name for index, name in enumerate(routes) if route_set == model.ALL_ROUTES or route_set >> index & 1
+    ]
--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -1,118 +1,164 @@
-"""What the platform tells a director: the environment and a JSON file, at the start and on SIGHUP."""
+"""What the platform tells a director, at the start and on SIGHUP: an environment variable and a JSON file."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Mapping
-from typing import NamedTuple
+from typing import Any, NamedTuple, TypeAlias, TypeVar
 
 from rainpick.wording import nested
 
-# The platform's words for the values of a load report, and the settings' words for the same.
-LOAD_WORDS = {
-    "inflight": "rif",
-    "queue": "q",
-    "util": "busy",
-    "latency_ms": "lat_ms",
-    "qps": "rate",
-    "eps": "fail_rate",
+Kind = TypeVar("Kind")
+SocketAddress: TypeAlias = tuple[str, int]  # host and port
+
+DEFAULT_TIME_LIMIT_US = 60_000_000  # of a route that has none in the settings
+# By the settings' names of a load report's metrics, the names in load reports.
+METRIC_NAMES = {
+    "rif": "inflight",
+    "q": "queue",
+    "busy": "util",
+    "lat_ms": "latency_ms",
+    "rate": "qps",
+    "fail_rate": "eps",
 }
 
 
 class ConfigurationError(Exception):
-    """A configuration that can't be used; it says where, what stood there and what is allowed."""
+    """An unusable configuration: it says which file, where in it, what stands there and what is allowed."""
 
 
-class Names(NamedTuple):
-    """What may be named in messages, by its index in the settings."""
+class Vocabulary(NamedTuple):
+    """What messages may name, by its index in the settings, and the limits of what they may say."""
 
     zones: dict[str, int]
     routes: dict[str, int]
-    machines: dict[str, int]
-    loads: tuple[str, ...]  # of a load report, in the settings' order, in the messages' words
-    proxies: int
-    time_most_ms: float  # no answered try takes longer
+    machine_types: dict[str, int]
+    load_metrics: tuple[str, ...]  # of a load report, in the settings' order, by their names in messages
+    proxies: int  # proxies are numbered from 0
+    attempt_limit_ms: float  # no answered attempt takes longer
 
 
 class Configuration(NamedTuple):
-    name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
-    relay: tuple[str, int]
+    """The configuration file, checked."""
+
+    name: str  # of this director
+    listen: SocketAddress
+    discovery: SocketAddress
+    relay: SocketAddress
     seed: int
     cores: float
-    sockets: int
-    known: dict
-    settings: dict  # the module's map
-    names: Names
-
-
-def place(path: str, where: str, text: object) -> tuple[str, int]:
-    host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ConfigurationError(f"{path}: {where}: {text!r} is not HOST:PORT")
-    return host, int(port)
-
-
-def within(path: str, tree: object, where: str, kind: type | tuple) -> object:
-    """The value at a dotted place; only of this kind."""
-    value = tree
-    for name in where.split("."):
-        value = value.get(name) if isinstance(value, dict) else None
-    if not isinstance(value, kind) or isinstance(value, bool):
-        wanted = " or ".join(one.__name__ for one in (kind if isinstance(kind, tuple) else (kind,)))
-        raise ConfigurationError(f"{path}: {where}: {value!r} is not of the kind {wanted}")
-    return value
-
-
-def named(path: str, tree: dict, where: str) -> dict[str, int]:
-    found = within(path, tree, where, list)
-    if not found or not all(isinstance(name, str) for name in found):
-        raise ConfigurationError(f"{path}: {where}: {found!r} is not a list of names")
-    return {name: number for number, name in enumerate(found)}
-
-
-def read(environment: Mapping[str, str]) -> Configuration:
-    """The file that ``PROXY_CONFIG`` names; ``ConfigurationError`` if it is missing or can't be used."""
+    sockets: int  # that the process may have open
+    cached_list: dict[str, Any]  # an answer of discovery from before the start
+    settings: dict[str, Any]  # of the decisions, flat, by dotted path
+    vocabulary: Vocabulary
+
+
+class ConfigurationFile:
+    """The JSON object of a file; its methods raise ``ConfigurationError`` for what is missing or unusable."""
+
+    def __init__(self, path: str):
+        self.path = path
+        try:
+            with open(path, "rb") as file:
+                tree = json.load(file)
+        except (OSError, ValueError, RecursionError) as error:
+            raise ConfigurationError(f"{path}: {error}") from None
+        if not isinstance(tree, dict):
+            raise ConfigurationError(f"{path}: a JSON object is wanted")
+        self.tree: dict[str, Any] = tree
+
+    def find(self, where: str) -> Any:
+        """The value at a dotted path; None if there is none."""
+        value: Any = self.tree
+        for name in where.split("."):
+            value = value.get(name) if isinstance(value, dict) else None
+        return value
+
+    def value(self, where: str, kind: type[Kind]) -> Kind:
+        """The value at a dotted path, of this kind."""
+        value = self.find(where)
+        if not isinstance(value, kind) or isinstance(value, bool):
+            raise self.error(where, value, f"of the kind {kind.__name__}")
+        return value
+
+    def number(self, where: str) -> float:
+        """The number at a dotted path."""
+        value = self.find(where)
+        if not isinstance(value, int | float) or isinstance(value, bool):
+            raise self.error(where, value, "of the kind int or float")
+        return value
+
+    def indices(self, where: str) -> dict[str, int]:
+        """The list of names at a dotted path, as the index of each name."""
+        names: list[Any] = self.value(where, list)
+        if not names or not all(isinstance(name, str) for name in names):
+            raise self.error(where, names, "a list of names")
+        return {name: index for index, name in enumerate(names)}
+
+    def route_names(self) -> list[str]:
+        """The names of the routes."""
+        routes: list[Any] = self.value("settings.grades", list)
+        if not routes or not all(
+            isinstance(route, dict) and isinstance(route.get("name"), str) for route in routes
+        ):
+            raise self.error("settings.grades", routes, "a list of objects with a name")
+        return [route["name"] for route in routes]
+
+    def address(self, where: str, text: object) -> SocketAddress:
+        """The address that stands at a dotted path as this text."""
+        host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+        if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
+            raise self.error(where, text, "HOST:PORT")
+        return host, int(port)
+
+    def seed(self) -> int:
+        """The seed, written in hexadecimal digits."""
+        text = self.value("seed", str)
+        try:
+            return int(text, 16)
+        except ValueError:
+            raise self.error("seed", text, "a number in hexadecimal digits") from None
+
+    def error(self, where: str, value: object, allowed: str) -> ConfigurationError:
+        """The error for a value that is not what is allowed there."""
+        return ConfigurationError(f"{self.path}: {where}: {value!r} is not {allowed}")
+
+
+def read_configuration(environment: Mapping[str, str]) -> Configuration:
+    """The file that ``PROXY_CONFIG`` names; ``ConfigurationError`` if it is missing or unusable."""
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigurationError("PROXY_CONFIG: not set; it names the configuration file")
-    try:
-        with open(path, "rb") as file:
-            tree = json.load(file)
-    except (OSError, ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{path}: {error}") from None
-    if not isinstance(tree, dict):
-        raise ConfigurationError(f"{path}: a JSON object is wanted")
-    settings = nested(within(path, tree, "settings", dict))
-    routes = within(path, tree, "settings.grades", list)
-    if not routes or not all(isinstance(one, dict) and isinstance(one.get("name"), str) for one in routes):
-        raise ConfigurationError(f"{path}: settings.grades: {routes!r} is not a list of objects with a name")
-    loads = {ours: word for word, ours in LOAD_WORDS.items()}
-    wanted = (tree["settings"].get("stats") or {}).get("names") or []
-    limits = [settings.get(f"routes.{number}.time_limit_us", 60_000_000) for number in range(len(routes))]
-    names = Names(
-        named(path, tree, "settings.failureDomains"),
-        {route["name"]: at for at, route in enumerate(routes)},
-        named(path, tree, "settings.machineTypes"),
-        tuple(loads.get(word, word) for word in wanted),
-        int(within(path, tree, "settings.domain.proxyCount", (int, float))),
-        2 * max(limits) / 1000,
-    )
-    seed = within(path, tree, "seed", str)
-    try:
-        seed = int(seed, 16)
-    except ValueError:
-        raise ConfigurationError(f"{path}: seed: {seed!r} is not a number in hexadecimal digits") from None
+    file = ConfigurationFile(path)
+    settings: dict[str, Any] = nested(file.value("settings", dict))
+    vocabulary = read_vocabulary(file, settings)
+    seed = file.seed()
     return Configuration(
-        within(path, tree, "name", str),
-        place(path, "listen", tree.get("listen")),
-        place(path, "discovery", tree.get("discovery")),
-        place(path, "registry.address", within(path, tree, "registry.address", str)),
+        file.value("name", str),
+        file.address("listen", file.find("listen")),
+        file.address("discovery", file.find("discovery")),
+        file.address("registry.address", file.value("registry.address", str)),
         seed,
-        float(within(path, tree, "limits.cores", (int, float))),
-        int(within(path, tree, "limits.sockets", (int, float))),
-        within(path, tree, "known", dict),
+        float(file.number("limits.cores")),
+        int(file.number("limits.sockets")),
+        file.value("known", dict),
         settings,
-        names,
+        vocabulary,
+    )
+
+
+def read_vocabulary(file: ConfigurationFile, settings: Mapping[str, Any]) -> Vocabulary:
+    """What the settings allow messages to name. ``settings``: the same settings, flat."""
+    routes = file.route_names()
+    metrics = (file.tree["settings"].get("stats") or {}).get("names") or []
+    time_limits_us = [
+        settings.get(f"routes.{index}.time_limit_us", DEFAULT_TIME_LIMIT_US) for index in range(len(routes))
+    ]
+    return Vocabulary(
+        file.indices("settings.failureDomains"),
+        {name: index for index, name in enumerate(routes)},
+        file.indices("settings.machineTypes"),
+        tuple(METRIC_NAMES.get(metric, metric) for metric in metrics),
+        int(file.number("settings.domain.proxyCount")),
+        2 * max(time_limits_us) / 1000,
     )
--- a/rainpick/node/core.py
+++ b/rainpick/node/core.py
@@ -10,8 +10,9 @@
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.director.stepper import Stepper
 from rainpick.node.clock import Clock
-from rainpick.node.codec import Call, Doubt, Members, Merged, call
+from rainpick.node.commit_calls import CommitCall, MergedNonces, UnconfirmedCall, commit_call
 from rainpick.node.configuration import Configuration
+from rainpick.node.endpoint_discovery import DiscoveryAnswer
 from rainpick.node.endpoint_list import EndpointList
 from rainpick.node.log import log
 from rainpick.node.mailbox import Mailbox
@@ -34,9 +35,9 @@
     def __init__(
         self,
         told: Configuration,
-        known: Members,
+        known: DiscoveryAnswer,
         mailbox: Mailbox,
-        send: Callable[[Call], None],
+        send: Callable[[CommitCall], None],
         module: Callable[[], Director] = Director,
     ):
         self.mailbox, self.send, self.clock = mailbox, send, Clock()
@@ -96,12 +97,12 @@
 
     def hear(self, item: object) -> None:
         kind = type(item)
-        if kind is Members:
+        if kind is DiscoveryAnswer:
             self.stepper.events.append(self.endpoints.apply(item))
-        elif kind is Merged:
+        elif kind is MergedNonces:
             self.membership.merge_nonces(item)
-        elif kind is Doubt:
-            self.stepper.events += [model.Retransmitted(mark) for mark in self.membership.nonces(item.number)]
+        elif kind is UnconfirmedCall:
+            self.stepper.events += [model.Retransmitted(mark) for mark in self.membership.nonces(item.nonce)]
         else:
             self.stepper.events += self.membership.handle(item)
 
@@ -113,7 +114,7 @@
                 log.info("note", text=order.text)
         # The list is followed anyway, whether the module subscribes or not.
         spoken = (model.LogMessage, model.Subscribe, model.FetchEndpoints)
-        said = call([order for order in orders if type(order) not in spoken])
+        said = commit_call([order for order in orders if type(order) not in spoken])
         if said is not None:
             self.send(said)
 
--- a/rainpick/node/endpoint_list.py
+++ b/rainpick/node/endpoint_list.py
@@ -7,7 +7,7 @@
 
 from rainpick import model
 from rainpick.node.clock import Clock
-from rainpick.node.codec import Members
+from rainpick.node.endpoint_discovery import DiscoveryAnswer
 
 DEPARTED_LIMIT = 512  # departed endpoints that are remembered, as their last load reports come late
 
@@ -32,18 +32,18 @@
         self.start_times: dict[model.Address, StartTime] = {}
         self.version: int | None = None
 
-    def apply(self, answer: Members, kind: model.UpdateKind | None = None) -> model.EndpointUpdate:
+    def apply(self, answer: DiscoveryAnswer, kind: model.UpdateKind | None = None) -> model.EndpointUpdate:
         """Apply an answer and return the event for it.
 
         ``kind`` is given for an answer that discovery did not give just now, such as the cached list.
         """
         if kind is None:
             kind = model.UpdateKind.FULL if answer.full else model.UpdateKind.DELTA
-        endpoints = tuple(map(self.with_local_start, answer.servers))
+        endpoints = tuple(map(self.with_local_start, answer.endpoints))
         if kind != model.UpdateKind.DELTA:
             # An entry that can't be read says nothing of its endpoint: what was known of it stands.
             endpoints += tuple(
-                self.entries[address] for address in sorted(answer.unread & self.entries.keys())
+                self.entries[address] for address in sorted(answer.unreadable & self.entries.keys())
             )
             self.remove(self.entries.keys() - {endpoint.address for endpoint in endpoints})
         self.remove(
--- a/rainpick/node/listener.py
+++ b/rainpick/node/listener.py
@@ -9,8 +9,14 @@
 
 from rainpick.net import Ended
 from rainpick.net.streams import Listener, Stream
-from rainpick.node.codec import HEARTBEAT_OK, Collector, FrameReader, Heartbeat, Malformed
-from rainpick.node.configuration import Names
+from rainpick.node.configuration import Vocabulary
+from rainpick.node.frame_codec import (
+    HEARTBEAT_ANSWER,
+    CollectorJoined,
+    FrameReader,
+    Heartbeat,
+    MalformedReport,
+)
 from rainpick.node.log import log
 from rainpick.node.mailbox import Mailbox
 
@@ -23,7 +29,7 @@
 class CollectorListener:
     """Listens at once; ``start`` lets peers in. Only a peer's own reading thread writes to it."""
 
-    def __init__(self, listen: tuple[str, int], names: Names, sockets: int, mailbox: Mailbox):
+    def __init__(self, listen: tuple[str, int], names: Vocabulary, sockets: int, mailbox: Mailbox):
         self.names, self.mailbox, self.lock = names, mailbox, threading.Lock()
         self.most = max(1, min(STRANGERS_MOST, sockets // 4))
         self.numbers = count(1)
@@ -76,14 +82,14 @@
         kind = type(found)
         if kind is Heartbeat:
             self.counts["heartbeats"] += 1
-            stream.write(HEARTBEAT_OK)
+            stream.write(HEARTBEAT_ANSWER)
             if len(stream.rest) > UNREAD_MOST:
                 self.let_go(stream)
-        elif kind is Collector:
+        elif kind is CollectorJoined:
             self.collect(stream, found.zone)
-        elif kind is Malformed:
+        elif kind is MalformedReport:
             self.counts["malformed"] += 1
-            log.warning("report dropped", peer=stream.peer, why=found.why)
+            log.warning("report dropped", peer=stream.peer, why=found.reason)
         elif kind is Ended:
             self.ended(stream, found)
         else:
--- a/rainpick/node/process.py
+++ b/rainpick/node/process.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from queue import Empty, SimpleQueue
 
-from rainpick.node.codec import Members, members
-from rainpick.node.configuration import Configuration, ConfigurationError, read
+from rainpick.node.configuration import Configuration, ConfigurationError, read_configuration
 from rainpick.node.core import Core
+from rainpick.node.endpoint_discovery import DiscoveryAnswer, parse_discovery_answer
 from rainpick.node.listener import CollectorListener
 from rainpick.node.log import log
 from rainpick.node.mailbox import Mailbox
@@ -40,10 +40,10 @@
 
     def __init__(self, told: Configuration, signals: SimpleQueue):
         self.told, self.signals, mailbox = told, signals, Mailbox()
-        self.listener = CollectorListener(told.listen, told.names, told.sockets, mailbox)
-        self.calls = Calls(told.relay, list(told.names.routes), mailbox.put)
-        self.subscription = Subscription(told.relay, told.names, lambda found: mailbox.put(*found))
-        self.watch = Watch(told.discovery, told.names, mailbox.put)
+        self.listener = CollectorListener(told.listen, told.vocabulary, told.sockets, mailbox)
+        self.calls = Calls(told.relay, list(told.vocabulary.routes), mailbox.put)
+        self.subscription = Subscription(told.relay, told.vocabulary, lambda found: mailbox.put(*found))
+        self.watch = Watch(told.discovery, told.vocabulary, mailbox.put)
         self.core = Core(told, known(told), mailbox, self.calls.put)
         self.core.status = self.figures
         self.readings = 0  # of the configuration that are still to be tried
@@ -88,7 +88,7 @@
         """Take up new addresses; a file that can't be used leaves all as it is, and is soon read again."""
         first, self.readings = self.readings == READ_AGAIN, self.readings - 1
         try:
-            told = read(os.environ)
+            told = read_configuration(os.environ)
             if told.name != self.told.name:
                 raise ConfigurationError(f"name: {told.name!r} is not {self.told.name!r}: another director's")
         except ConfigurationError as error:
@@ -113,13 +113,13 @@
         os._exit(0)
 
 
-def known(told: Configuration) -> Members:
+def known(told: Configuration) -> DiscoveryAnswer:
     """The list as it was last known; one that can't be read costs a start from nothing, not the start."""
     try:
-        found = members(told.known, told.names)
+        found = parse_discovery_answer(told.cached_list, told.vocabulary)
     except ValueError as error:
         log.error("known list left out", why=str(error))
-        return Members(0, True, (), (), frozenset())
+        return DiscoveryAnswer(0, True, (), (), frozenset())
     for error in found.errors:
         log.error("entry of the known list left out", why=error)
     return found
@@ -136,7 +136,7 @@
     threading.stack_size(STACK)
     sys.setswitchinterval(SWITCH_S)
     try:
-        node = Node(read(os.environ), signals)
+        node = Node(read_configuration(os.environ), signals)
     except (ConfigurationError, OSError, ValueError) as error:
         sys.exit(f"rainpick.node: {error}")
     node.run()
--- a/rainpick/node/proxy_membership.py
+++ b/rainpick/node/proxy_membership.py
@@ -2,15 +2,14 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple, TypeAlias
+from typing import NamedTuple
 
 from rainpick import model
-from rainpick.node.codec import Merged, Ping
+from rainpick.node.commit_calls import MergedNonces
+from rainpick.node.relay_notifications import Ping, ProxyEvent
 
 MERGED_NONCE_LIMIT = 64  # remembered nonces that stand for earlier ones; they are acknowledged long before
 
-ProxyEvent: TypeAlias = model.ProxyJoined | model.ProxyLeft | model.Acknowledged
-
 
 class StreamOpened(NamedTuple):
     """A subscription is accepted: its stream first lists all joined proxies, up to its first ``Ping``."""
@@ -133,13 +132,13 @@
         """The nonces that this one stands for, in their order, and the nonce itself."""
         return *self.merged_nonces.get(nonce, ()), nonce
 
-    def merge_nonces(self, merged: Merged) -> None:
+    def merge_nonces(self, merged: MergedNonces) -> None:
         """Remember that calls were sent as one, with the last one's nonce.
 
         A proxy that only an earlier one of these calls concerns acknowledges that nonce, too.
         """
-        self.merged_nonces.pop(merged.number, None)
-        self.merged_nonces[merged.number] = tuple(
+        self.merged_nonces.pop(merged.nonce, None)
+        self.merged_nonces[merged.nonce] = tuple(
             nonce for earlier in merged.earlier for nonce in self.nonces(earlier)
         )
         while len(self.merged_nonces) > MERGED_NONCE_LIMIT:
--- a/rainpick/node/relay.py
+++ b/rainpick/node/relay.py
@@ -9,22 +9,14 @@
 from collections.abc import Callable
 from itertools import count
 
-from rainpick.node.codec import (
-    Call,
-    Doubt,
-    LineReader,
-    MalformedError,
-    Merged,
-    NotTaken,
-    Taken,
-    answer,
-    load_json,
-    merged,
-    news,
-)
-from rainpick.node.configuration import Names
+from rainpick.node.commit_answers import BUSY, Accepted, Rejected, parse_answer
+from rainpick.node.commit_calls import CommitCall, MergedNonces, UnconfirmedCall, merge_calls
+from rainpick.node.configuration import Vocabulary
+from rainpick.node.line_reader import LineReader
 from rainpick.node.log import log
+from rainpick.node.message_fields import MalformedMessageError, load_json
 from rainpick.node.proxy_membership import StreamClosed, StreamEvent, StreamOpened
+from rainpick.node.relay_notifications import parse_notification
 
 PIECE = 65_536
 DIAL_S = 0.1  # a relay that is back is found within that
@@ -51,13 +43,18 @@
     """Sends calls strictly in order. One that may or may not have been carried out is sent again, whole,
     before anything newer: repeated in its place it is harmless, as every order says how things are to be.
 
-    Calls that had to wait go as one, see ``codec.merged``; ``tell`` is handed what their marks stand for, and
+    Calls that had to wait go as one, see ``merge_calls``; ``tell`` is handed what their marks stand for, and
     the marks that are said again.
     """
 
-    def __init__(self, place: tuple[str, int], routes: list[str], tell: Callable[[Merged | Doubt], None]):
+    def __init__(
+        self,
+        place: tuple[str, int],
+        routes: list[str],
+        tell: Callable[[MergedNonces | UnconfirmedCall], None],
+    ):
         self.place, self.routes, self.tell, self.queue = place, routes, tell, queue.SimpleQueue()
-        self.waiting: list[Call] = []  # taken from the queue and not yet answered, the next one first
+        self.waiting: list[CommitCall] = []  # taken from the queue and not yet answered, the next one first
         self.finishing: list[threading.Event] = []  # to be set once nothing waits
         self.sock: socket.socket | None = None
         self.dialled: tuple[str, int] | None = None
@@ -66,7 +63,7 @@
         self.refusals = 0  # of the part that is sent now, not for being busy
         self.most: int | None = None  # orders in a part, while one that the relay refuses is searched for
 
-    def put(self, call: Call) -> None:
+    def put(self, call: CommitCall) -> None:
         self.queue.put(call)
 
     def finish(self, most_s: float) -> None:
@@ -98,13 +95,13 @@
         try:
             while True:
                 item = self.queue.get(wait_s > 0 and not taken, wait_s)
-                (self.waiting if type(item) is Call else self.finishing).append(item)
+                (self.waiting if type(item) is CommitCall else self.finishing).append(item)
                 taken += 1
         except queue.Empty:
             pass
         if taken and len(self.waiting) > 1:
             self.counts["merged"] += len(self.waiting)
-            self.waiting, told = merged(self.waiting)
+            self.waiting, told = merge_calls(self.waiting)
             if told is not None:
                 self.tell(told)
         return taken > 0
@@ -132,62 +129,62 @@
     def keep(self) -> None:
         """A call without orders, so that the connection is not closed as idle; any answer will do."""
         try:
-            self.send(Call(None, ()))
+            self.send(CommitCall(None, ()))
         except NoAnswerError:
             self.close()
 
-    def turn(self, call: Call) -> Call | None:
+    def turn(self, call: CommitCall) -> CommitCall | None:
         """Send a call, or as much of it as goes into one, once: what is still to be sent of it."""
-        part = call.part(self.routes, self.most)
+        part = call.first_part(self.routes, self.most)
         try:
             taken = self.send(part)
         except NoAnswerError as error:
             self.counts["again"] += 1
-            log.warning("call in doubt, sent again", why=str(error), orders=part.many(), mark=part.number())
+            log.warning("call in doubt, sent again", why=str(error), orders=part.size, mark=part.nonce)
             self.close()
-            if part.mark is not None:
-                self.tell(Doubt(part.mark.nonce))
+            if part.nonce is not None:
+                self.tell(UnconfirmedCall(part.nonce))
             return call
-        if type(taken) is NotTaken:
+        if type(taken) is Rejected:
             self.counts["busy"] += 1
-            self.refusals += taken.code != "BUSY"
+            self.refusals += taken.code != BUSY
             if self.refusals < REFUSED_MOST:
                 time.sleep(BUSY_S)
                 return call
             self.refusals = 0
-            if len(part.orders) > 1:  # one of them must be at fault: the others are not to be lost with it
-                self.most = len(part.orders) // 2
+            if len(part.commands) > 1:  # one of them must be at fault: the others are not to be lost with it
+                self.most = len(part.commands) // 2
                 return call
             log.error(
                 "order left out",
                 why=taken.code,
-                orders=part.many(),
-                mark=part.number(),
-                order=str(part.orders[:1]),
+                orders=part.size,
+                mark=part.nonce,
+                order=str(part.commands[:1]),
             )
-            taken = Taken(part.many())
+            taken = Accepted(part.size)
             self.most = None
         self.refusals = 0
         self.most = self.most and 2 * self.most
         self.counts["calls"] += 1
-        self.counts["orders"] += taken.count
-        if taken.count < part.many():
+        self.counts["orders"] += taken.commands
+        if taken.commands < part.size:
             self.counts["refused"] += 1
             log.warning(
                 "order refused",
-                place=taken.count,
-                orders=part.many(),
-                mark=part.number(),
-                order=str(part.at(taken.count)),
+                place=taken.commands,
+                orders=part.size,
+                mark=part.nonce,
+                order=str(part.wire_command(taken.commands)),
             )
-        return call.rest(taken.count, part)
+        return call.remaining(taken.commands, part)
 
-    def send(self, call: Call) -> Taken | NotTaken:
+    def send(self, call: CommitCall) -> Accepted | Rejected:
         """One try; ``NoAnswerError``: the call may have been carried out, whole, or not at all."""
         number = next(self.numbers)
         try:
             self.sock.settimeout(ANSWER_S)
-            self.sock.sendall(call.data(number, self.routes))
+            self.sock.sendall(call.encode(number, self.routes))
             until = time.monotonic() + ANSWER_S
             while True:
                 # A thread that got no turn on a busy core still reads what has come, without waiting.
@@ -196,7 +193,7 @@
                 if not data:
                     raise NoAnswerError("closed before the answer")
                 for line in self.lines.receive(data):
-                    return answer(line, number, call.many())
+                    return parse_answer(line, number, call.size)
         except (TimeoutError, BlockingIOError):
             raise NoAnswerError("no answer in time") from None
         except (OSError, ValueError) as error:
@@ -225,7 +222,7 @@
     read, until the old address ends it.
     """
 
-    def __init__(self, place: tuple[str, int], names: Names, give: Callable[[list], None]):
+    def __init__(self, place: tuple[str, int], names: Vocabulary, give: Callable[[list], None]):
         self.place, self.names, self.give = place, names, give
         self.streams = self.malformed = 0
         self.newest = self.ended = 0  # numbers of streams: the last begun, the last ended
@@ -294,8 +291,8 @@
                     found.append(StreamOpened(number))
                     continue
                 try:
-                    found.append(StreamEvent(number, news(line, self.names)))
-                except MalformedError as error:
+                    found.append(StreamEvent(number, parse_notification(line, self.names)))
+                except MalformedMessageError as error:
                     self.malformed += 1
                     log.warning("news dropped", why=str(error))
             self.give(found)
--- a/rainpick/node/watch.py
+++ b/rainpick/node/watch.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable
 
 from rainpick.http1.client import Client, ClientError
-from rainpick.node.codec import Members, load_json, members
-from rainpick.node.configuration import Names
+from rainpick.node.configuration import Vocabulary
+from rainpick.node.endpoint_discovery import DiscoveryAnswer, parse_discovery_answer
 from rainpick.node.log import log
+from rainpick.node.message_fields import load_json
 
 PATH = "/catalog/members"
 # A watch that fell silent shows when its hold has passed; what it missed counts as told 2 s after that.
@@ -23,7 +24,7 @@
 class Watch:
     """``give`` is handed each answer, in order, in this one thread."""
 
-    def __init__(self, place: tuple[str, int], names: Names, give: Callable[[Members], None]):
+    def __init__(self, place: tuple[str, int], names: Vocabulary, give: Callable[[DiscoveryAnswer], None]):
         self.names, self.give, self.version = names, give, None
         self.whole = True  # ask for the whole list next: the changes alone may not tell all
         self.client = self.dialling(place)
@@ -70,7 +71,7 @@
             status, _, body = client.call("GET", path, timeout_s=HOLD_MS / 1000 + SLACK_S)
         if status != 200:
             raise ValueError(f"status {status}")
-        news = members(load_json(body), self.names)
+        news = parse_discovery_answer(load_json(body), self.names)
         if self.version is not None and news.version < self.version:
             # An old list that comes late would undo withdrawals; if no other comes, discovery has begun anew.
             self.whole, now = True, time.monotonic()
@@ -81,7 +82,7 @@
         for error in news.errors:
             log.error("entry of the list left out", why=error)
         self.answers += 1
-        if news.full or news.servers or news.version != self.version:
+        if news.full or news.endpoints or news.version != self.version:
             self.give(news)
         self.version = news.version
         # A change that could not be read is not told again: the whole list has it.
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -14,8 +14,15 @@
 from rainpick.http1 import server as http
 from rainpick.mqtt import codec as mqtt
 from rainpick.net import Ended
-from rainpick.node import codec as platform
-from rainpick.node import configuration, proxy_membership
+from rainpick.node import (
+    commit_answers,
+    commit_calls,
+    configuration,
+    endpoint_discovery,
+    frame_codec,
+    proxy_membership,
+    relay_notifications,
+)
 from rainpick.publish import payloads
 from rainpick.sasp import codec as sasp
 
@@ -47,17 +54,17 @@
     "order: subscribe": model.Subscribe,
     "order: fetch": model.FetchEndpoints,
     "order: note": model.LogMessage,
-    "platform: heartbeat": platform.Heartbeat,
-    "platform: collector": platform.Collector,
-    "platform: dropped": platform.Malformed,
-    "platform: ping": platform.Ping,
-    "platform: call": platform.Call,
-    "platform: merged": platform.Merged,
-    "platform: doubt": platform.Doubt,
-    "platform: taken": platform.Taken,
-    "platform: not taken": platform.NotTaken,
-    "platform: discovery": platform.Members,
-    "platform: names": configuration.Names,
+    "platform: heartbeat": frame_codec.Heartbeat,
+    "platform: collector": frame_codec.CollectorJoined,
+    "platform: dropped": frame_codec.MalformedReport,
+    "platform: ping": relay_notifications.Ping,
+    "platform: call": commit_calls.CommitCall,
+    "platform: merged": commit_calls.MergedNonces,
+    "platform: doubt": commit_calls.UnconfirmedCall,
+    "platform: taken": commit_answers.Accepted,
+    "platform: not taken": commit_answers.Rejected,
+    "platform: discovery": endpoint_discovery.DiscoveryAnswer,
+    "platform: names": configuration.Vocabulary,
     "platform: configuration": configuration.Configuration,
     "platform: stream begun": proxy_membership.StreamOpened,
     "platform: stream told": proxy_membership.StreamEvent,
--- a/tests/compat/operations_platform.py
+++ b/tests/compat/operations_platform.py
@@ -7,22 +7,31 @@
 from tempfile import TemporaryDirectory
 
 from rainpick.net import Ended
-from rainpick.node import codec, configuration, process
-from rainpick.node.configuration import Names
+from rainpick.node import configuration, process
+from rainpick.node.command_rendering import render_command
+from rainpick.node.commit_answers import parse_answer
+from rainpick.node.commit_calls import CommitCall, commit_call, merge_calls
+from rainpick.node.configuration import Vocabulary
+from rainpick.node.endpoint_discovery import parse_discovery_answer
+from rainpick.node.frame_codec import HEARTBEAT_ANSWER, FrameReader
+from rainpick.node.message_fields import MalformedMessageError, load_json
 from rainpick.node.relay import Calls, Subscription
+from rainpick.node.relay_notifications import parse_notification
 from rainpick.node.watch import Watch
 
 ROUTES = ["lookup", "commit"]
-NAMES = Names({"a": 0, "b": 1}, {"lookup": 0, "commit": 1}, {"m1": 0, "m2": 1}, ("util", "queue"), 6, 4000.0)
+VOCABULARY = Vocabulary(
+    {"a": 0, "b": 1}, {"lookup": 0, "commit": 1}, {"m1": 0, "m2": 1}, ("util", "queue"), 6, 4000.0
+)
 
 
 def heartbeat_answer(_):
-    return codec.HEARTBEAT_OK
+    return HEARTBEAT_ANSWER
 
 
 def stream(pieces):
     """All that is found in a stream to the director's address, which comes in these pieces."""
-    reader = codec.FrameReader(NAMES)
+    reader = FrameReader(VOCABULARY)
     return [found for piece in pieces for found in reader.receive(piece)]
 
 
@@ -32,51 +41,51 @@
 
 
 def notification(line):
-    return codec.news(line, NAMES)
+    return parse_notification(line, VOCABULARY)
 
 
 def order(value):
-    return codec.rendered(value, ROUTES)
+    return render_command(value, ROUTES)
 
 
 def calls(words):
     """The lines of a step's call, part by part, if the relay takes each whole."""
     orders, most = words
-    left, lines = codec.call(list(orders)), []
+    left, lines = commit_call(list(orders)), []
     while left is not None:
-        part = left.part(ROUTES, most)
-        lines.append(part.data(len(lines) + 1, ROUTES))
-        left = left.rest(part.many(), part)
+        part = left.first_part(ROUTES, most)
+        lines.append(part.encode(len(lines) + 1, ROUTES))
+        left = left.remaining(part.size, part)
     return lines
 
 
 def rest(words):
     """The line of what is left of a call after so many orders were taken."""
     orders, taken = words
-    whole = codec.call(list(orders))
-    left = whole.rest(taken, whole)
-    return None if left is None else left.data(2, ROUTES)
+    whole = commit_call(list(orders))
+    left = whole.remaining(taken, whole)
+    return None if left is None else left.encode(2, ROUTES)
 
 
 def merged(steps):
     """The lines of the calls of several steps that had to wait, and what is told of their marks."""
-    found, told = codec.merged([codec.call(list(step)) for step in steps])
-    return [[one.data(number, ROUTES) for number, one in enumerate(found, 1)], told]
+    found, told = merge_calls([commit_call(list(step)) for step in steps])
+    return [[one.encode(number, ROUTES) for number, one in enumerate(found, 1)], told]
 
 
 def relay_answer(words):
-    return codec.answer(*words)
+    return parse_answer(*words)
 
 
 def discovery(body):
-    return codec.members(codec.load_json(body), NAMES)
+    return parse_discovery_answer(load_json(body), VOCABULARY)
 
 
 def read_configuration(text):
     """A file of the platform's configuration; of the settings only the values are shown."""
     with TemporaryDirectory() as folder, contextlib.chdir(folder):
         Path("proxy.json").write_bytes(text)
-        found = configuration.read({"PROXY_CONFIG": "proxy.json"})
+        found = configuration.read_configuration({"PROXY_CONFIG": "proxy.json"})
         return [list(found[:-2]), list(found[-2].values()), found[-1], process.known(found)]
 
 
@@ -110,14 +119,14 @@
     peer = Peer([line])
     made = Calls(("127.0.0.1", 9), ROUTES, lambda _: None)
     made.sock = peer.here
-    found = made.send(codec.call(list(orders)) or codec.Call(None, ()))
+    found = made.send(commit_call(list(orders)) or CommitCall(None, ()))
     return [peer.end(), found]
 
 
 def relay_stream(lines):
     """The request for the relay's news, and all that is handed on until the relay closes."""
     peer, found = Peer([lines]), []
-    subscription = Subscription(("127.0.0.1", 9), NAMES, found.extend)
+    subscription = Subscription(("127.0.0.1", 9), VOCABULARY, found.extend)
     subscription.newest = 1
     with contextlib.suppress(ConnectionResetError):
         subscription.follow(peer.here, 1)
@@ -138,7 +147,7 @@
 def discovery_requests(bodies):
     """The requests to discovery, each after the answer before it, and what is handed on."""
     given, client = [], Recorded(bodies)
-    watch = Watch(("127.0.0.1", 9), NAMES, given.append)
+    watch = Watch(("127.0.0.1", 9), VOCABULARY, given.append)
     for _ in bodies:
         watch.turn(client)
     return [client.asked, given]
@@ -160,4 +169,4 @@
     "relay stream": relay_stream,
     "discovery requests": discovery_requests,
 }
-ERRORS = {codec.MalformedError: "malformed", configuration.ConfigurationError: "configuration"}
+ERRORS = {MalformedMessageError: "malformed", configuration.ConfigurationError: "configuration"}
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -7,12 +7,15 @@
 import time
 
 from rainpick.http1.server import Answer, Server
-from rainpick.node.codec import LineReader, frame
-from rainpick.node.configuration import Names
+from rainpick.node.configuration import Vocabulary
+from rainpick.node.frame_codec import encode_frame
+from rainpick.node.line_reader import LineReader
 from rainpick.node.watch import Watch
 from tests.waiting import WAIT_S
 
-NAMES = Names({"a": 0, "b": 1}, {"lookup": 0, "commit": 1}, {"m1": 0, "m2": 1}, ("util", "queue"), 6, 4000.0)
+VOCABULARY = Vocabulary(
+    {"a": 0, "b": 1}, {"lookup": 0, "commit": 1}, {"m1": 0, "m2": 1}, ("util", "queue"), 6, 4000.0
+)
 SETTINGS = {
     "grades": [
         {"name": "lookup", "sloUs": 500000, "hardLimitUs": 2000000, "repeat": "safe", "worth": 1.0},
@@ -61,7 +64,7 @@
         self.sock = socket.create_connection(address, WAIT_S)
 
     def send(self, *messages):
-        self.sock.sendall(b"".join(one if isinstance(one, bytes) else frame(one) for one in messages))
+        self.sock.sendall(b"".join(one if isinstance(one, bytes) else encode_frame(one) for one in messages))
         return self
 
     def read(self):
@@ -241,13 +244,13 @@
 
 def following(discovery):
     found = []
-    watch = Watch(discovery.address, NAMES, found.append)
+    watch = Watch(discovery.address, VOCABULARY, found.append)
     threading.Thread(target=watch.run, daemon=True).start()
     return watch, found
 
 
 def states(found):
-    return [{one.address: one.state for one in news.servers} for news in found]
+    return [{one.address: one.state for one in news.endpoints} for news in found]
 
 
 def configuration(listen, discovery, relay, **more):
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -4,9 +4,9 @@
 
 from rainpick import model
 from rainpick.node.clock import OFFSETS_MOST, Clock
-from rainpick.node.codec import members
+from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.endpoint_list import EndpointList
-from tests.node.platform import NAMES, entry
+from tests.node.platform import VOCABULARY, entry
 
 SECOND, HOUR = 1_000_000, 3_600_000_000
 
@@ -74,13 +74,14 @@
     machine = Machine()
     endpoints = EndpointList(machine.clock)
     tell = [entry(1, started_ms=machine.wall() // 1000 - 60_000), entry(2, started_ms=machine.wall() // 1000)]
-    news = members({"generation": 1, "reset": True, "instances": tell}, NAMES)
+    news = parse_discovery_answer({"generation": 1, "reset": True, "instances": tell}, VOCABULARY)
     first = endpoints.apply(news, model.UpdateKind.CACHED).endpoints
     machine.real += 5 * SECOND
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
         assert endpoints.apply(news).endpoints == first
-    restarted = members(
-        {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]}, NAMES
+    restarted = parse_discovery_answer(
+        {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]},
+        VOCABULARY,
     )
     assert endpoints.apply(restarted).endpoints[0].started_us == pytest.approx(machine.clock(), abs=1_000)
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from rainpick.node.configuration import ConfigurationError, read
+from rainpick.node.configuration import ConfigurationError, read_configuration
 from rainpick.wording import nested, settings
-from tests.node.platform import NAMES, SETTINGS, configuration
+from tests.node.platform import SETTINGS, VOCABULARY, configuration
 
 PLACES = ("127.0.0.1", 8080), ("127.0.0.1", 8500), ("127.0.0.1", 6400)
 
@@ -18,9 +18,9 @@
 
 
 def test_what_a_director_is_told(tmp_path):
-    told = read(written(tmp_path, configuration(*PLACES)))
+    told = read_configuration(written(tmp_path, configuration(*PLACES)))
     assert (told.listen, told.discovery, told.relay) == PLACES
-    assert told.seed == 0x8C1F30D27A5BE964 and told.sockets == 256 and told.names == NAMES
+    assert told.seed == 0x8C1F30D27A5BE964 and told.sockets == 256 and told.vocabulary == VOCABULARY
     assert told.settings["rules.drain_grace_us"] == 2_900_000 and told.settings["routes.1.importance"] == 5.0
 
 
@@ -64,7 +64,7 @@
 def test_an_error_names_file_place_value_and_what_is_allowed(tmp_path, change, why):
     environment = written(tmp_path, configuration(*PLACES) | change)
     with pytest.raises(ConfigurationError) as error:
-        read(environment)
+        read_configuration(environment)
     assert str(error.value).startswith(environment["PROXY_CONFIG"]) and why in str(error.value)
 
 
@@ -77,4 +77,4 @@
         written(tmp_path, "[]"),
     ):
         with pytest.raises(ConfigurationError):
-            read(environment)
+            read_configuration(environment)
--- a/tests/node/test_core.py
+++ b/tests/node/test_core.py
@@ -7,11 +7,12 @@
 from rainpick.decisions.director import Director
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.node.clock import Clock
-from rainpick.node.codec import Call, Doubt, Merged, members
-from rainpick.node.configuration import read
+from rainpick.node.commit_calls import CommitCall, MergedNonces, UnconfirmedCall
+from rainpick.node.configuration import read_configuration
 from rainpick.node.core import Core
+from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.mailbox import Mailbox
-from tests.node.platform import NAMES, SETTINGS, configuration, entry
+from tests.node.platform import SETTINGS, VOCABULARY, configuration, entry
 
 PLACE = ("127.0.0.1", 1)
 
@@ -34,9 +35,9 @@
 def core(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(PLACE, PLACE, PLACE)))
-    known = members({"generation": 0, "reset": True, "instances": [entry(1)]}, NAMES)
+    known = parse_discovery_answer({"generation": 0, "reset": True, "instances": [entry(1)]}, VOCABULARY)
     sent = []
-    made = Core(read({"PROXY_CONFIG": str(path)}), known, Mailbox(), sent.append, Module)
+    made = Core(read_configuration({"PROXY_CONFIG": str(path)}), known, Mailbox(), sent.append, Module)
     made.step(made.clock())
     return made, made.stepper.director, sent
 
@@ -47,7 +48,10 @@
     told, spoilt = (model.ServerLoadReport(name, 0, 5, 5, 0, 500_000, ()) for name in ("s-0001", "s-ffff"))
     made.turn([], [spoilt, told, model.RouteLoadReport(1, 0, 3, 0, 500_000)])
     assert module.heard[2:] == [told, model.RouteLoadReport(1, 0, 3, 0, 500_000)] and made.unknown == 1
-    made.turn([members({"generation": 1, "reset": False, "instances": [entry(0xFFFF)]}, NAMES)], [spoilt])
+    made.turn(
+        [parse_discovery_answer({"generation": 1, "reset": False, "instances": [entry(0xFFFF)]}, VOCABULARY)],
+        [spoilt],
+    )
     assert module.heard[-1] == spoilt and made.unknown == 1, "listed in the same turn it is known"
 
 
@@ -62,7 +66,7 @@
         model.RequestAcknowledgement(3, False),
     ]
     made.turn([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
-    assert sent == [Call(model.RequestAcknowledgement(3, False), (model.SetWithdrawn("s-0001", True),))]
+    assert sent == [CommitCall(model.RequestAcknowledgement(3, False), (model.SetWithdrawn("s-0001", True),))]
 
 
 def test_nothing_is_stepped_when_nothing_came(tmp_path):
@@ -106,10 +110,10 @@
     """A day of one director, a turn at a time: each turn gives the calls that it sent."""
     path = tmp_path / f"{name}.json"
     path.write_text(json.dumps(configuration(PLACE, PLACE, PLACE, settings=settings)))
-    told, sent, now = read({"PROXY_CONFIG": str(path)}), [], [1_000_000_000]
+    told, sent, now = read_configuration({"PROXY_CONFIG": str(path)}), [], [1_000_000_000]
     place = {"zone": settings["failureDomains"][0], "machineType": settings["machineTypes"][0]}
     servers = [entry(number, **place) for number in range(9)]
-    known = members({"generation": 0, "reset": True, "instances": servers}, told.names)
+    known = parse_discovery_answer({"generation": 0, "reset": True, "instances": servers}, told.vocabulary)
     made = Core(told, known, Mailbox(), sent.append, Director)
     made.clock = Clock(lambda: now[0], lambda: now[0])
     made.step(now[0])
@@ -117,7 +121,9 @@
         now[0] += 300_000
         made.stepped_us = 0
         change = entry(turn % 9, "Terminating" if turn % 2 else "Ready", started_ms=1_000 + turn, **place)
-        news = members({"generation": turn + 1, "reset": False, "instances": [change]}, told.names)
+        news = parse_discovery_answer(
+            {"generation": turn + 1, "reset": False, "instances": [change]}, told.vocabulary
+        )
         heard = [
             model.ServerLoadReport(f"s-{number:04x}", 0, 20, turn, 40_000, 500_000, ()) for number in range(9)
         ]
@@ -138,12 +144,12 @@
     told = configuration(PLACE, PLACE, PLACE, settings=SETTINGS | {"stats": {"names": ["heat", "busy"]}})
     path = tmp_path / "config.json"
     path.write_text(json.dumps(told))
-    assert read({"PROXY_CONFIG": str(path)}).names.loads == ("heat", "util")
+    assert read_configuration({"PROXY_CONFIG": str(path)}).vocabulary.load_metrics == ("heat", "util")
 
 
 def test_a_call_in_doubt_is_told_to_the_module_with_all_that_its_mark_stands_for(tmp_path):
     made, module, _ = core(tmp_path)
-    made.turn([Merged(7, (5, 6)), Doubt(7), Doubt(9)], [])
+    made.turn([MergedNonces(7, (5, 6)), UnconfirmedCall(7), UnconfirmedCall(9)], [])
     assert module.heard[2:] == [
         model.Retransmitted(5),
         model.Retransmitted(6),
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -12,13 +12,15 @@
 from rainpick.net.streams import Stream
 from rainpick.node import relay as relay_module
 from rainpick.node import watch as watch_module
-from rainpick.node.codec import Doubt, FrameReader, Ping, call
+from rainpick.node.commit_calls import UnconfirmedCall, commit_call
+from rainpick.node.frame_codec import FrameReader
 from rainpick.node.listener import CollectorListener
 from rainpick.node.mailbox import Mailbox
 from rainpick.node.proxy_membership import StreamEvent
 from rainpick.node.relay import Calls, Subscription
+from rainpick.node.relay_notifications import Ping
 from rainpick.node.watch import Watch
-from tests.node.platform import NAMES, Discovery, Peer, Relay, cleared, entry, following, states
+from tests.node.platform import VOCABULARY, Discovery, Peer, Relay, cleared, entry, following, states
 from tests.waiting import WAIT_S, until
 
 JOINING = {"t": "telemetry", "locality": "a"}
@@ -45,7 +47,7 @@
         far = socket.create_connection(listener.getsockname(), WAIT_S)
         near, _ = listener.accept()
     held, found = Held(near), []
-    stream = Stream(1, held, "peer", FrameReader(NAMES), lambda _, what: found.append(what))
+    stream = Stream(1, held, "peer", FrameReader(VOCABULARY), lambda _, what: found.append(what))
     stream.start()
     assert held.came.wait(WAIT_S)
     stream.close()
@@ -80,7 +82,7 @@
 
 
 def opened(sockets=256):
-    listener = CollectorListener(("127.0.0.1", 0), NAMES, sockets, Mailbox())
+    listener = CollectorListener(("127.0.0.1", 0), VOCABULARY, sockets, Mailbox())
     listener.lock = Opening()
     listener.start()
     return listener
@@ -120,11 +122,11 @@
 
 
 def step(*tables):
-    return call([model.ClearTable(table) for table in tables])
+    return commit_call([model.ClearTable(table) for table in tables])
 
 
 def calling(relay):
-    return Calls(relay.address, list(NAMES.routes), lambda told: None)
+    return Calls(relay.address, list(VOCABULARY.routes), lambda told: None)
 
 
 def begun(calls):
@@ -208,19 +210,23 @@
 def test_a_call_that_is_said_again_is_told_by_its_mark(relay):
     """Carried out and not answered, it waits twice in the channel: the module must know."""
     told, relay.ways = [], ["unheard", "busy"]
-    calls = begun(Calls(relay.address, list(NAMES.routes), told.append))
-    calls.put(call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
+    calls = begun(Calls(relay.address, list(VOCABULARY.routes), told.append))
+    calls.put(commit_call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
     until(lambda: cleared(relay) == [1, 1] and calls.counts["calls"] == 1, "the call, twice")
-    assert told == [Doubt(8)], "what was refused was not carried out"
+    assert told == [UnconfirmedCall(8)], "what was refused was not carried out"
 
 
 def test_what_is_ordered_while_the_relay_is_away_does_not_pile_up(relay):
     place = relay.address
     relay.close()
-    calls = begun(Calls(place, list(NAMES.routes), lambda told: None))
+    calls = begun(Calls(place, list(VOCABULARY.routes), lambda told: None))
     for turn in range(500):
-        calls.put(call([model.SetWeight(1, "s-1", float(turn)), model.SetWithdrawn("s-2", bool(turn % 2))]))
-    until(lambda: calls.queue.empty() and sum(len(one.orders) for one in calls.waiting) == 2, "what is left")
+        calls.put(
+            commit_call([model.SetWeight(1, "s-1", float(turn)), model.SetWithdrawn("s-2", bool(turn % 2))])
+        )
+    until(
+        lambda: calls.queue.empty() and sum(len(one.commands) for one in calls.waiting) == 2, "what is left"
+    )
     other = Relay()
     calls.move(other.address)
     until(lambda: other.carried and other.orders("share"), "what holds")
@@ -268,7 +274,7 @@
         return dial(place, timeout_s)
 
     monkeypatch.setattr(relay_module, "dial", dials)
-    news = Subscription(relay.address, NAMES, found.extend)
+    news = Subscription(relay.address, VOCABULARY, found.extend)
     threading.Thread(target=news.run, daemon=True).start()
     until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
     news.move(other.address)
@@ -345,7 +351,7 @@
         found.append(news)
         watch.armed = len(found) == 1
 
-    watch = Moving(discovery.address, NAMES, give)
+    watch = Moving(discovery.address, VOCABULARY, give)
     threading.Thread(target=watch.run, daemon=True).start()
     until(lambda: other.asked, "the new address")
     assert other.asked[0] == "/catalog/members"
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -2,13 +2,15 @@
 
 from rainpick import model
 from rainpick.node import endpoint_list
-from rainpick.node.codec import members
+from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.endpoint_list import EndpointList
-from tests.node.platform import NAMES, entry
+from tests.node.platform import VOCABULARY, entry
 
 
 def answer(full, *entries, version=1):
-    return members({"generation": version, "reset": full, "instances": list(entries)}, NAMES)
+    return parse_discovery_answer(
+        {"generation": version, "reset": full, "instances": list(entries)}, VOCABULARY
+    )
 
 
 def test_an_unreadable_entry_of_a_full_list_does_not_remove_its_endpoint():
--- a/tests/node/test_listener.py
+++ b/tests/node/test_listener.py
@@ -9,10 +9,10 @@
 from rainpick import model
 from rainpick.net.streams import Listener
 from rainpick.node import listener as listener_module
-from rainpick.node.codec import HEARTBEAT_OK, frame
+from rainpick.node.frame_codec import HEARTBEAT_ANSWER, encode_frame
 from rainpick.node.listener import CollectorListener
 from rainpick.node.mailbox import Mailbox
-from tests.node.platform import NAMES, Peer
+from tests.node.platform import VOCABULARY, Peer
 from tests.waiting import until
 
 LATEST_S = 3.0  # the platform's: by then whoever does not join has been closed or rejected
@@ -21,7 +21,7 @@
 @contextlib.contextmanager
 def opened(sockets=256):
     mailbox = Mailbox()
-    listener = CollectorListener(("127.0.0.1", 0), NAMES, sockets, mailbox)
+    listener = CollectorListener(("127.0.0.1", 0), VOCABULARY, sockets, mailbox)
     done = threading.Event()
 
     def sweep():
@@ -53,10 +53,10 @@
 
 def test_a_heartbeat_is_answered_at_once_and_an_honest_collector_heard():
     with opened() as (listener, mailbox):
-        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_OK)) == HEARTBEAT_OK
+        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
         peer = Peer(listener.address)
         peer.send({"t": "hb"}, {"t": "telemetry", "locality": "a"}, met(), {"t": "hb"})
-        assert peer.answer(2 * len(HEARTBEAT_OK)) == 2 * HEARTBEAT_OK
+        assert peer.answer(2 * len(HEARTBEAT_ANSWER)) == 2 * HEARTBEAT_ANSWER
         news, reports = mailbox.take(5)
         assert not news and reports == [model.ServerLoadReport("s-1", 0, 2, 1, 4000, 500_000, ())]
 
@@ -64,11 +64,11 @@
 def test_a_heartbeat_in_single_bytes_and_several_in_one_piece_are_answered():
     with opened() as (listener, _):
         peer = Peer(listener.address)
-        for byte in frame({"t": "hb"}):
+        for byte in encode_frame({"t": "hb"}):
             peer.send(bytes([byte]))
-        assert peer.answer(len(HEARTBEAT_OK)) == HEARTBEAT_OK
-        peer.send(3 * frame({"t": "hb"}) + frame({"t": "hb"})[:5])
-        assert peer.answer(3 * len(HEARTBEAT_OK)) == 3 * HEARTBEAT_OK
+        assert peer.answer(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+        peer.send(3 * encode_frame({"t": "hb"}) + encode_frame({"t": "hb"})[:5])
+        assert peer.answer(3 * len(HEARTBEAT_ANSWER)) == 3 * HEARTBEAT_ANSWER
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
             while time.monotonic() < end:
                 greedy.send(*[{"t": "hb"}] * 1000)
         until(lambda: not listener.collectors, "its end")
-        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_OK)) == HEARTBEAT_OK
+        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
 
 
 def test_a_spoilt_report_is_dropped_and_a_stream_that_cannot_be_read_ended():
@@ -154,7 +154,7 @@
         with monkeypatch.context() as patch:
             patch.setattr("rainpick.net.streams._thread.start_new_thread", none)
             assert Peer(listener.address).read() == b""
-        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_OK)) == HEARTBEAT_OK
+        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
 
 
 def test_a_failed_accept_does_not_end_the_front(monkeypatch):
@@ -174,7 +174,7 @@
 
         listener.accepting.socket = Short()
         Peer(listener.address).close()  # the accept under way is the real one's
-        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_OK)) == HEARTBEAT_OK
+        assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
         assert len(failed) == 3
 
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from rainpick.node.codec import HEARTBEAT_OK
+from rainpick.node.frame_codec import HEARTBEAT_ANSWER
 from rainpick.standins.day import free_ports
 from tests.node.platform import Discovery, Peer, Relay, configuration, entry
 from tests.waiting import until
@@ -47,9 +47,9 @@
     def answers(self):
         with contextlib.suppress(OSError):
             peer = Peer(self.listen)
-            answer = peer.send({"t": "hb"}).answer(len(HEARTBEAT_OK))
+            answer = peer.send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER))
             peer.close()
-            return answer == HEARTBEAT_OK
+            return answer == HEARTBEAT_ANSWER
 
     def lines(self):
         return [
--- a/tests/node/test_proxy_membership.py
+++ b/tests/node/test_proxy_membership.py
@@ -2,8 +2,9 @@
 
 from rainpick import model
 from rainpick.node import proxy_membership
-from rainpick.node.codec import Merged, Ping
+from rainpick.node.commit_calls import MergedNonces
 from rainpick.node.proxy_membership import ProxyMembership, StreamClosed, StreamEvent, StreamOpened
+from rainpick.node.relay_notifications import Ping
 
 
 def joined(proxy):
@@ -79,13 +80,13 @@
 def test_the_nonce_of_merged_calls_acknowledges_all_of_them():
     """A proxy that only the earlier one reached would never have answered, and counts as waiting for good."""
     membership = with_joined(1)
-    membership.merge_nonces(Merged(7, (5, 6)))
-    membership.merge_nonces(Merged(9, (7, 8)))  # the merged one had to wait again
+    membership.merge_nonces(MergedNonces(7, (5, 6)))
+    membership.merge_nonces(MergedNonces(9, (7, 8)))  # the merged one had to wait again
     nonces = [event.nonce for event in handle_all(membership, model.Acknowledged(1, 9, 20))]
     assert nonces == [5, 6, 7, 8, 9]
     assert [event.nonce for event in handle_all(membership, model.Acknowledged(1, 4, 20))] == [4]
     for nonce in range(100, 100 + 2 * proxy_membership.MERGED_NONCE_LIMIT):
-        membership.merge_nonces(Merged(nonce, (1,)))
+        membership.merge_nonces(MergedNonces(nonce, (1,)))
     assert len(membership.merged_nonces) == proxy_membership.MERGED_NONCE_LIMIT
 
 
--- a/tests/node/test_relay.py
+++ b/tests/node/test_relay.py
@@ -7,22 +7,23 @@
 
 from rainpick import model
 from rainpick.node import relay as relay_module
-from rainpick.node.codec import Merged, Ping, call
+from rainpick.node.commit_calls import MergedNonces, commit_call
 from rainpick.node.proxy_membership import StreamEvent, StreamOpened
 from rainpick.node.relay import Calls, Subscription
-from tests.node.platform import NAMES, Relay, cleared
+from rainpick.node.relay_notifications import Ping
+from tests.node.platform import VOCABULARY, Relay, cleared
 from tests.waiting import until
 
 
 def sending(relay):
-    made = Calls(relay.address, list(NAMES.routes), lambda told: None)
+    made = Calls(relay.address, list(VOCABULARY.routes), lambda told: None)
     threading.Thread(target=made.run, daemon=True).start()
     return made
 
 
 def step(*tables, mark=None):
     orders = [model.ClearTable(table) for table in tables]
-    return call(orders + ([model.RequestAcknowledgement(mark, False)] if mark is not None else []))
+    return commit_call(orders + ([model.RequestAcknowledgement(mark, False)] if mark is not None else []))
 
 
 @pytest.mark.parametrize(
@@ -116,7 +117,7 @@
     place = relay.address
     relay.close()
     told = []
-    making = Calls(place, list(NAMES.routes), told.append)
+    making = Calls(place, list(VOCABULARY.routes), told.append)
     making.put(step(1, mark=5))
     making.put(step(2, mark=6))
     threading.Thread(target=making.run, daemon=True).start()
@@ -124,14 +125,14 @@
     other = Relay()
     making.move(other.address)
     until(lambda: cleared(other) == [1, 2], "both calls")
-    assert len(other.lines) == 1 and told == [Merged(6, (5,))], "as one"
+    assert len(other.lines) == 1 and told == [MergedNonces(6, (5,))], "as one"
     other.close()
 
 
 @contextlib.contextmanager
 def listening(relay):
     found = []
-    news = Subscription(relay.address, NAMES, found.extend)
+    news = Subscription(relay.address, VOCABULARY, found.extend)
     threading.Thread(target=news.run, daemon=True).start()
     yield news, found
 
@@ -227,7 +228,7 @@
 
     monkeypatch.setattr(threading.Thread, "start", refused)
     given = []
-    subscription = Subscription(relay.address, NAMES, given.extend)
+    subscription = Subscription(relay.address, VOCABULARY, given.extend)
     threading.Thread(target=subscription.run, daemon=True).start()
     until(lambda: StreamOpened in map(type, given), "the news")
     assert len(failures) == 3
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from rainpick.node.codec import HEARTBEAT_OK
+from rainpick.node.frame_codec import HEARTBEAT_ANSWER
 from rainpick.standins.day import free_ports
 from tests.node.paced import Fleet, PacedRelay
 from tests.node.platform import SETTINGS, Discovery, Peer, configuration, entry
@@ -49,9 +49,9 @@
             peer = Peer(self.listen)
         except OSError:
             return False
-        answer = peer.send({"t": "hb"}).answer(len(HEARTBEAT_OK))
+        answer = peer.send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER))
         peer.close()
-        return answer == HEARTBEAT_OK
+        return answer == HEARTBEAT_ANSWER
 
     def end(self):
         self.process.kill()
