--- a/rainpick/node/__main__.py
+++ b/rainpick/node/__main__.py
@@ -1,6 +1,6 @@
-"""A live director on the platform's protocol: ``python -m rainpick.node``, told by ``PROXY_CONFIG``.
+"""A live director on the operators' platform: ``python -m rainpick.node``, configured by ``PROXY_CONFIG``.
 
-Signals are taken from the first lines on: a platform may stop a director that is still reading its program.
+Signals are handled before the rest is imported: a platform may stop a director that is still starting.
 """
 
 import os
@@ -9,10 +9,12 @@
 
 
 def main() -> None:
-    signals: SimpleQueue[int] = SimpleQueue()  # may be put to by a handler at any moment, as no lock is held
+    """Run a director until a signal ends it."""
+    # A handler may put at any moment, as it takes no lock.
+    signals: SimpleQueue[int] = SimpleQueue()
     signal.signal(signal.SIGHUP, lambda number, _: signals.put(number))
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: os._exit(0))  # nothing is owed to anybody yet
+        signal.signal(number, lambda *_: os._exit(0))  # nothing has been ordered yet
     from rainpick.node.process import start
 
     start(signals)
--- a/rainpick/node/commit_answers.py
+++ b/rainpick/node/commit_answers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from rainpick.node.message_fields import MalformedMessageError, integer_field, load_json
 
@@ -27,7 +27,8 @@
     message = load_json(line)
     if not isinstance(message, dict) or message.get("id") != number or isinstance(message["id"], bool):
         raise ValueError("not the answer to this call")
-    error, result = message.get("error"), message.get("result")
+    error = message.get("error")
+    result: Any = message.get("result")
     if error is not None and result is None:
         return Rejected(rejection_code(error))
     try:
--- a/rainpick/node/endpoint_list.py
+++ b/rainpick/node/endpoint_list.py
@@ -64,7 +64,7 @@
         """
         start = self.start_times.get(endpoint.address)
         if start is None or start.stamped_us != endpoint.started_us:
-            start = StartTime(endpoint.started_us, self.clock.started(endpoint.started_us))
+            start = StartTime(endpoint.started_us, self.clock.start_time(endpoint.started_us))
             self.start_times[endpoint.address] = start
         return endpoint._replace(started_us=start.started_us)
 
--- a/rainpick/node/log.py
+++ b/rainpick/node/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object a line on standard error, bounded however much goes wrong.
+"""The log: one JSON object a line on standard error, at a bounded rate.
 
 structlog would cost 11 MB and as much start time as all else together (docs/design-live.md).
 """
@@ -9,41 +9,53 @@
 import sys
 import threading
 import time
+from collections.abc import Callable
+from typing import Any, TextIO
 
-LINES_PER_S, BURST = 20, 200
+LINES_PER_S = 20
+BURST = 200  # lines at once
 
 
 class Log:
-    """Lines over the allowance are counted, and said with the next one that is written."""
-
-    def __init__(self, sink=None, clock=time.monotonic):
-        self.sink, self.clock, self.lock = sink, clock, threading.Lock()
-        self.allowance, self.filled_s, self.left_out = float(BURST), clock(), 0
-
-    def write(self, level: str, event: str, fields: dict) -> None:
+    """A token bucket limits the lines; the next line that is written says how many were left out."""
+
+    def __init__(self, sink: TextIO | None = None, clock: Callable[[], float] = time.monotonic):
+        self.sink = sink  # None: standard error
+        self.clock = clock
+        self.lock = threading.Lock()
+        self.tokens = float(BURST)
+        self.refilled_s = clock()
+        self.left_out = 0
+
+    def write(self, level: str, event: str, fields: dict[str, Any]) -> None:
+        """Write a line, unless the bucket is empty."""
         with self.lock:
-            now = self.clock()
-            self.allowance = min(BURST, self.allowance + (now - self.filled_s) * LINES_PER_S)
-            self.filled_s = now
-            if self.allowance < 1:
+            now_s = self.clock()
+            self.tokens = min(BURST, self.tokens + (now_s - self.refilled_s) * LINES_PER_S)
+            self.refilled_s = now_s
+            if self.tokens < 1:
                 self.left_out += 1
                 return
-            self.allowance -= 1
+            self.tokens -= 1
             if self.left_out:
-                fields, self.left_out = fields | {"left_out": self.left_out}, 0
+                fields = fields | {"left_out": self.left_out}
+                self.left_out = 0
             line = {"at": round(time.time(), 3), "level": level, "event": event} | fields
             sink = self.sink or sys.stderr
             # In one write: one killed between the text and its end would spoil the next one's first line.
             sink.write(json.dumps(line, default=str) + "\n")
             sink.flush()
 
-    def info(self, event: str, **fields) -> None:
+    def info(self, event: str, **fields: object) -> None:
+        """Log what is expected."""
         self.write("info", event, fields)
 
-    def warning(self, event: str, **fields) -> None:
+    def warning(self, event: str, **fields: object) -> None:
+        """Log what the director copes with by itself."""
         self.write("warning", event, fields)
 
-    def error(self, event: str, **fields) -> None:
+    def error(self, event: str, **fields: object) -> None:
+        """Log what has to be corrected elsewhere."""
         self.write("error", event, fields)
 
 
--- a/rainpick/node/mailbox.py
+++ b/rainpick/node/mailbox.py
@@ -1,46 +1,65 @@
-"""The one queue into the core, bounded: it sheds reports, the oldest first; the rest waits for room."""
+"""The one queue into the event loop, bounded: it sheds load reports, the oldest first, and nothing else."""
 
 from __future__ import annotations
 
 import threading
 from collections import deque
 from collections.abc import Iterable
+from typing import NamedTuple, TypeAlias
 
-REPORTS_MOST = 4_096
-NEWS_MOST = 16_384
+from rainpick.node.commit_calls import MergedNonces, UnconfirmedCall
+from rainpick.node.endpoint_discovery import DiscoveryAnswer
+from rainpick.node.load_report_parsing import LoadReport
+from rainpick.node.proxy_membership import StreamClosed, StreamEvent, StreamOpened
+
+REPORT_LIMIT = 4_096
+NOTIFICATION_LIMIT = 16_384
+
+Notification: TypeAlias = (
+    DiscoveryAnswer | StreamOpened | StreamEvent | StreamClosed | MergedNonces | UnconfirmedCall
+)
+
+
+class Batch(NamedTuple):
+    """What was posted since the last batch, in order."""
+
+    notifications: list[Notification]
+    reports: list[LoadReport]
 
 
 class Mailbox:
-    """Joins, leaves, answers and lists go before reports: a report may need the list that names it."""
+    """Notifications come before the reports of a batch: a report may need the endpoint list that names it."""
 
-    def __init__(self, news_most: int = NEWS_MOST, reports_most: int = REPORTS_MOST):
-        self.changed, self.news_most = threading.Condition(), news_most
-        self.news: deque = deque()
-        self.reports: deque = deque(maxlen=reports_most)
-        self.shed = 0
+    def __init__(self, notification_limit: int = NOTIFICATION_LIMIT, report_limit: int = REPORT_LIMIT):
+        self.changed = threading.Condition()
+        self.notification_limit = notification_limit
+        self.notifications: deque[Notification] = deque()
+        self.reports: deque[LoadReport] = deque(maxlen=report_limit)
+        self.shed = 0  # reports, so far
 
-    def report(self, events: Iterable) -> None:
+    def post_reports(self, reports: Iterable[LoadReport]) -> None:
+        """Post load reports; the oldest ones that wait are shed if there are too many."""
         with self.changed:
-            for event in events:
+            for report in reports:
                 self.shed += len(self.reports) == self.reports.maxlen
-                self.reports.append(event)
+                self.reports.append(report)
             self.changed.notify()
 
-    def put(self, *items: object) -> None:
-        """Waits while the core is so far behind that there is no room: nothing of this kind is ever lost."""
+    def post(self, *notifications: Notification) -> None:
+        """Post notifications. Blocks while the event loop is too far behind: none is ever lost."""
         with self.changed:
-            while len(self.news) >= self.news_most:
+            while len(self.notifications) >= self.notification_limit:
                 self.changed.wait()
-            self.news.extend(items)
+            self.notifications.extend(notifications)
             self.changed.notify()
 
-    def take(self, wait_s: float | None) -> tuple[list, list]:
-        """All that waits, news and reports; both empty if nothing came in time."""
+    def receive(self, timeout_s: float | None) -> Batch:
+        """All that was posted; waits for something to come, and returns an empty batch after the timeout."""
         with self.changed:
-            if not self.news and not self.reports:
-                self.changed.wait(wait_s)
-            news, reports = list(self.news), list(self.reports)
-            self.news.clear()
+            if not self.notifications and not self.reports:
+                self.changed.wait(timeout_s)
+            batch = Batch(list(self.notifications), list(self.reports))
+            self.notifications.clear()
             self.reports.clear()
             self.changed.notify_all()
-            return news, reports
+            return batch
--- a/rainpick/node/proxy_membership.py
+++ b/rainpick/node/proxy_membership.py
@@ -60,18 +60,17 @@
 
     def handle(self, notification: StreamOpened | StreamEvent | StreamClosed) -> list[ProxyEvent]:
         """Apply a notification and return the events that the decisions are to receive."""
-        if isinstance(notification, StreamOpened):
-            self.open_stream(notification.stream)
-            return []
-        if isinstance(notification, StreamClosed):
-            return self.close_stream(notification.stream)
+        if not isinstance(notification, StreamEvent):
+            return self.handle_change(notification)
         stream, event = notification
         if stream == self.former_stream:
             self.former_stream, self.unconfirmed = None, set()
         if isinstance(event, Ping):
             return self.end_listing() if stream == self.current_stream else []
         if isinstance(event, model.Acknowledged):
-            return self.acknowledge(event)
+            if event.proxy not in self.joined:
+                return []
+            return [event._replace(nonce=nonce) for nonce in self.nonces(event.nonce)]
         if stream != self.current_stream:
             known = self.joined.get(event.proxy)
             return [] if known is None or stream in self.superseded else [known]
@@ -79,6 +78,13 @@
             return [] if self.joined.pop(event.proxy, None) is None else [event]
         return self.join(event)
 
+    def handle_change(self, notification: StreamOpened | StreamClosed) -> list[ProxyEvent]:
+        """A stream has opened or ended."""
+        if isinstance(notification, StreamClosed):
+            return self.close_stream(notification.stream)
+        self.open_stream(notification.stream)
+        return []
+
     def open_stream(self, stream: int) -> None:
         """Make the stream the current one, unless a newer one has opened already."""
         if stream < self.newest_stream:
@@ -122,12 +128,6 @@
             del self.joined[proxy]
         return [model.ProxyLeft(proxy) for proxy in missing]
 
-    def acknowledge(self, event: model.Acknowledged) -> list[ProxyEvent]:
-        """One acknowledgement for each nonce that the event's nonce stands for, if the proxy is joined."""
-        if event.proxy not in self.joined:
-            return []
-        return [event._replace(nonce=nonce) for nonce in self.nonces(event.nonce)]
-
     def nonces(self, nonce: int) -> tuple[int, ...]:
         """The nonces that this one stands for, in their order, and the nonce itself."""
         return *self.merged_nonces.get(nonce, ()), nonce
--- a/tests/compat/operations_platform.py
+++ b/tests/compat/operations_platform.py
@@ -11,13 +11,14 @@
 from rainpick.node.command_rendering import render_command
 from rainpick.node.commit_answers import parse_answer
 from rainpick.node.commit_calls import CommitCall, commit_call, merge_calls
+from rainpick.node.commit_client import CommitClient
 from rainpick.node.configuration import Vocabulary
+from rainpick.node.discovery_watch import DiscoveryWatch
 from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.frame_codec import HEARTBEAT_ANSWER, FrameReader
 from rainpick.node.message_fields import MalformedMessageError, load_json
-from rainpick.node.relay import Calls, Subscription
 from rainpick.node.relay_notifications import parse_notification
-from rainpick.node.watch import Watch
+from rainpick.node.relay_subscription import RelaySubscription
 
 ROUTES = ["lookup", "commit"]
 VOCABULARY = Vocabulary(
@@ -86,7 +87,7 @@
     with TemporaryDirectory() as folder, contextlib.chdir(folder):
         Path("proxy.json").write_bytes(text)
         found = configuration.read_configuration({"PROXY_CONFIG": "proxy.json"})
-        return [list(found[:-2]), list(found[-2].values()), found[-1], process.known(found)]
+        return [list(found[:-2]), list(found[-2].values()), found[-1], process.read_cached_list(found)]
 
 
 class Peer:
@@ -117,17 +118,17 @@
     """The bytes that the relay's client writes for a step's orders, and what it makes of the answer."""
     orders, line = words
     peer = Peer([line])
-    made = Calls(("127.0.0.1", 9), ROUTES, lambda _: None)
-    made.sock = peer.here
-    found = made.send(commit_call(list(orders)) or CommitCall(None, ()))
+    made = CommitClient(("127.0.0.1", 9), ROUTES, lambda _: None)
+    made.connection.sock = peer.here
+    found = made.connection.exchange(commit_call(list(orders)) or CommitCall(None, ()))
     return [peer.end(), found]
 
 
 def relay_stream(lines):
     """The request for the relay's news, and all that is handed on until the relay closes."""
     peer, found = Peer([lines]), []
-    subscription = Subscription(("127.0.0.1", 9), VOCABULARY, found.extend)
-    subscription.newest = 1
+    subscription = RelaySubscription(("127.0.0.1", 9), VOCABULARY, found.extend)
+    subscription.newest_stream = 1
     with contextlib.suppress(ConnectionResetError):
         subscription.follow(peer.here, 1)
     return [peer.end(), found]
@@ -147,9 +148,9 @@
 def discovery_requests(bodies):
     """The requests to discovery, each after the answer before it, and what is handed on."""
     given, client = [], Recorded(bodies)
-    watch = Watch(("127.0.0.1", 9), VOCABULARY, given.append)
+    watch = DiscoveryWatch(("127.0.0.1", 9), VOCABULARY, given.append)
     for _ in bodies:
-        watch.turn(client)
+        watch.poll(client)
     return [client.asked, given]
 
 
--- a/tests/node/platform.py
+++ b/tests/node/platform.py
@@ -8,9 +8,9 @@
 
 from rainpick.http1.server import Answer, Server
 from rainpick.node.configuration import Vocabulary
+from rainpick.node.discovery_watch import DiscoveryWatch
 from rainpick.node.frame_codec import encode_frame
 from rainpick.node.line_reader import LineReader
-from rainpick.node.watch import Watch
 from tests.waiting import WAIT_S
 
 VOCABULARY = Vocabulary(
@@ -244,7 +244,7 @@
 
 def following(discovery):
     found = []
-    watch = Watch(discovery.address, VOCABULARY, found.append)
+    watch = DiscoveryWatch(discovery.address, VOCABULARY, found.append)
     threading.Thread(target=watch.run, daemon=True).start()
     return watch, found
 
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rainpick import model
-from rainpick.node.clock import OFFSETS_MOST, Clock
+from rainpick.node.clock import OFFSET_LIMIT, Clock
 from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.endpoint_list import EndpointList
 from tests.node.platform import VOCABULARY, entry
@@ -23,7 +23,7 @@
 
     def step(self, by):
         self.offset += by
-        return self.clock.look()
+        return self.clock.detect_step()
 
 
 @pytest.mark.parametrize("by", [-HOUR, -SECOND, SECOND, HOUR])
@@ -32,7 +32,11 @@
     before = machine.clock()
     assert machine.step(by) == by and machine.clock() == before
     machine.real += SECOND
-    assert machine.clock.look() is None and machine.clock() == before + SECOND and machine.clock.steps == 1
+    assert (
+        machine.clock.detect_step() is None
+        and machine.clock() == before + SECOND
+        and machine.clock.steps == 1
+    )
 
 
 @pytest.mark.parametrize("by", [-HOUR, -SECOND, SECOND, HOUR])
@@ -42,10 +46,10 @@
     machine.real += SECOND // 2
     machine.step(by)
     machine.real += SECOND
-    assert at <= machine.clock.started(stamped) <= machine.clock(), "its age, or younger"
+    assert at <= machine.clock.start_time(stamped) <= machine.clock(), "its age, or younger"
     later, at = machine.wall(), machine.clock()
     machine.real += 10 * SECOND
-    assert machine.clock.started(later) >= at, "a cold server does not pass for a warm one"
+    assert machine.clock.start_time(later) >= at, "a cold server does not pass for a warm one"
 
 
 def test_an_hour_forward_makes_no_warm_server_of_one_that_started_before_it():
@@ -53,20 +57,20 @@
     stamped = machine.wall()
     machine.real += SECOND
     machine.step(HOUR)
-    assert machine.clock() - machine.clock.started(stamped) == SECOND
+    assert machine.clock() - machine.clock.start_time(stamped) == SECOND
 
 
 def test_a_start_in_the_future_of_all_known_clocks_began_when_it_was_told():
     machine = Machine()
-    assert machine.clock.started(machine.wall() + HOUR) == machine.clock()
-    assert machine.clock.started(0) == 0
+    assert machine.clock.start_time(machine.wall() + HOUR) == machine.clock()
+    assert machine.clock.start_time(0) == 0
 
 
 def test_remembered_steps_are_bounded():
     machine = Machine()
-    for _ in range(3 * OFFSETS_MOST):
+    for _ in range(3 * OFFSET_LIMIT):
         machine.step(HOUR)
-    assert len(machine.clock.offsets) == OFFSETS_MOST
+    assert len(machine.clock.offsets) == OFFSET_LIMIT
 
 
 def test_what_was_told_of_a_start_stands_while_it_is_told_the_same():
--- a/tests/node/test_core.py
+++ b/tests/node/test_core.py
@@ -9,8 +9,8 @@
 from rainpick.node.clock import Clock
 from rainpick.node.commit_calls import CommitCall, MergedNonces, UnconfirmedCall
 from rainpick.node.configuration import read_configuration
-from rainpick.node.core import Core
 from rainpick.node.endpoint_discovery import parse_discovery_answer
+from rainpick.node.event_loop import EventLoop
 from rainpick.node.mailbox import Mailbox
 from tests.node.platform import SETTINGS, VOCABULARY, configuration, entry
 
@@ -37,7 +37,7 @@
     path.write_text(json.dumps(configuration(PLACE, PLACE, PLACE)))
     known = parse_discovery_answer({"generation": 0, "reset": True, "instances": [entry(1)]}, VOCABULARY)
     sent = []
-    made = Core(read_configuration({"PROXY_CONFIG": str(path)}), known, Mailbox(), sent.append, Module)
+    made = EventLoop(read_configuration({"PROXY_CONFIG": str(path)}), known, Mailbox(), sent.append, Module)
     made.step(made.clock())
     return made, made.stepper.director, sent
 
@@ -47,12 +47,14 @@
     made, module, _ = core(tmp_path)
     told, spoilt = (model.ServerLoadReport(name, 0, 5, 5, 0, 500_000, ()) for name in ("s-0001", "s-ffff"))
     made.turn([], [spoilt, told, model.RouteLoadReport(1, 0, 3, 0, 500_000)])
-    assert module.heard[2:] == [told, model.RouteLoadReport(1, 0, 3, 0, 500_000)] and made.unknown == 1
+    assert (
+        module.heard[2:] == [told, model.RouteLoadReport(1, 0, 3, 0, 500_000)] and made.unknown_reports == 1
+    )
     made.turn(
         [parse_discovery_answer({"generation": 1, "reset": False, "instances": [entry(0xFFFF)]}, VOCABULARY)],
         [spoilt],
     )
-    assert module.heard[-1] == spoilt and made.unknown == 1, "listed in the same turn it is known"
+    assert module.heard[-1] == spoilt and made.unknown_reports == 1, "listed in the same turn it is known"
 
 
 def test_only_what_the_relay_knows_leaves_as_a_call(tmp_path):
@@ -114,7 +116,7 @@
     place = {"zone": settings["failureDomains"][0], "machineType": settings["machineTypes"][0]}
     servers = [entry(number, **place) for number in range(9)]
     known = parse_discovery_answer({"generation": 0, "reset": True, "instances": servers}, told.vocabulary)
-    made = Core(told, known, Mailbox(), sent.append, Director)
+    made = EventLoop(told, known, Mailbox(), sent.append, Director)
     made.clock = Clock(lambda: now[0], lambda: now[0])
     made.step(now[0])
     for turn in range(12):
@@ -162,13 +164,13 @@
     made, module, _ = core(tmp_path)
     busy = module.state._replace(takeover=True, unbound=7, backlog=19, grace_used=0.85)
     for state in (module.state, busy, busy, module.state):
-        module.state, made.channel_us = state, 0
+        module.state, made.channel_monitor.due_us = state, 0
         made.turn([], [])
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert [line["event"] for line in lines] == [
         "takeover begins",
-        "drains or binds near their grace",
-        "drains or binds near their grace",
+        "drains or bindings near the drain grace",
+        "drains or bindings near the drain grace",
         "takeover ends",
     ]
-    assert lines[0]["unbound"] == 7 and made.figures()["channel_most"]["backlog"] == 19
+    assert lines[0]["unbound"] == 7 and made.status()["channel_most"]["backlog"] == 19
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -10,16 +10,16 @@
 from rainpick import model
 from rainpick.http1.client import Client, ClientError
 from rainpick.net.streams import Stream
-from rainpick.node import relay as relay_module
-from rainpick.node import watch as watch_module
+from rainpick.node import commit_client, commit_connection, discovery_watch, relay_subscription
+from rainpick.node.collector_listener import CollectorListener
 from rainpick.node.commit_calls import UnconfirmedCall, commit_call
+from rainpick.node.commit_client import CommitClient
+from rainpick.node.discovery_watch import DiscoveryWatch
 from rainpick.node.frame_codec import FrameReader
-from rainpick.node.listener import CollectorListener
 from rainpick.node.mailbox import Mailbox
 from rainpick.node.proxy_membership import StreamEvent
-from rainpick.node.relay import Calls, Subscription
 from rainpick.node.relay_notifications import Ping
-from rainpick.node.watch import Watch
+from rainpick.node.relay_subscription import RelaySubscription
 from tests.node.platform import VOCABULARY, Discovery, Peer, Relay, cleared, entry, following, states
 from tests.waiting import WAIT_S, until
 
@@ -78,7 +78,7 @@
     """A peer that has dialled in and said nothing, as the listener sees it."""
     peers.append(Peer(listener.address))
     name = "%s:%d" % peers[-1].sock.getsockname()
-    return until(lambda: [one for one in list(listener.strangers) if one.peer == name], "its place")[0]
+    return until(lambda: [one for one in list(listener.pending) if one.peer == name], "its place")[0]
 
 
 def opened(sockets=256):
@@ -90,7 +90,7 @@
 
 def joins(listener, stream, taken):
     """The stream joins, in another thread as its reader would; whether it was taken up goes to ``taken``."""
-    thread = threading.Thread(target=listener.collect, args=(stream, 0))
+    thread = threading.Thread(target=listener.join, args=(stream, 0))
     thread.start()
     thread.join(WAIT_S)
     taken.append(stream in listener.collectors)
@@ -100,12 +100,12 @@
     """It was taken up as a collector and closed: its zone went without reports until it dialled again."""
     listener, peers, taken = opened(), [], []
     late = stranger(listener, peers)
-    listener.strangers[late] = 0.0
+    listener.pending[late] = 0.0
     listener.lock.then = lambda: joins(listener, late, taken)
-    listener.sweep()
+    listener.close_overdue()
     assert len(taken) == 1 and late.closed != taken[0]
     assert peers[0].read() == b""
-    listener.accepting.close()
+    listener.listener.close()
 
 
 def test_who_joins_while_it_makes_room_for_the_newest_is_let_in_or_closed_never_both():
@@ -115,7 +115,7 @@
     stranger(listener, peers)
     until(lambda: taken and (first.closed or first in listener.collectors), "an end to it")
     assert first.closed != taken[0]
-    listener.accepting.close()
+    listener.listener.close()
 
 
 # Calls to the relay
@@ -126,7 +126,7 @@
 
 
 def calling(relay):
-    return Calls(relay.address, list(VOCABULARY.routes), lambda told: None)
+    return CommitClient(relay.address, list(VOCABULARY.routes), lambda told: None)
 
 
 def begun(calls):
@@ -137,20 +137,20 @@
 def test_a_relay_that_closes_after_it_was_looked_at_and_before_the_call_is_sent(relay):
     """The call goes into a connection that has ended: it is in doubt and said again, before the next one."""
     calls = begun(calling(relay))
-    calls.put(step(1))
+    calls.send(step(1))
     until(lambda: calls.counts["calls"] == 1, "the first call")
-    looked = calls.ended
+    looked = calls.connection.has_unexpected_input
 
     def ends_then():
-        calls.ended = looked
+        calls.connection.has_unexpected_input = looked
         assert not looked()
         relay.drop()
         until(lambda: not relay.open, "the end")
         return False
 
-    calls.ended = ends_then
-    calls.put(step(2))
-    calls.put(step(3))
+    calls.connection.has_unexpected_input = ends_then
+    calls.send(step(2))
+    calls.send(step(3))
     until(lambda: cleared(relay) == [1, 2, 3], "the calls")
     assert calls.counts["again"] == 1
 
@@ -158,9 +158,9 @@
 def test_an_answer_that_came_while_the_thread_got_no_turn_is_read(relay, monkeypatch):
     """A busy core was taken for a dead relay: the call went out again, and the core had more to do."""
     calls = begun(calling(relay))
-    calls.put(step(1))
+    calls.send(step(1))
     until(lambda: calls.counts["calls"] == 1, "a connection")
-    monkeypatch.setattr(relay_module, "ANSWER_S", 0.0)  # the time is up when the call has left
+    monkeypatch.setattr(commit_connection, "ANSWER_TIMEOUT_S", 0.0)  # the time is up when the call has left
 
     class Late:
         """The socket of a thread that gets its next turn when the answer has come."""
@@ -176,24 +176,24 @@
         def __getattr__(self, name):
             return getattr(self.sock, name)
 
-    calls.sock = Late(calls.sock)
-    calls.put(step(2))
+    calls.connection.sock = Late(calls.connection.sock)
+    calls.send(step(2))
     until(lambda: calls.counts["calls"] == 2, "the second call")
     assert cleared(relay) == [1, 2] and calls.counts["again"] == 0
 
 
 def test_calls_that_keep_the_connection_and_are_refused_count_against_no_order(relay, monkeypatch):
     """Their refusals were added to those of the next call, which was left out at its first."""
-    monkeypatch.setattr(relay_module, "IDLE_S", 0.02)
+    monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     calls = begun(calling(relay))
-    calls.put(step(1))
+    calls.send(step(1))
     until(lambda: calls.counts["calls"] == 1, "a connection")
     relay.usual = lambda orders: "well" if orders else "syntax"
-    until(lambda: [way for way, _ in relay.lines].count("syntax") > relay_module.REFUSED_MOST, "refusals")
+    until(lambda: [way for way, _ in relay.lines].count("syntax") > commit_client.REJECTION_LIMIT, "refusals")
     relay.ways = ["syntax"]
     until(lambda: not relay.ways, "one more")
-    relay.ways = ["syntax"] * (relay_module.REFUSED_MOST - 1)
-    calls.put(step(2))
+    relay.ways = ["syntax"] * (commit_client.REJECTION_LIMIT - 1)
+    calls.send(step(2))
     until(lambda: cleared(relay) == [1, 2], "the second call")
 
 
@@ -201,8 +201,8 @@
     """The withdrawals in the same call were lost for good, though the module believed them said."""
     relay.usual = lambda orders: "syntax" if any(order["cluster"] == 5 for order in orders) else "well"
     calls = begun(calling(relay))
-    calls.put(step(*range(1, 9)))
-    calls.put(step(9))
+    calls.send(step(*range(1, 9)))
+    calls.send(step(9))
     until(lambda: cleared(relay)[-1:] == [9], "the next call")
     assert cleared(relay) == [1, 2, 3, 4, 6, 7, 8, 9]
 
@@ -210,8 +210,8 @@
 def test_a_call_that_is_said_again_is_told_by_its_mark(relay):
     """Carried out and not answered, it waits twice in the channel: the module must know."""
     told, relay.ways = [], ["unheard", "busy"]
-    calls = begun(Calls(relay.address, list(VOCABULARY.routes), told.append))
-    calls.put(commit_call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
+    calls = begun(CommitClient(relay.address, list(VOCABULARY.routes), told.append))
+    calls.send(commit_call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
     until(lambda: cleared(relay) == [1, 1] and calls.counts["calls"] == 1, "the call, twice")
     assert told == [UnconfirmedCall(8)], "what was refused was not carried out"
 
@@ -219,16 +219,16 @@
 def test_what_is_ordered_while_the_relay_is_away_does_not_pile_up(relay):
     place = relay.address
     relay.close()
-    calls = begun(Calls(place, list(VOCABULARY.routes), lambda told: None))
+    calls = begun(CommitClient(place, list(VOCABULARY.routes), lambda told: None))
     for turn in range(500):
-        calls.put(
+        calls.send(
             commit_call([model.SetWeight(1, "s-1", float(turn)), model.SetWithdrawn("s-2", bool(turn % 2))])
         )
     until(
         lambda: calls.queue.empty() and sum(len(one.commands) for one in calls.waiting) == 2, "what is left"
     )
     other = Relay()
-    calls.move(other.address)
+    calls.set_address(other.address)
     until(lambda: other.carried and other.orders("share"), "what holds")
     assert [order["w"] for order in other.orders("share")] == [499.0] and len(other.orders("withdraw")) == 1
     other.close()
@@ -238,19 +238,19 @@
     """SIGTERM in the middle of a call: it and the withdrawals behind it are said, if that is soon done."""
     relay.ways = ["lost"]
     calls = begun(calling(relay))
-    calls.put(step(1))
+    calls.send(step(1))
     until(lambda: relay.lines, "a call that gets no answer")
-    calls.put(step(2))
-    calls.finish(WAIT_S)
+    calls.send(step(2))
+    calls.flush(WAIT_S)
     assert cleared(relay) == [1, 2]
 
 
 def test_the_end_is_not_put_off_by_a_relay_that_is_away(relay):
     relay.close()
     calls = begun(calling(relay))
-    calls.put(step(1))
+    calls.send(step(1))
     begin = time.monotonic()
-    calls.finish(0.05)
+    calls.flush(0.05)
     assert time.monotonic() - begin < 0.7
 
 
@@ -258,13 +258,13 @@
 
 
 def news_threads():
-    return [thread for thread in threading.enumerate() if thread.name == "news"]
+    return [thread for thread in threading.enumerate() if thread.name == relay_subscription.THREAD_NAME]
 
 
 def test_a_stream_of_news_that_ends_while_the_next_is_dialled_is_followed_by_one_only(relay, monkeypatch):
     """Its reader took itself for the newest: a third stream was begun, and all proxies were told again."""
     until(lambda: not news_threads(), "the ends of earlier ones")
-    other, found, dial = Relay(), [], relay_module.dial
+    other, found, dial = Relay(), [], relay_subscription.connect_relay
     other.attach(2)
 
     def dials(place, timeout_s):
@@ -273,13 +273,13 @@
             until(lambda: not news_threads(), "the end of the former stream")
         return dial(place, timeout_s)
 
-    monkeypatch.setattr(relay_module, "dial", dials)
-    news = Subscription(relay.address, VOCABULARY, found.extend)
+    monkeypatch.setattr(relay_subscription, "connect_relay", dials)
+    news = RelaySubscription(relay.address, VOCABULARY, found.extend)
     threading.Thread(target=news.run, daemon=True).start()
     until(lambda: StreamEvent(1, Ping()) in found, "a heartbeat")
-    news.move(other.address)
+    news.set_address(other.address)
     until(lambda: found.count(StreamEvent(2, Ping())) > 2, "the stream at the new address")
-    assert news.newest == 2 and len(news_threads()) == 1
+    assert news.newest_stream == 2 and len(news_threads()) == 1
     other.close()
 
 
@@ -300,7 +300,7 @@
     monkeypatch.setattr("rainpick.http1.client.socket.create_connection", dials)
     watch, found = following(discovery)
     assert dialling.wait(WAIT_S)
-    watch.move(other.address)
+    watch.set_address(other.address)
     on.set()
     until(lambda: found, "the list")
     assert not discovery.asked and states(found) == [{"s-0003": model.EndpointState.READY}]
@@ -309,12 +309,12 @@
 
 def test_a_new_address_that_counts_from_a_lower_version_is_followed(discovery, monkeypatch):
     """It was asked for what is newer than the old one's version, and had nothing to tell for a long time."""
-    monkeypatch.setattr(watch_module, "OLDER_S", 0.2)
+    monkeypatch.setattr(discovery_watch, "REGRESSION_S", 0.2)
     discovery.versions += [[]] * 50
     other = Discovery(entry(3))
     watch, found = following(discovery)
     until(lambda: found, "the list")
-    watch.move(other.address)
+    watch.set_address(other.address)
     until(lambda: len(found) == 2, "the list there")
     other.change(entry(3, "Terminating"))
     until(lambda: len(found) == 3, "a change there")
@@ -330,7 +330,7 @@
     old one's version."""
     other, found = Discovery(entry(3)), []
 
-    class Moving(Watch):
+    class Moving(DiscoveryWatch):
         """``client`` is looked at, and then another thread moves."""
 
         armed = False
@@ -340,7 +340,7 @@
             now = self.held
             if self.armed:
                 self.armed = False
-                self.move(other.address)
+                self.set_address(other.address)
             return now
 
         @client.setter
--- a/tests/node/test_listener.py
+++ b/tests/node/test_listener.py
@@ -8,9 +8,9 @@
 
 from rainpick import model
 from rainpick.net.streams import Listener
-from rainpick.node import listener as listener_module
+from rainpick.node import collector_listener
+from rainpick.node.collector_listener import CollectorListener
 from rainpick.node.frame_codec import HEARTBEAT_ANSWER, encode_frame
-from rainpick.node.listener import CollectorListener
 from rainpick.node.mailbox import Mailbox
 from tests.node.platform import VOCABULARY, Peer
 from tests.waiting import until
@@ -26,7 +26,7 @@
 
     def sweep():
         while not done.wait(0.05):
-            listener.sweep()
+            listener.close_overdue()
 
     listener.start()
     thread = threading.Thread(target=sweep)
@@ -36,7 +36,7 @@
     finally:
         done.set()
         thread.join()
-        listener.accepting.close()
+        listener.listener.close()
 
 
 def met(endpoint="s-1"):
@@ -57,7 +57,7 @@
         peer = Peer(listener.address)
         peer.send({"t": "hb"}, {"t": "telemetry", "locality": "a"}, met(), {"t": "hb"})
         assert peer.answer(2 * len(HEARTBEAT_ANSWER)) == 2 * HEARTBEAT_ANSWER
-        news, reports = mailbox.take(5)
+        news, reports = mailbox.receive(5)
         assert not news and reports == [model.ServerLoadReport("s-1", 0, 2, 1, 4000, 500_000, ())]
 
 
@@ -93,7 +93,7 @@
             peer.send(*([sent] if isinstance(sent, bytes) else sent))
         peer.read()
         assert time.monotonic() - begin < LATEST_S
-        until(lambda: not listener.strangers, "the end of its place")
+        until(lambda: not listener.pending, "the end of its place")
 
 
 def test_a_crowd_that_says_nothing_does_not_keep_a_collector_out():
@@ -118,7 +118,7 @@
         for number in range(1, 8):
             peers.append(Peer(listener.address).send({"t": "telemetry", "locality": "a"}, met()))
             until(lambda number=number: len(mailbox.reports) == number, "its report")
-        assert len(listener.collectors) == listener_module.COLLECTORS_MOST
+        assert len(listener.collectors) == collector_listener.COLLECTOR_LIMIT
         assert peers[0].read() == b"", "nothing is written to a collector"
 
 
@@ -160,7 +160,7 @@
 def test_a_failed_accept_does_not_end_the_front(monkeypatch):
     """Out of descriptors for a moment, and nobody was ever let in again."""
     with opened() as (listener, _):
-        real, failed = listener.accepting.socket, []
+        real, failed = listener.listener.socket, []
 
         class Short:
             def accept(self):
@@ -172,7 +172,7 @@
             def __getattr__(self, name):
                 return getattr(real, name)
 
-        listener.accepting.socket = Short()
+        listener.listener.socket = Short()
         Peer(listener.address).close()  # the accept under way is the real one's
         assert Peer(listener.address).send({"t": "hb"}).answer(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
         assert len(failed) == 3
--- a/tests/node/test_mailbox.py
+++ b/tests/node/test_mailbox.py
@@ -9,20 +9,20 @@
 
 
 def test_the_oldest_reports_are_shed_and_nothing_else():
-    mailbox = Mailbox(news_most=100, reports_most=3)
-    mailbox.report(range(5))
-    mailbox.put("joined", "left")
-    assert mailbox.take(0) == (["joined", "left"], [2, 3, 4]) and mailbox.shed == 2
-    assert mailbox.take(0) == ([], [])
+    mailbox = Mailbox(notification_limit=100, report_limit=3)
+    mailbox.post_reports(range(5))
+    mailbox.post("joined", "left")
+    assert mailbox.receive(0) == (["joined", "left"], [2, 3, 4]) and mailbox.shed == 2
+    assert mailbox.receive(0) == ([], [])
 
 
 def test_news_wait_for_room_and_are_never_lost():
-    mailbox = Mailbox(news_most=2)
-    thread = threading.Thread(target=lambda: [mailbox.put(number) for number in range(50)])
+    mailbox = Mailbox(notification_limit=2)
+    thread = threading.Thread(target=lambda: [mailbox.post(number) for number in range(50)])
     thread.start()
     got = []
     while len(got) < 50:
-        news, _ = mailbox.take(5)
+        news, _ = mailbox.receive(5)
         assert 0 < len(news) <= 2
         got += news
     thread.join()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -92,7 +92,7 @@
     until(lambda: node.relay.readers, "a stream of news")
     node.discovery.close()
     node.relay.close()
-    until(lambda: node.said("news out of reach"), "the break")
+    until(lambda: node.said("relay notifications unreachable"), "the break")
     for _ in range(20):
         assert node.answers()
 
@@ -119,7 +119,7 @@
 def test_a_configuration_that_cannot_be_read_leaves_the_old_one_in_force(node, text):
     node.tell(text)
     node.process.send_signal(signal.SIGHUP)
-    until(lambda: node.said("configuration refused"), "the error")
+    until(lambda: node.said("configuration rejected"), "the error")
     node.relay.attach(1)
     until(lambda: bound(node.relay) == [1], "its table")
 
@@ -151,7 +151,7 @@
 
 def test_a_thread_that_fails_ends_the_whole_process(tmp_path):
     """A director that looks alive and decides nothing is worse than none."""
-    text = "import rainpick.node.process as node\nnode.loudly(lambda: 1 / 0)"
+    text = "import rainpick.node.process as node\nnode.run_or_exit(lambda: 1 / 0)"
     found = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=30)
     assert found.returncode == 1 and "ZeroDivisionError" in found.stderr
 
@@ -191,7 +191,7 @@
     node.process.kill()
     node.process.wait()
     node.start(sys.executable, "-c", AT_EVERY_LINE)
-    until(lambda: node.said("configuration read again"), "the first of them")
+    until(lambda: node.said("configuration reloaded"), "the first of them")
     old, node.discovery = node.discovery, Discovery(*map(entry, range(6)))
     node.tell()
     node.process.send_signal(signal.SIGHUP)
@@ -229,7 +229,7 @@
     node.process.kill()
     node.process.wait()
     node.start(sys.executable, "-c", EARLY % "SIGHUP")
-    until(lambda: node.said("configuration read again"), "the configuration")
+    until(lambda: node.said("configuration reloaded"), "the configuration")
     assert node.process.poll() is None
 
 
@@ -248,9 +248,9 @@
     node.relay.attach(1)
     until(lambda: bound(node.relay) == [1], "its table")
     node.relay.close()
-    until(lambda: node.said("news out of reach"), "the break")
+    until(lambda: node.said("relay notifications unreachable"), "the break")
     node.discovery.change(entry(2, "Terminating"))
-    until(lambda: node.said("relay out of reach"), "a withdrawal that cannot be said")
+    until(lambda: node.said("relay unreachable"), "a withdrawal that cannot be said")
     begin = time.monotonic()
     node.process.terminate()
     assert node.process.wait(5) == 0 and time.monotonic() - begin < 0.7
@@ -262,7 +262,7 @@
     old, node.discovery = node.discovery, Discovery(*map(entry, range(6)))
     node.tell("{half")
     node.process.send_signal(signal.SIGHUP)
-    until(lambda: node.said("configuration refused"), "the error")
+    until(lambda: node.said("configuration rejected"), "the error")
     node.tell()
     assert node.path.read_text() != whole
     until(lambda: node.discovery.asked, "the new address")
@@ -288,10 +288,10 @@
     tree = configuration(node.listen, other.address, node.relay.address)
     node.tell(json.dumps(tree | {"name": "n1"}))
     node.process.send_signal(signal.SIGHUP)
-    until(lambda: node.said("configuration refused"), "the error")
+    until(lambda: node.said("configuration rejected"), "the error")
     node.tell(json.dumps(tree | {"settings": tree["settings"] | {"roundUs": 2000}}))
     until(lambda: other.asked, "its own")
-    assert node.fields("settings wait for a restart") == [["round_us"]]
+    assert node.fields("settings need a restart") == [["round_us"]]
     other.close()
 
 
@@ -306,7 +306,7 @@
     node.start()
     node.relay.attach(3)
     until(lambda: bound(node.relay) == [3] and len(node.relay.orders("share")) == 6, "its table")
-    assert node.said("known list left out")
+    assert node.said("cached endpoint list unusable")
 
 
 STEPPED = """
--- a/tests/node/test_watch.py
+++ b/tests/node/test_watch.py
@@ -6,7 +6,7 @@
 
 from rainpick import model
 from rainpick.http1.server import Answer
-from rainpick.node import watch as watch_module
+from rainpick.node import discovery_watch
 from tests.node.platform import Discovery, entry, following, states
 from tests.waiting import until
 
@@ -28,7 +28,7 @@
 
 def test_a_watch_is_armed_again_at_once_and_tells_nothing_twice(discovery, monkeypatch):
     """Within 200 ms, or what changes meanwhile counts as told and the next one begins anew."""
-    monkeypatch.setattr(watch_module, "HOLD_MS", 50)
+    monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
     watch, found = following(discovery)
     begin = time.monotonic()
     until(lambda: watch.answers == 11, "ten watches")
@@ -49,29 +49,29 @@
     discovery.odd = [odd, odd]
     watch, found = following(discovery)
     until(lambda: found, "the list")
-    assert watch.failed == 2 and len(states(found)[0]) == 2
+    assert watch.failures == 2 and len(states(found)[0]) == 2
 
 
 def test_silence_is_ended_a_little_after_the_hold(discovery, monkeypatch):
     """A discovery that is cut off is silent for good: the watch must not wait for it."""
-    monkeypatch.setattr(watch_module, "HOLD_MS", 100)
-    monkeypatch.setattr(watch_module, "SLACK_S", 0.2)
+    monkeypatch.setattr(discovery_watch, "HOLD_MS", 100)
+    monkeypatch.setattr(discovery_watch, "SLACK_S", 0.2)
     watch, found = following(discovery)
     until(lambda: found, "the list")
     with discovery.changed:  # nobody gets an answer meanwhile
-        until(lambda: watch.failed, "the end of the wait")
+        until(lambda: watch.failures, "the end of the wait")
     discovery.change(entry(1, "Terminating"))
     until(lambda: len(found) == 2, "what changed")
 
 
 def test_another_address_is_taken_up_in_the_middle_of_a_watch(discovery, monkeypatch):
-    monkeypatch.setattr(watch_module, "HOLD_MS", 60_000)
+    monkeypatch.setattr(discovery_watch, "HOLD_MS", 60_000)
     other = Discovery(entry(1), entry(2))
     other.change(entry(2, "Terminating"))
     watch, found = following(discovery)
     until(lambda: found and len(discovery.asked) == 2, "a watch that waits")
-    watch.move(other.address)
+    watch.set_address(other.address)
     until(lambda: len(found) == 2, "the list there")
-    assert found[1].full and watch.failed == 1
+    assert found[1].full and watch.failures == 1
     assert states(found)[1] == {"s-0001": model.EndpointState.READY, "s-0002": model.EndpointState.DRAINING}
     other.close()
