--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -1,19 +1,28 @@
-"""Stand-ins of the platform for a test."""
+"""Stubs of the platform for a test."""
 
 import pytest
 
-from tests.node.platform import Discovery, Relay, entry
+from tests.node.director_under_test import DirectorUnderTest
+from tests.node.platform_stubs import StubDiscovery, entry
+from tests.node.stub_relay import StubRelay
 
 
 @pytest.fixture
 def relay():
-    made = Relay()
-    yield made
-    made.close()
+    stub = StubRelay()
+    yield stub
+    stub.close()
 
 
 @pytest.fixture
 def discovery():
-    made = Discovery(entry(1), entry(2))
-    yield made
-    made.close()
+    stub = StubDiscovery(entry(1), entry(2))
+    yield stub
+    stub.close()
+
+
+@pytest.fixture
+def director(tmp_path):
+    process = DirectorUnderTest(tmp_path)
+    yield process
+    process.stop()
--- /dev/null
+++ b/tests/node/paced_relay.py
@@ -0,0 +1,151 @@
+"""A relay with the platform's paced channel in real time, and the fleet of proxies behind it."""
+
+from __future__ import annotations
+
+import contextlib
+import heapq
+import socket
+import threading
+import time
+from collections.abc import Callable, Iterable
+from itertools import count
+from typing import Any
+
+from rainpick import model
+from tests.node.stub_relay import StubRelay
+from tests.takeover.channel import Channel, Held
+
+ROUTES = {"lookup": 0, "commit": 1}
+LATENCY_US = 60_000
+SERVERS_PER_PROXY = 5
+
+
+def now_us() -> int:
+    return time.monotonic_ns() // 1000
+
+
+def parse_command(fields: dict[str, Any]) -> object:
+    """The command that an object of a call stands for."""
+    match fields["verb"]:
+        case "share":
+            return model.SetWeight(fields["cluster"], fields["endpoint"], fields["w"])
+        case "bind":
+            return model.BindProxy(fields["cluster"], model.ALL_ROUTES, fields["node"])
+        case "withdraw" | "restore":
+            return model.SetWithdrawn(fields["endpoint"], fields["verb"] == "withdraw")
+        case "admit":
+            return model.SetAdmission(
+                fields["cluster"], sum(1 << ROUTES[name] for name in fields["for"]), 1.0, 0
+            )
+        case "mark":
+            return model.RequestAcknowledgement(fields["stamp"], bool(fields["set"]))
+    raise ValueError(f"no command: {fields}")
+
+
+class Fleet:
+    """The proxies of all directors, and how long they could pick a server after its drain began."""
+
+    def __init__(self, proxies: int, servers: int):
+        self.lock = threading.RLock()
+        names = [f"s-{number:04x}" for number in range(servers)]
+        self.proxies = {}
+        for proxy in range(proxies):
+            state = Held("ab"[proxy % 2], 10.0)
+            own_zone = names[proxy % 2 :: 2]
+            state.lines = dict.fromkeys(
+                (own_zone[(proxy + 7 * step) % len(own_zone)] for step in range(SERVERS_PER_PROXY)), 1.0
+            )
+            self.proxies[proxy] = state
+        self.drained_us: dict[str, int] = {}
+        self.bound: set[int] = set()
+        self.longest_use_us = 0
+
+    def start_drain(self, servers: Iterable[str]) -> None:
+        with self.lock:
+            for server in servers:
+                self.drained_us[server] = now_us()
+
+    def apply(self, proxy: int, changes: list[Callable[[Held], None]]) -> None:
+        with self.lock:
+            state = self.proxies[proxy]
+            before = state.usable() & self.drained_us.keys()
+            for change in changes:
+                change(state)
+            for server in before - state.usable():
+                self.longest_use_us = max(self.longest_use_us, self.age_us(state, server))
+
+    def age_us(self, state: Held, server: str) -> int:
+        return now_us() - max(self.drained_us[server], state.joined_us)
+
+    def uses_no_draining_server(self) -> bool:
+        with self.lock:
+            return not any(state.usable() & self.drained_us.keys() for state in self.proxies.values())
+
+    def longest_use_s(self) -> float:
+        return self.longest_use_us / 1e6
+
+
+class PacedRelay(StubRelay):
+    """Delivers commands at the pace of the settings; proxies acknowledge once they have applied them."""
+
+    def __init__(self, fleet: Fleet, domain: dict[str, float]):
+        self.fleet, self.pending = fleet, domain["pendingMax"]
+        self.channel = Channel(domain["linesPerS"], int(domain["head"]), LATENCY_US)
+        self.lock, self.deliveries, self.numbers = threading.Condition(), [], count()
+        self.removed: set[str] = set()  # servers withdrawn, or taken off a table
+        self.closed = False
+        threading.Thread(target=self.deliver, daemon=True).start()
+        super().__init__()
+
+    @property
+    def peak_queue_fraction(self) -> float:
+        return self.channel.waiting_most / self.pending
+
+    def join_proxy(self, proxy: int) -> None:
+        """Have a proxy join this director."""
+        with self.lock, self.fleet.lock:
+            state = self.fleet.proxies[proxy]
+            state.joined_us = now_us()
+            self.channel.join(proxy, state)
+        self.attach(proxy, state.zone, proxy not in self.fleet.bound)
+
+    def handle(self, sock: socket.socket, message: dict[str, Any]) -> None:
+        if message["method"] == "commit":
+            commands = [parse_command(fields) for fields in message["params"]["orders"]]
+            with self.lock, self.fleet.lock:
+                for due_us, delivery in self.channel.write(now_us(), commands):
+                    heapq.heappush(self.deliveries, (due_us, next(self.numbers), delivery))
+                for command in commands:
+                    if (
+                        type(command) is model.SetWithdrawn
+                        or type(command) is model.SetWeight
+                        and not command.weight
+                    ):
+                        self.removed.add(command.server)
+                self.lock.notify()
+        super().handle(sock, message)
+
+    def discard_queue(self) -> None:
+        """The director is dead: what waits in its channel is lost."""
+        with self.lock:
+            self.closed = True
+            self.deliveries.clear()
+
+    def deliver(self) -> None:
+        while not self.closed:
+            with self.lock:
+                if not self.deliveries or self.deliveries[0][0] > now_us():
+                    self.lock.wait(
+                        max(0.001, (self.deliveries[0][0] - now_us()) / 1e6) if self.deliveries else 0.1
+                    )
+                    continue
+                _, _, message = heapq.heappop(self.deliveries)
+            self.fleet.apply(message.proxy, message.changes)
+            self.fleet.bound.add(message.proxy)
+            if message.mark is not None:
+                with contextlib.suppress(OSError):
+                    self.notify("done", node=message.proxy, nonce=message.mark, latency=1.0)
+
+    def close(self):
+        self.closed = True
+        super().close()
--- /dev/null
+++ b/tests/node/platform_stubs.py
@@ -0,0 +1,163 @@
+"""Stubs of the platform around a live director: its configuration, discovery, and peers of its address."""
+
+import contextlib
+import json
+import socket
+import threading
+
+from rainpick.http1.server import Answer, Server
+from rainpick.node.configuration import Vocabulary
+from rainpick.node.discovery_watch import DiscoveryWatch
+from rainpick.node.frame_codec import encode_frame
+from tests.waiting import WAIT_S
+
+VOCABULARY = Vocabulary(
+    {"a": 0, "b": 1}, {"lookup": 0, "commit": 1}, {"m1": 0, "m2": 1}, ("util", "queue"), 6, 4000.0
+)
+SETTINGS = {
+    "grades": [
+        {"name": "lookup", "sloUs": 500000, "hardLimitUs": 2000000, "repeat": "safe", "worth": 1.0},
+        {"name": "commit", "sloUs": 400000, "hardLimitUs": 1000000, "repeat": "keyed", "worth": 5.0},
+    ],
+    "failureDomains": ["a", "b"],
+    "machineTypes": ["m1", "m2"],
+    "az": 0,
+    "me": 0,
+    "fleetSize": 1,
+    "roundUs": 1000,
+    "discovery": "pushed",
+    "stats": {"names": ["busy", "q"], "source": "piggyback"},
+    "domain": {
+        "proxyCount": 6,
+        "pendingMax": 5400.0,
+        "linesPerS": 2700.0,
+        "head": 6.0,
+        "hearsPerS": 75.0,
+        "reportEveryUs": 500000,
+        "defaultSize": 5,
+        "admit": "silent",
+        "pushesAllowed": 0,
+    },
+    "safety": {"drainGraceUs": 2900000, "warmAfterUs": 12000000, "startCapacity": 0.16, "fallMultiple": 3.0},
+}
+
+
+def entry(number, state="Ready", started_ms=0, **more):
+    """An entry of discovery's list."""
+    return {
+        "instanceId": f"s-{number:04x}",
+        "hostPort": f"127.0.0.1:{9000 + number}",
+        "zone": "ab"[number % 2],
+        "machineType": "m1",
+        "cell": 0,
+        "lifecycle": state,
+        "weight": 1.0,
+        "startedAtMs": started_ms,
+    } | more
+
+
+def configuration_tree(listen, discovery, relay, **more):
+    """The JSON object of a configuration file."""
+    return {
+        "name": "n0",
+        "listen": "%s:%d" % listen,
+        "discovery": "%s:%d" % discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+        "registry": {"address": "%s:%d" % relay},
+        "known": {"generation": 0, "reset": True, "instances": []},
+        "settings": SETTINGS,
+    } | more
+
+
+class Peer:
+    """A client of the director's address."""
+
+    def __init__(self, address):
+        self.sock = socket.create_connection(address, WAIT_S)
+
+    def send(self, *messages):
+        """Send frames, or bytes as they are."""
+        self.sock.sendall(
+            b"".join(message if isinstance(message, bytes) else encode_frame(message) for message in messages)
+        )
+        return self
+
+    def read_all(self):
+        """All until the director closes."""
+        data = b""
+        with contextlib.suppress(ConnectionError):
+            while chunk := self.sock.recv(4096):
+                data += chunk
+        return data
+
+    def read(self, size):
+        """So many bytes."""
+        data = b""
+        while len(data) < size:
+            chunk = self.sock.recv(size - len(data))
+            assert chunk, f"closed after {data!r}"
+            data += chunk
+        return data
+
+    def close(self):
+        """Close the connection."""
+        self.sock.close()
+
+
+class StubDiscovery:
+    """Versions of a list; a poll is held until there is a newer one."""
+
+    def __init__(self, *entries):
+        self.changed = threading.Condition()
+        self.versions = [list(entries)]  # the changes that made each version
+        self.forced_answers = []  # that are given first, whatever is asked
+        self.requests = []
+        self.server = Server("discovery", ("127.0.0.1", 0), self.handle)
+        self.address = self.server.address
+
+    def change(self, *entries):
+        """Make another version."""
+        with self.changed:
+            self.versions.append(list(entries))
+            self.changed.notify_all()
+
+    def handle(self, request):
+        """Answer a request for the full list or for changes."""
+        self.requests.append(request.path)
+        path, _, query = request.path.partition("?")
+        assert path == "/catalog/members"
+        arguments = dict(argument.split("=") for argument in query.split("&") if argument)
+        with self.changed:
+            if self.forced_answers:
+                return self.forced_answers.pop(0)
+            if "from" not in arguments:
+                return self.answer(True, sum(self.versions, []))
+            since = int(arguments["from"])
+            self.changed.wait_for(lambda: len(self.versions) - 1 > since, int(arguments["hold_ms"]) / 1000)
+            return self.answer(False, sum(self.versions[since + 1 :], []))
+
+    def answer(self, full, entries):
+        """An answer with the newest of each server's entries, at the newest version."""
+        newest = {entry["instanceId"]: entry for entry in entries}
+        if full:
+            newest = {name: entry for name, entry in newest.items() if entry["lifecycle"] != "Gone"}
+        tree = {"generation": len(self.versions) - 1, "reset": full, "instances": list(newest.values())}
+        return Answer(200, json.dumps(tree).encode())
+
+    def close(self):
+        """Accept no more, and end all connections."""
+        self.server.close()
+
+
+def start_watch(discovery):
+    """A watch that runs, and the list to which it adds its answers."""
+    answers = []
+    watch = DiscoveryWatch(discovery.address, VOCABULARY, answers.append)
+    threading.Thread(target=watch.run, daemon=True).start()
+    return watch, answers
+
+
+def endpoint_states(answers):
+    """The states by server that each answer gives."""
+    return [{endpoint.address: endpoint.state for endpoint in answer.endpoints} for answer in answers]
--- /dev/null
+++ b/tests/node/stub_relay.py
@@ -0,0 +1,153 @@
+"""A stub of the relay: it records commands, and misbehaves as it is told to."""
+
+import contextlib
+import json
+import socket
+import threading
+import time
+
+from rainpick.node.line_reader import LineReader
+
+
+class StubServer:
+    """Accepts connections, a thread each, until it is closed."""
+
+    def __init__(self):
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.address = self.listener.getsockname()
+        self.connections = set()
+        threading.Thread(target=self.accept, daemon=True).start()
+
+    def accept(self):
+        """Accept until the listener is closed."""
+        with contextlib.suppress(OSError):
+            while True:
+                sock, _ = self.listener.accept()
+                self.connections.add(sock)
+                threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
+
+    def drop_connections(self):
+        """End all connections."""
+        for sock in list(self.connections):
+            with contextlib.suppress(OSError):
+                sock.shutdown(socket.SHUT_RDWR)
+
+    def close(self):
+        """Accept no more, and end all connections."""
+        with contextlib.suppress(OSError):
+            self.listener.shutdown(socket.SHUT_RDWR)
+        self.listener.close()
+        self.drop_connections()
+
+
+class StubRelay(StubServer):
+    """Records commands; ``responses`` says how each next call is treated, usually accepted as a whole.
+
+    A number is how many commands are accepted. "busy" and "syntax" reject the whole call. The others:
+
+    * not carried out: "not read, closed", "not read, silent";
+    * carried out: "no answer, closed", "no answer, silent", "invalid answer", "half an answer, closed",
+      "answer twice", "answer and more".
+    """
+
+    def __init__(self, ping_s=0.1):
+        self.ping_s = ping_s
+        self.responses = []
+        self.default_response = lambda commands: "accept"
+        self.joined = {}  # parameters of attach by proxy
+        self.accepted = []  # commands
+        self.calls = []  # the response to each call and its commands
+        self.subscribers = []
+        self.silent = False  # no pings
+        super().__init__()
+
+    def serve(self, sock):
+        """Handle the lines of a connection."""
+        lines = LineReader()
+        with contextlib.suppress(OSError):
+            while data := sock.recv(65536):
+                for line in lines.receive(data):
+                    self.handle(sock, json.loads(line))
+        self.connections.discard(sock)
+        sock.close()
+
+    def handle(self, sock, message):
+        """Handle a call."""
+        if message["method"] == "subscribe":
+            self.subscribe(sock, message["id"])
+        else:
+            self.commit(sock, message["id"], message["params"]["orders"])
+
+    def subscribe(self, sock, number):
+        """List the joined proxies, and begin to ping."""
+        self.write(sock, {"id": number, "result": True})
+        for params in list(self.joined.values()):
+            self.write(sock, {"method": "attach", "params": params})
+        self.subscribers.append(sock)
+        threading.Thread(target=self.send_pings, args=(sock,), daemon=True).start()
+
+    def commit(self, sock, number, commands):
+        """Treat a call as the next response says."""
+        response = self.responses.pop(0) if self.responses else self.default_response(commands)
+        self.calls.append((response, commands))
+        if response == "busy":
+            self.write(sock, {"id": number, "error": {"code": -32000, "message": "BUSY"}})
+        elif response == "syntax":
+            self.write(sock, {"id": number, "error": {"code": -32600, "message": "SYNTAX"}})
+        elif response == "not read, closed":
+            sock.shutdown(socket.SHUT_RDWR)
+        elif response != "not read, silent":
+            count = response if isinstance(response, int) else len(commands)
+            self.accepted += commands[:count]
+            self.answer(sock, number, count, response)
+
+    def answer(self, sock, number, count, response):
+        """Answer a call of which so many commands are accepted."""
+        line = json.dumps({"jsonrpc": "2.0", "id": number, "result": {"ok_count": count}}).encode() + b"\n"
+        if response == "invalid answer":
+            self.write(sock, {"id": number, "result": {"ok_count": -3}})
+        elif response == "half an answer, closed":
+            sock.sendall(line[:20])
+        elif response == "answer twice":
+            sock.sendall(2 * line)
+        elif response == "answer and more":
+            sock.sendall(line + b'{"jsonrpc"')
+        elif response not in ("no answer, closed", "no answer, silent"):
+            sock.sendall(line)
+        if response in ("no answer, closed", "half an answer, closed"):
+            sock.shutdown(socket.SHUT_RDWR)
+
+    def write(self, sock, message):
+        """Send a line."""
+        sock.sendall(json.dumps({"jsonrpc": "2.0"} | message).encode() + b"\n")
+
+    def send_pings(self, sock):
+        """Ping a subscriber until its connection ends."""
+        with contextlib.suppress(OSError):
+            while True:
+                if not self.silent:
+                    self.write(sock, {"method": "ping"})
+                time.sleep(self.ping_s)
+
+    def notify(self, method, **params):
+        """Notify all subscribers."""
+        if method == "attach":
+            self.joined[params["node"]] = params
+        elif method == "detach":
+            self.joined.pop(params["node"], None)
+        for sock in list(self.subscribers):
+            with contextlib.suppress(OSError):
+                self.write(sock, {"method": method, "params": params})
+
+    def attach(self, node, zone="a", cold=True):
+        """Have a proxy join."""
+        self.notify("attach", node=node, locality=zone, w=10.0, cold=cold)
+
+    def commands(self, verb):
+        """The accepted commands with this verb."""
+        return [command for command in list(self.accepted) if command["verb"] == verb]
+
+
+def cleared_tables(relay):
+    """The tables of the accepted commands that clear one, in order."""
+    return [command["cluster"] for command in relay.commands("clear")]
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -6,7 +6,7 @@
 from rainpick.node.clock import OFFSET_LIMIT, Clock
 from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.endpoint_list import EndpointList
-from tests.node.platform import VOCABULARY, entry
+from tests.node.platform_stubs import VOCABULARY, entry
 
 SECOND, HOUR = 1_000_000, 3_600_000_000
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("by", [-HOUR, -SECOND, SECOND, HOUR])
-def test_a_start_has_its_true_age_whichever_side_of_the_step_it_was_stamped_on(by):
+def test_a_start_time_gives_the_true_age_on_either_side_of_a_step(by):
     machine = Machine()
     stamped, at = machine.wall(), machine.clock()
     machine.real += SECOND // 2
@@ -49,10 +49,10 @@
     assert at <= machine.clock.start_time(stamped) <= machine.clock(), "its age, or younger"
     later, at = machine.wall(), machine.clock()
     machine.real += 10 * SECOND
-    assert machine.clock.start_time(later) >= at, "a cold server does not pass for a warm one"
+    assert machine.clock.start_time(later) >= at, "a server that is warming up does not pass for a warm one"
 
 
-def test_an_hour_forward_makes_no_warm_server_of_one_that_started_before_it():
+def test_an_hour_forward_makes_no_server_warm_that_started_before_it():
     machine = Machine()
     stamped = machine.wall()
     machine.real += SECOND
@@ -60,7 +60,7 @@
     assert machine.clock() - machine.clock.start_time(stamped) == SECOND
 
 
-def test_a_start_in_the_future_of_all_known_clocks_began_when_it_was_told():
+def test_a_start_time_in_the_future_of_all_known_offsets_is_taken_for_now():
     machine = Machine()
     assert machine.clock.start_time(machine.wall() + HOUR) == machine.clock()
     assert machine.clock.start_time(0) == 0
@@ -73,17 +73,20 @@
     assert len(machine.clock.offsets) == OFFSET_LIMIT
 
 
-def test_what_was_told_of_a_start_stands_while_it_is_told_the_same():
-    """A list told again after a step must not make every warm server cold, nor undo a ramp."""
+def test_a_start_time_that_is_given_again_unchanged_is_not_converted_again():
+    """A list given again after a step must not make every server warm up anew, nor undo a slow start."""
     machine = Machine()
     endpoints = EndpointList(machine.clock)
-    tell = [entry(1, started_ms=machine.wall() // 1000 - 60_000), entry(2, started_ms=machine.wall() // 1000)]
-    news = parse_discovery_answer({"generation": 1, "reset": True, "instances": tell}, VOCABULARY)
-    first = endpoints.apply(news, model.UpdateKind.CACHED).endpoints
+    entries = [
+        entry(1, started_ms=machine.wall() // 1000 - 60_000),
+        entry(2, started_ms=machine.wall() // 1000),
+    ]
+    answer = parse_discovery_answer({"generation": 1, "reset": True, "instances": entries}, VOCABULARY)
+    first = endpoints.apply(answer, model.UpdateKind.CACHED).endpoints
     machine.real += 5 * SECOND
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
-        assert endpoints.apply(news).endpoints == first
+        assert endpoints.apply(answer).endpoints == first
     restarted = parse_discovery_answer(
         {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]},
         VOCABULARY,
--- a/tests/node/test_commit_calls.py
+++ b/tests/node/test_commit_calls.py
@@ -7,7 +7,7 @@
 from rainpick import model
 from rainpick.node.commit_answers import Accepted, Rejected, parse_answer
 from rainpick.node.commit_calls import CommitCall, MergedNonces, commit_call, merge_calls
-from tests.node.platform import VOCABULARY
+from tests.node.platform_stubs import VOCABULARY
 
 ROUTES = list(VOCABULARY.routes)
 
@@ -44,15 +44,16 @@
 
 def test_a_long_call_is_split_in_order_and_each_part_requests_acknowledgement():
     """Else the proxies that only the first part reaches would never answer, and count as waiting for good."""
-    orders = [model.SetWeight(4, f"s-{number:06}", 1.0) for number in range(2000)]
-    remaining, sent = commit_call([*orders, model.RequestAcknowledgement(7, False)]), []
+    commands = [model.SetWeight(4, f"s-{number:06}", 1.0) for number in range(2000)]
+    remaining, sent = commit_call([*commands, model.RequestAcknowledgement(7, False)]), []
     while remaining is not None:
         part = remaining.first_part(ROUTES)
         assert len(part.encode(1, ROUTES)) <= 60_000
         sent.append(json.loads(part.encode(1, ROUTES))["params"]["orders"])
         remaining = remaining.remaining(part.size, part)
     assert len(sent) == 3 and all(part[0] == {"verb": "mark", "stamp": 7, "set": 0} for part in sent)
-    assert [order["endpoint"] for part in sent for order in part[1:]] == [order.server for order in orders]
+    servers = [command["endpoint"] for part in sent for command in part[1:]]
+    assert servers == [command.server for command in commands]
 
 
 def test_a_rejected_command_is_left_out_and_the_rest_requests_acknowledgement():
@@ -116,11 +117,11 @@
         None,
     )
     # One nonce cannot stand for two messages: the first would be acknowledged with it.
-    calls = [
+    waiting = [
         CommitCall(model.RequestAcknowledgement(1, False), (model.SetWithdrawn("a", True),)),
         CommitCall(None, (model.BindProxy(1, 0, 1),)),
     ]
-    calls, merged = merge_calls(calls)
+    calls, merged = merge_calls(waiting)
     assert calls == [
         CommitCall(
             model.RequestAcknowledgement(1, False), (model.SetWithdrawn("a", True), model.BindProxy(1, 0, 1))
@@ -133,9 +134,8 @@
     def read(message, size=4):
         return parse_answer(json.dumps({"jsonrpc": "2.0", "id": 8} | message).encode(), 8, size)
 
-    assert read({"result": {"ok_count": 4}}) == Accepted(4) and read({"result": {"ok_count": 0}}) == Accepted(
-        0
-    )
+    assert read({"result": {"ok_count": 4}}) == Accepted(4)
+    assert read({"result": {"ok_count": 0}}) == Accepted(0)
     assert read({"error": {"code": -32000, "message": "BUSY"}}) == Rejected("BUSY")
     for unusable in (
         {"result": {"ok_count": 5}},
--- /dev/null
+++ b/tests/node/test_commit_client.py
@@ -0,0 +1,130 @@
+"""Commit calls against a stub of the relay that rejects, falls silent, closes and answers nonsense."""
+
+import threading
+
+import pytest
+
+from rainpick import model
+from rainpick.node import commit_client
+from rainpick.node.commit_calls import MergedNonces, commit_call
+from rainpick.node.commit_client import CommitClient
+from tests.node.platform_stubs import VOCABULARY
+from tests.node.stub_relay import StubRelay, cleared_tables
+from tests.waiting import until
+
+
+def start_client(relay):
+    client = CommitClient(relay.address, list(VOCABULARY.routes), lambda notification: None)
+    threading.Thread(target=client.run, daemon=True).start()
+    return client
+
+
+def clear_tables(*tables, nonce=None):
+    """The call that clears these tables."""
+    commands = [model.ClearTable(table) for table in tables]
+    requests = [model.RequestAcknowledgement(nonce, False)] if nonce is not None else []
+    return commit_call(commands + requests)
+
+
+@pytest.mark.parametrize(
+    "response,accepted",
+    [
+        ("busy", [1, 2, 3]),  # not carried out: it is sent again
+        ("not read, closed", [1, 2, 3]),
+        ("not read, silent", [1, 2, 3]),  # the client can't know: it was not, as it turns out
+        # It was: twice, in its place.
+        ("no answer, closed", [1, 1, 2, 3]),
+        ("no answer, silent", [1, 1, 2, 3]),
+        ("invalid answer", [1, 1, 2, 3]),
+        ("half an answer, closed", [1, 1, 2, 3]),
+        ("answer twice", [1, 2, 3]),
+        ("answer and more", [1, 2, 3]),  # it was, and what follows the answer belongs to no call
+    ],
+)
+def test_a_call_is_repeated_as_a_whole_before_anything_newer(relay, response, accepted):
+    relay.responses = [response]
+    client = start_client(relay)
+    client.send(clear_tables(1))
+    until(lambda: relay.calls, "the first attempt")
+    for table in (2, 3):
+        client.send(clear_tables(table))
+    until(lambda: cleared_tables(relay)[-1:] == [3], "the last command")
+    assert cleared_tables(relay) == accepted
+
+
+def test_a_command_rejected_in_the_middle_is_left_out_and_the_rest_is_sent(relay):
+    """A proxy may have left meanwhile; what follows must not be lost, nor the nonce of either part."""
+    relay.responses = [2]  # the request and table 1 are accepted, table 2 is rejected
+    client = start_client(relay)
+    client.send(clear_tables(1, 2, 3, nonce=7))
+    until(lambda: cleared_tables(relay)[-1:] == [3], "the rest")
+    client.send(clear_tables(4))
+    until(lambda: cleared_tables(relay)[-1:] == [4], "the next call")
+    assert cleared_tables(relay) == [1, 3, 4]
+    assert [command["stamp"] for command in relay.commands("mark")] == [7, 7]
+    assert client.counts["refused"] == 1
+
+
+def test_a_call_that_is_always_rejected_as_a_whole_does_not_block_the_next(relay):
+    relay.responses = ["syntax"] * commit_client.REJECTION_LIMIT
+    client = start_client(relay)
+    client.send(clear_tables(1))
+    until(lambda: not relay.responses, "the last rejection")
+    client.send(clear_tables(2))
+    until(lambda: cleared_tables(relay) == [2], "the next call")
+
+
+def test_a_busy_relay_is_asked_for_as_long_as_it_takes(relay):
+    relay.responses = ["busy"] * (3 * commit_client.REJECTION_LIMIT)
+    client = start_client(relay)
+    client.send(clear_tables(1))
+    until(lambda: cleared_tables(relay) == [1], "the call")
+
+
+def test_a_connection_closed_as_idle_is_detected_before_a_call_is_sent_into_it(relay):
+    """Sent into a closed connection a call is unconfirmed, though it never arrived."""
+    client = start_client(relay)
+    client.send(clear_tables(1))
+    until(lambda: cleared_tables(relay) == [1] and client.counts["calls"], "the first call")
+    relay.drop_connections()
+    until(lambda: not relay.connections, "the end of the connection")
+    client.send(clear_tables(2))
+    until(lambda: cleared_tables(relay) == [1, 2], "the second call")
+    assert client.counts["again"] == 0 and client.counts["dials"] == 2
+
+
+def test_a_connection_without_calls_is_kept_from_being_closed_as_idle(relay, monkeypatch):
+    """Connecting anew for a withdrawal costs it a round trip, and the relay may accept no new connections."""
+    monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
+    client = start_client(relay)
+    client.send(clear_tables(1))
+    until(lambda: [commands for _, commands in relay.calls].count([]) >= 3, "calls without commands")
+    assert client.counts["dials"] == 1 and cleared_tables(relay) == [1]
+
+
+def test_the_next_call_goes_to_the_new_address_and_none_is_lost(relay):
+    other = StubRelay()
+    client = start_client(relay)
+    client.send(clear_tables(1))
+    until(lambda: cleared_tables(relay) == [1], "the first call")
+    client.set_address(other.address)
+    client.send(clear_tables(2))
+    until(lambda: cleared_tables(other) == [2], "the second call")
+    assert cleared_tables(relay) == [1]
+    other.close()
+
+
+def test_calls_wait_while_the_relay_is_unreachable_and_are_sent_as_one(relay):
+    address = relay.address
+    relay.close()
+    notifications = []
+    client = CommitClient(address, list(VOCABULARY.routes), notifications.append)
+    client.send(clear_tables(1, nonce=5))
+    client.send(clear_tables(2, nonce=6))
+    threading.Thread(target=client.run, daemon=True).start()
+    until(lambda: not client.reachable, "a failed attempt")
+    other = StubRelay()
+    client.set_address(other.address)
+    until(lambda: cleared_tables(other) == [1, 2], "both calls")
+    assert len(other.calls) == 1 and notifications == [MergedNonces(6, (5,))]
+    other.close()
--- a/tests/node/test_endpoint_discovery.py
+++ b/tests/node/test_endpoint_discovery.py
@@ -4,7 +4,7 @@
 
 from rainpick import model
 from rainpick.node.endpoint_discovery import parse_discovery_answer
-from tests.node.platform import VOCABULARY, entry
+from tests.node.platform_stubs import VOCABULARY, entry
 
 
 def test_unreadable_entries_are_left_out():
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -4,7 +4,7 @@
 from rainpick.node import endpoint_list
 from rainpick.node.endpoint_discovery import parse_discovery_answer
 from rainpick.node.endpoint_list import EndpointList
-from tests.node.platform import VOCABULARY, entry
+from tests.node.platform_stubs import VOCABULARY, entry
 
 
 def answer(full, *entries, version=1):
--- a/tests/node/test_frame_codec.py
+++ b/tests/node/test_frame_codec.py
@@ -7,7 +7,7 @@
 from rainpick import model
 from rainpick.net import Ended
 from rainpick.node.frame_codec import CollectorJoined, FrameReader, Heartbeat, MalformedReport, encode_frame
-from tests.node.platform import VOCABULARY
+from tests.node.platform_stubs import VOCABULARY
 
 SERVER_REPORT = {
     "t": "upstream_stats",
@@ -45,12 +45,8 @@
     ]
     # The metrics count if all that the settings name are there.
     assert read_stream(TELEMETRY, SERVER_REPORT | {"metrics": {"util": 0.5}})[1].load == ()
-    assert (
-        read_stream(TELEMETRY, {name: value for name, value in SERVER_REPORT.items() if name != "metrics"})[
-            1
-        ].load
-        == ()
-    )
+    without_metrics = {name: value for name, value in SERVER_REPORT.items() if name != "metrics"}
+    assert read_stream(TELEMETRY, without_metrics)[1].load == ()
     # Where no attempt was answered there is no mean latency.
     unanswered = {name: value for name, value in SERVER_REPORT.items() if name != "rtt"} | {"errors": 212}
     assert read_stream(TELEMETRY, unanswered)[1].mean_latency_us == 0
--- a/tests/node/test_mailbox.py
+++ b/tests/node/test_mailbox.py
@@ -1,4 +1,4 @@
-"""What is shed when too much comes, and what never is; and the bounded log."""
+"""The mailbox sheds load reports only; and the log is bounded."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 from rainpick.node.mailbox import Mailbox
 
 
-def test_the_oldest_reports_are_shed_and_nothing_else():
+def test_the_oldest_reports_are_shed_and_no_notifications():
     mailbox = Mailbox(notification_limit=100, report_limit=3)
     mailbox.post_reports(range(5))
     mailbox.post("joined", "left")
@@ -16,33 +16,33 @@
     assert mailbox.receive(0) == ([], [])
 
 
-def test_news_wait_for_room_and_are_never_lost():
+def test_notifications_wait_for_capacity_and_are_never_lost():
     mailbox = Mailbox(notification_limit=2)
     thread = threading.Thread(target=lambda: [mailbox.post(number) for number in range(50)])
     thread.start()
-    got = []
-    while len(got) < 50:
-        news, _ = mailbox.receive(5)
-        assert 0 < len(news) <= 2
-        got += news
+    received = []
+    while len(received) < 50:
+        notifications, _ = mailbox.receive(5)
+        assert 0 < len(notifications) <= 2
+        received += notifications
     thread.join()
-    assert got == list(range(50))
+    assert received == list(range(50))
 
 
-def test_the_log_is_bounded_and_says_what_it_left_out():
-    """A thousand strangers a second must not fill what holds the log."""
-    now, sink = [0.0], io.StringIO()
-    log = Log(sink, lambda: now[0])
+def test_the_log_is_bounded_and_counts_the_lines_left_out():
+    """A thousand rejected peers a second must not fill what holds the log."""
+    now_s, sink = [0.0], io.StringIO()
+    log = Log(sink, lambda: now_s[0])
     for _ in range(10_000):
-        log.warning("odd", why="x")
+        log.warning("rejected", reason="x")
     assert len(sink.getvalue().splitlines()) == BURST
-    now[0] = 1.0
+    now_s[0] = 1.0
     log.info("after")
     last = json.loads(sink.getvalue().splitlines()[-1])
     assert last["event"] == "after" and last["left_out"] == 10_000 - BURST
 
 
-def test_a_line_of_the_log_is_one_write():
+def test_a_log_line_is_one_write():
     """A director killed between a line's text and its end spoilt the first line of the next one."""
 
     class Sink(io.StringIO):
--- a/tests/node/test_relay_notifications.py
+++ b/tests/node/test_relay_notifications.py
@@ -8,7 +8,7 @@
 from rainpick.node.line_reader import LINE_LIMIT, LineReader
 from rainpick.node.message_fields import MalformedMessageError
 from rainpick.node.relay_notifications import Ping, parse_notification
-from tests.node.platform import VOCABULARY
+from tests.node.platform_stubs import VOCABULARY
 
 
 def test_a_line_over_the_limit_is_an_error():
