--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -24,7 +24,7 @@
 
 
 class ConfigurationError(Exception):
-    """An unusable configuration: it says which file, where in it, what stands there and what is allowed."""
+    """An unusable configuration: it says which file, at which key, what stands there and what is allowed."""
 
 
 class Vocabulary(NamedTuple):
@@ -67,32 +67,32 @@
             raise ConfigurationError(f"{path}: a JSON object is wanted")
         self.tree: dict[str, Any] = tree
 
-    def find(self, where: str) -> Any:
-        """The value at a dotted path; None if there is none."""
+    def find(self, key: str) -> Any:
+        """The value at a dotted key; None if there is none."""
         value: Any = self.tree
-        for name in where.split("."):
+        for name in key.split("."):
             value = value.get(name) if isinstance(value, dict) else None
         return value
 
-    def value(self, where: str, kind: type[Kind]) -> Kind:
-        """The value at a dotted path, of this kind."""
-        value = self.find(where)
+    def value(self, key: str, kind: type[Kind]) -> Kind:
+        """The value at a dotted key, of this kind."""
+        value = self.find(key)
         if not isinstance(value, kind) or isinstance(value, bool):
-            raise self.error(where, value, f"of the kind {kind.__name__}")
+            raise self.error(key, value, f"of the kind {kind.__name__}")
         return value
 
-    def number(self, where: str) -> float:
-        """The number at a dotted path."""
-        value = self.find(where)
+    def number(self, key: str) -> float:
+        """The number at a dotted key."""
+        value = self.find(key)
         if not isinstance(value, int | float) or isinstance(value, bool):
-            raise self.error(where, value, "of the kind int or float")
+            raise self.error(key, value, "of the kind int or float")
         return value
 
-    def indices(self, where: str) -> dict[str, int]:
-        """The list of names at a dotted path, as the index of each name."""
-        names: list[Any] = self.value(where, list)
+    def indices(self, key: str) -> dict[str, int]:
+        """The list of names at a dotted key, as the index of each name."""
+        names: list[Any] = self.value(key, list)
         if not names or not all(isinstance(name, str) for name in names):
-            raise self.error(where, names, "a list of names")
+            raise self.error(key, names, "a list of names")
         return {name: index for index, name in enumerate(names)}
 
     def route_names(self) -> list[str]:
@@ -104,11 +104,11 @@
             raise self.error("settings.grades", routes, "a list of objects with a name")
         return [route["name"] for route in routes]
 
-    def address(self, where: str, text: object) -> SocketAddress:
-        """The address that stands at a dotted path as this text."""
+    def address(self, key: str, text: object) -> SocketAddress:
+        """The address that stands at a dotted key as this text."""
         host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
         if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-            raise self.error(where, text, "HOST:PORT")
+            raise self.error(key, text, "HOST:PORT")
         return host, int(port)
 
     def seed(self) -> int:
@@ -119,9 +119,9 @@
         except ValueError:
             raise self.error("seed", text, "a number in hexadecimal digits") from None
 
-    def error(self, where: str, value: object, allowed: str) -> ConfigurationError:
+    def error(self, key: str, value: object, allowed: str) -> ConfigurationError:
         """The error for a value that is not what is allowed there."""
-        return ConfigurationError(f"{self.path}: {where}: {value!r} is not {allowed}")
+        return ConfigurationError(f"{self.path}: {key}: {value!r} is not {allowed}")
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
--- a/rainpick/node/event_loop.py
+++ b/rainpick/node/event_loop.py
@@ -15,6 +15,7 @@
 from rainpick.node.configuration import Configuration
 from rainpick.node.endpoint_discovery import DiscoveryAnswer
 from rainpick.node.endpoint_list import EndpointList
+from rainpick.node.load_report_parsing import LoadReport
 from rainpick.node.log import log
 from rainpick.node.mailbox import Mailbox, Notification
 from rainpick.node.proxy_membership import ProxyMembership, StreamClosed, StreamEvent, StreamOpened
@@ -67,7 +68,7 @@
             wait_s = IDLE_S if due_us is None else min(IDLE_S, max(0, due_us - now) / 1e6)
             self.turn(*self.mailbox.receive(wait_s))
 
-    def turn(self, notifications: list[Notification], reports: list[Any]) -> None:
+    def turn(self, notifications: list[Notification], reports: list[LoadReport]) -> None:
         """Apply a batch, and step the decisions if anything came or a timer is due."""
         if (step_us := self.clock.detect_step()) is not None:
             log.warning("wall clock stepped", by_s=round(step_us / 1e6, 3), steps=self.clock.steps)
@@ -95,7 +96,7 @@
         else:
             events.extend(model.Retransmitted(nonce) for nonce in self.membership.nonces(notification.nonce))
 
-    def add_reports(self, reports: list[Any]) -> None:
+    def add_reports(self, reports: list[LoadReport]) -> None:
         """Add load reports to the next step, but those of servers that no list named."""
         for report in reports:
             if isinstance(report, model.ServerLoadReport) and not self.endpoints.knows(report.server):
--- a/rainpick/node/frame_codec.py
+++ b/rainpick/node/frame_codec.py
@@ -15,9 +15,9 @@
 from rainpick.node.message_fields import (
     MalformedMessageError,
     Message,
+    excerpt,
     index_field,
     load_json,
-    shown,
 )
 
 LENGTH_SIZE = 4
@@ -124,8 +124,8 @@
             self.zone = zone
             return CollectorJoined(zone)
         if self.zone is None:
-            return self.end(f"{shown(kind)} before a joining")
+            return self.end(f"{excerpt(kind)} before a joining")
         parse = REPORT_PARSERS.get(kind) if isinstance(kind, str) else None
         if parse is None:
-            raise MalformedMessageError(f"t: {shown(kind)} is not one of {MESSAGE_KINDS}")
+            raise MalformedMessageError(f"t: {excerpt(kind)} is not one of {MESSAGE_KINDS}")
         return parse(message, self.vocabulary)
--- a/rainpick/node/message_fields.py
+++ b/rainpick/node/message_fields.py
@@ -14,7 +14,7 @@
 Message = dict[str, Any]  # a JSON object
 
 NAME_LIMIT = 256  # characters
-SHOWN_LIMIT = 40  # characters of an unusable value that an error shows
+EXCERPT_LIMIT = 40  # characters of an unusable value that an error message has
 
 
 class MalformedMessageError(Exception):
@@ -43,7 +43,7 @@
         or not minimum <= value <= maximum
     ):
         raise MalformedMessageError(
-            f"{field}: {shown(value)} is not a number from {minimum:g} to {maximum:g}"
+            f"{field}: {excerpt(value)} is not a number from {minimum:g} to {maximum:g}"
         )
     return value
 
@@ -60,7 +60,7 @@
     """The index of a name."""
     value = message.get(field)
     if not isinstance(value, str) or value not in indices:
-        raise MalformedMessageError(f"{field}: {shown(value)} is not one of {list(indices)}")
+        raise MalformedMessageError(f"{field}: {excerpt(value)} is not one of {list(indices)}")
     return indices[value]
 
 
@@ -68,10 +68,10 @@
     """A text that is not empty and not too long."""
     value = message.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= NAME_LIMIT:
-        raise MalformedMessageError(f"{field}: {shown(value)} is not a name")
+        raise MalformedMessageError(f"{field}: {excerpt(value)} is not a name")
     return value
 
 
-def shown(value: object) -> str:
-    """The begin of a value, for an error message."""
-    return repr(str(value)[:SHOWN_LIMIT])
+def excerpt(value: object) -> str:
+    """The first characters of a value, for an error message."""
+    return repr(str(value)[:EXCERPT_LIMIT])
--- a/rainpick/node/relay_notifications.py
+++ b/rainpick/node/relay_notifications.py
@@ -10,11 +10,11 @@
 from rainpick.node.message_fields import (
     MalformedMessageError,
     Message,
+    excerpt,
     index_field,
     integer_field,
     load_json,
     number_field,
-    shown,
 )
 
 NONCE_LIMIT = 65_535
@@ -51,7 +51,7 @@
             integer_field(parameters, "nonce", 0, NONCE_LIMIT),
             round(number_field(parameters, "latency", 0, INTERVAL_LIMIT_MS) * 1000),
         )
-    raise MalformedMessageError(f"method: {shown(method)} is not known")
+    raise MalformedMessageError(f"method: {excerpt(method)} is not known")
 
 
 def parse_join(proxy: int, parameters: Message, vocabulary: Vocabulary) -> model.ProxyJoined:
