--- a/tests/compat/operations_simhost.py
+++ b/tests/compat/operations_simhost.py
@@ -2,15 +2,17 @@
 
 import io
 
-from rainpick.simhost import wire
-from rainpick.simhost.__main__ import serve
+from rainpick.simhost.commands import ENCODERS, encode_failure
+from rainpick.simhost.events import decode_events
+from rainpick.simhost.framing import MalformedError, encode_reply, read_batch
+from rainpick.simhost.host import serve
 
 
 def batch(data):
     """All records of a stream of batches: each batch's time, then instance and event of each record."""
     source, lists, found = io.BytesIO(data), {}, []
-    while (frame := wire.read_frame(source)) is not None:
-        found.append([frame.now, list(wire.records(frame, lists))])
+    while (frame := read_batch(source)) is not None:
+        found.append([frame.now, list(decode_events(frame, lists))])
     return found
 
 
@@ -23,15 +25,15 @@
 
 def order(words):
     instance, value = words
-    return wire.WRITERS[type(value)](instance, value)
+    return ENCODERS[type(value)](instance, value)
 
 
 def failure(words):
-    return wire.failure(*words)
+    return encode_failure(*words)
 
 
 def reply(written):
-    return wire.reply(list(written))
+    return encode_reply(list(written))
 
 
 def conversation(data):
@@ -49,4 +51,4 @@
     "reply": reply,
     "conversation": conversation,
 }
-ERRORS = {wire.MalformedError: "malformed"}
+ERRORS = {MalformedError: "malformed"}
--- a/tests/test_wire.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The codec against frames written out by hand, and the adapter as a process."""
+"""The adapter's codec against frames written out by hand, and the adapter as a process."""
 
 import io
 import subprocess
@@ -7,18 +7,20 @@
 import pytest
 
 from rainpick import model
-from rainpick.simhost import wire
+from rainpick.simhost.commands import ENCODERS, encode_failure
+from rainpick.simhost.events import decode_events
+from rainpick.simhost.framing import BATCH_HEADER, read_batch
 
 HOST = bytes.fromhex("0a124a072bc3")
 
 
-def frame(*records):
+def encode_batch(*records):
     body = bytes.fromhex("".join(records).replace(" ", ""))
-    return wire.BATCH.pack(16 + len(body), len(records), 8_412_250) + body
+    return BATCH_HEADER.pack(16 + len(body), len(records), 8_412_250) + body
 
 
-def read(*records):
-    return list(wire.records(wire.read_frame(io.BytesIO(frame(*records))), {}))
+def decode(*records):
+    return list(decode_events(read_batch(io.BytesIO(encode_batch(*records))), {}))
 
 
 LISTS = (
@@ -44,7 +46,7 @@
     "041a 00000003": None,
     "03e8 00000003 0000000000000009 00000009" + b"az=1\nx=yy".hex(): model.Started(9, {"zone": 1, "x": "yy"}),
 }
-ORDERS = {
+COMMANDS = {
     "041a 00000003 0075 0a124a07 2bc3 3f400000": model.SetWeight(117, HOST, 0.75),
     "03e8 00000003 0075": model.ClearTable(117),
     "0406 00000003 000000000000000c 00": model.RequestAcknowledgement(12, False),
@@ -60,13 +62,13 @@
 }
 
 
-def test_events_are_read():
+def test_events_are_decoded():
     for text, event in EVENTS.items():
-        assert read(text) == [(3, event)]
+        assert decode(text) == [(3, event)]
 
 
-def test_a_list_number_means_the_list_sent_last():
-    (_, first), (_, second) = read(*LISTS)
+def test_a_list_number_refers_to_the_list_sent_last():
+    (_, first), (_, second) = decode(*LISTS)
     assert (first.kind, [server.state for server in first.endpoints]) == (
         model.UpdateKind.CACHED,
         [model.EndpointState.READY],
@@ -79,13 +81,13 @@
     )
 
 
-def test_orders_are_written():
-    for text, order in ORDERS.items():
-        assert wire.WRITERS[type(order)](3, order) == bytes.fromhex(text.replace(" ", ""))
-    assert wire.failure(3, "oops") == bytes.fromhex("0442 00000003 0004 6f6f7073".replace(" ", ""))
+def test_commands_are_encoded():
+    for text, command in COMMANDS.items():
+        assert ENCODERS[type(command)](3, command) == bytes.fromhex(text.replace(" ", ""))
+    assert encode_failure(3, "oops") == bytes.fromhex("0442 00000003 0004 6f6f7073".replace(" ", ""))
 
 
-def host(data):
+def run_adapter(data):
     command = [sys.executable, "-m", "rainpick.simhost"]
     return subprocess.run(command, input=data, capture_output=True, timeout=30)
 
@@ -93,30 +95,32 @@
 @pytest.mark.parametrize(
     "data",
     [
-        frame("03fc 00000003 000000000000004d")[:-3],
-        frame("03fc 00000003")[:20],
-        frame("0001 00000003"),
-        frame("03fc 00000003 000000000000004d 00"),
-        frame("03f2 00000003 01 00000005 0000000000000001"),
+        encode_batch("03fc 00000003 000000000000004d")[:-3],
+        encode_batch("03fc 00000003")[:20],
+        encode_batch("0001 00000003"),
+        encode_batch("03fc 00000003 000000000000004d 00"),
+        encode_batch("03f2 00000003 01 00000005 0000000000000001"),
         b"\0\0\0\3" + bytes(12),
-        frame("03fc 00000003 000000000000004d"),
-        frame("03e8 00000003 00")[:9],
+        encode_batch("03fc 00000003 000000000000004d"),
+        encode_batch("03e8 00000003 00")[:9],
     ],
     ids=["cut", "short", "code", "long", "list", "tiny", "unborn", "header"],
 )
-def test_what_is_malformed_ends_it_plainly(data):
-    ended = host(data)
-    assert ended.returncode != 0 and ended.stderr.startswith(b"rainpick.simhost: ")
-    assert ended.stderr.count(b"\n") == 1
-
-
-def test_instances_live_die_and_fail_on_their_own():
-    born = [f"03e8 0000000{n} 0000000000000009 00000000" for n in (1, 2)]
-    ended = host(
-        frame()
-        + frame(*born)
-        + frame("041a 00000001", born[0], "0460 00000002 01 0075", "0424 00000002 01 40d00000 0029 00")
+def test_malformed_input_ends_the_process_with_one_line(data):
+    process = run_adapter(data)
+    assert process.returncode != 0 and process.stderr.startswith(b"rainpick.simhost: ")
+    assert process.stderr.count(b"\n") == 1
+
+
+def test_instances_start_stop_and_fail_independently():
+    starts = [f"03e8 0000000{n} 0000000000000009 00000000" for n in (1, 2)]
+    process = run_adapter(
+        encode_batch()
+        + encode_batch(*starts)
+        + encode_batch(
+            "041a 00000001", starts[0], "0460 00000002 01 0075", "0424 00000002 01 40d00000 0029 00"
+        )
     )
-    assert (ended.returncode, ended.stdout[:8].hex()) == (0, "0000000800000000")
-    broken = frame("03e8 00000001 0000000000000009 0000000f" + b"routes.count=no".hex())
-    assert b"TypeError" in host(broken + frame()).stdout
+    assert (process.returncode, process.stdout[:8].hex()) == (0, "0000000800000000")
+    invalid_start = encode_batch("03e8 00000001 0000000000000009 0000000f" + b"routes.count=no".hex())
+    assert b"TypeError" in run_adapter(invalid_start + encode_batch()).stdout
