--- a/rainpick/rules/__init__.py
+++ b/rainpick/rules/__init__.py
@@ -1,5 +1,7 @@
-"""The five rules, judged from what passed on sockets and nothing else."""
+"""Audits a simulated day against the five rules, from what passed on sockets and nothing else."""
 
-from rainpick.rules.audit import Breach, Limits, Rule, Verdict, audit, read_logs
+from rainpick.rules.audit import audit
+from rainpick.rules.logs import read_logs
+from rainpick.rules.verdict import Breach, Limits, Rule, Verdict
 
 __all__ = ["Breach", "Limits", "Rule", "Verdict", "audit", "read_logs"]
--- /dev/null
+++ b/rainpick/rules/backlogs.py
@@ -0,0 +1,35 @@
+"""The rule "a short queue": entries that wait in a director, and messages to a proxy, stay few."""
+
+from __future__ import annotations
+
+from collections import defaultdict, deque
+
+from rainpick.rules.logs import LogEvent
+from rainpick.rules.timeline import Timeline
+from rainpick.rules.verdict import Limits, Rule
+
+
+def measure_pending(rule: Rule, event: LogEvent, limits: Limits) -> None:
+    """Measure the entries that waited at most, as the director's status says."""
+    pending = event["lines_most"]
+    text = f"{pending} lines waited, {limits.pending} may"
+    rule.measure(pending / limits.pending, f"director {event['d']}", event["t"], text)
+
+
+def check_backlogs(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
+    """Judge the rule over a day; messages are counted as each proxy read them, from its joining on."""
+    rule = Rule("a short queue")
+    windows: dict[str, deque[int]] = defaultdict(deque)  # when messages were read, by proxy
+    for event in events:
+        if event["k"] == "status" and event.get("lines_most") is not None:
+            measure_pending(rule, event, limits)
+        elif event["k"] == "weights" and limits.messages_most:
+            window, session = windows[event["p"]], timeline.session_at(event["p"], event["t"])
+            window.append(event["t"])
+            # What was sent before the joining may be read a moment after it: it does not count.
+            begin = max(event["t"] - limits.messages_over, session.begin if session else 0)
+            while window and window[0] <= begin:
+                window.popleft()
+            text = f"{len(window)} messages within the span, {limits.messages_most} may be"
+            rule.measure(len(window) / limits.messages_most, event["p"], event["t"], text)
+    return rule
--- /dev/null
+++ b/rainpick/rules/duplicate_effects.py
@@ -0,0 +1,47 @@
+"""The rule "no effect twice": a retried request never takes effect twice."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+from rainpick.rules.logs import LogEvent
+from rainpick.rules.timeline import Timeline
+from rainpick.rules.verdict import Breach, Limits, Rule
+
+FORBIDDEN = 2  # the ratio of a retry that is a breach whenever it is sent
+
+
+def measure_retry(rule: Rule, event: LogEvent, limits: Limits, pods: dict[str, int]) -> None:
+    """Measure a retry by its route: mutating requests have none, idempotent ones a pod and a window."""
+    route = limits.routes[event["r"]]
+    request = f"{event['r']} {event['id']}"
+    if route["effect"] == "mutating":
+        rule.measure(FORBIDDEN, event["p"], event["t"], f"{request} repeated: it may never be")
+    elif route["effect"] == "keyed":
+        tried_pods = {pods.get(server) for server in event["after"]}
+        if tried_pods != {pods.get(event["s"])}:
+            rule.measure(FORBIDDEN, event["p"], event["t"], f"{request} repeated outside its pod")
+        else:
+            ratio = (event["t"] - event["first"]) / route["window"]
+            rule.measure(ratio, event["p"], event["t"], f"{request} repeated after its window")
+
+
+def check_duplicate_effects(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
+    """Judge the rule over a day. Effects count for requests that a proxy retried, not for clients' own."""
+    rule = Rule("no effect twice")
+    pods = {server: runs[-1]["pod"] for server, runs in timeline.runs.items()}
+    retried: set[str] = set()
+    effects: dict[str, list[LogEvent]] = defaultdict(list)
+    for event in events:
+        if event["k"] == "again":
+            retried.add(event["id"])
+            measure_retry(rule, event, limits, pods)
+        elif event["k"] == "effect":
+            effects[event["id"]].append(event)
+    for request, occurrences in effects.items():
+        rule.checked += 1
+        if len(occurrences) > 1 and request in retried:
+            second = occurrences[1]
+            text = f"{request} took effect {len(occurrences)} times"
+            rule.breaches.append(Breach(second["t"], second["s"], text))
+    return rule
--- /dev/null
+++ b/rainpick/rules/empty_tables.py
@@ -0,0 +1,89 @@
+"""The rule "a line to pick": a joined proxy has an open server while a warm one is listed ready."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from typing import NamedTuple
+
+from rainpick.rules.logs import LogEvent
+from rainpick.rules.timeline import KnownServers, Timeline
+from rainpick.rules.verdict import Limits, Rule
+
+
+class Span(NamedTuple):
+    """A span of time."""
+
+    begin: int
+    end: int
+
+    def overlap(self, other: Span) -> int:
+        """Microseconds that two spans have in common; negative if they are apart."""
+        return min(self.end, other.end) - max(self.begin, other.begin)
+
+
+def warm_span(run: LogEvent, known: list[KnownServers], warm_after_us: int, end: int) -> Span:
+    """Find when a run's server was warm and open: until it ended, or any director was told to avoid it."""
+    avoided = [at for servers in known for at in servers.unusable_times(run["s"]) if at >= run["t"]]
+    return Span(run["born"] + warm_after_us, min([run.get("end", end), *avoided]))
+
+
+class EmptyTableCheck:
+    """Follows the table of each proxy through the day."""
+
+    def __init__(self, limits: Limits, timeline: Timeline, end: int):
+        self.rule, self.limit_us, self.timeline = Rule("a line to pick"), limits.bare, timeline
+        self.end = end
+        known = list(timeline.known.values())
+        self.warm_spans = [
+            warm_span(run, known, limits.warm_after, end) for runs in timeline.runs.values() for run in runs
+        ]
+        self.tables: dict[str, dict[str, int]] = defaultdict(dict)  # open servers and weights, by proxy
+        self.empty_since: dict[str, int] = {}  # by proxy, for those with an empty table
+
+    def update(self, event: LogEvent) -> None:
+        """Handle an event, in order of time."""
+        if event["k"] in ("weights", "standing"):
+            self.update_table(event["p"], event)
+        elif event["k"] == "left" and event["p"] in self.empty_since:
+            self.measure(event["p"], event["t"])
+            self.empty_since[event["p"]] = event["t"]
+
+    def update_table(self, proxy: str, event: LogEvent) -> None:
+        """Apply the entries that a proxy has read."""
+        self.rule.checked += 1
+        table = self.tables[proxy]
+        for server, weight, *_ in event["m"]:
+            if weight:
+                table[server] = weight
+            else:
+                table.pop(server, None)
+        if not table:
+            self.empty_since.setdefault(proxy, event["t"])
+        elif proxy in self.empty_since:
+            self.measure(proxy, event["t"])
+
+    def measure(self, proxy: str, until: int) -> None:
+        """End the time of an empty table; what counts is its longest overlap with a warm server's span."""
+        since = self.empty_since.pop(proxy)
+        session = self.timeline.session_at(proxy, until - 1)
+        if session is None:
+            return
+        empty = Span(max(since, session.begin), until)
+        longest = max((empty.overlap(span) for span in self.warm_spans), default=0)
+        if longest > 0:
+            ratio = longest / self.limit_us
+            self.rule.measure(ratio, proxy, until, f"no line to pick for {longest / 1e6:.2f} s")
+
+    def finish(self) -> Rule:
+        """Measure the tables that are empty at the end of the day."""
+        for proxy in list(self.empty_since):
+            self.measure(proxy, self.end)
+        return self.rule
+
+
+def check_empty_tables(events: list[LogEvent], limits: Limits, timeline: Timeline, end: int) -> Rule:
+    """Judge the rule over a day that lasts until ``end``."""
+    check = EmptyTableCheck(limits, timeline, end)
+    for event in events:
+        check.update(event)
+    return check.finish()
