--- a/rainpick/emulator/__init__.py
+++ b/rainpick/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""An emulator of what a director serves, in virtual time, around the very engine of the daemon."""
+"""Emulates the fleet that a director serves, in virtual time, around the engine that the daemon drives."""
--- a/rainpick/emulator/chance.py
+++ b/rainpick/emulator/random_streams.py
@@ -1,7 +1,7 @@
-"""Seeded chance for every part of a run by its name: a change in one part leaves the draws of others alone.
+"""Seeded random numbers, in a stream for each part of a run.
 
-Arms of an experiment that have the seed in common have arrivals and work in common, too: their differences
-are paired (common random numbers).
+A change in one part leaves the draws of the others alone. Runs of an experiment that have the seed in common
+have arrivals and work in common, too: their differences are paired (common random numbers).
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 import numpy
 
-BLOCK = 1024  # draws made at once: a call for each costs ten times as much
+BLOCK_SIZE = 1024  # draws made at once: a call of numpy for each costs ten times as much
 
 
-class Chance:
+class RandomStream:
     """One stream of draws. The same seed and name give the same stream on every machine (PCG64)."""
 
     def __init__(self, seed: int, name: str):
@@ -22,12 +22,13 @@
         self.exponentials: list[float] = []
 
     def uniform(self) -> float:
-        """In [0, 1)."""
+        """Draw from the uniform distribution over [0, 1)."""
         if not self.uniforms:
-            self.uniforms = self.generator.random(BLOCK).tolist()
+            self.uniforms = self.generator.random(BLOCK_SIZE).tolist()
         return self.uniforms.pop()
 
     def exponential(self, mean: float) -> float:
+        """Draw from the exponential distribution of a mean."""
         if not self.exponentials:
-            self.exponentials = self.generator.standard_exponential(BLOCK).tolist()
+            self.exponentials = self.generator.standard_exponential(BLOCK_SIZE).tolist()
         return mean * self.exponentials.pop()
--- a/rainpick/emulator/server.py
+++ b/rainpick/emulator/server.py
@@ -1,162 +1,246 @@
-"""A served system's server: slots or shared cores, a waiting room, a cold start, a limit on connections.
+"""An emulated server: slots or shared cores, a queue, a slow start, a limit on connections, faults.
 
-Two ways of working, as queueing theory has them: slots (so many calls at once, the rest wait: M/M/c with
-Poisson arrivals and exponential work) and ``sharing`` (all calls share the cores: processor sharing).
+There are two disciplines, as queueing theory has them: slots (so many calls at once, the rest wait: M/M/c
+with Poisson arrivals and exponential work) and processor sharing (all calls share the cores).
 """
 
 from __future__ import annotations
 
+from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable, Hashable
+from enum import StrEnum
 from heapq import heappop, heappush
-from typing import NamedTuple
+from typing import NamedTuple, TypeAlias
 
-from rainpick.emulator.heap import Heap
+from rainpick.emulator.clock import Ticket, VirtualClock
 
-ANSWERED, DROPPED, REFUSED, BROKEN = "answered", "dropped", "refused", "broken"
-Done = Callable[[str], None]
+HUNG_RETRY_US = 10_000  # how long after a finished call of a hung server is looked at again
+WARM_UP_CHECK_US = 20_000  # how often the speed of shared cores is brought up to date during a slow start
 
 
-class Kind(NamedTuple):
-    """What a server is able to. Times in microseconds; ``speed`` is work done in a microsecond by a core."""
+class Outcome(StrEnum):
+    """How an attempt ended."""
 
-    cores: int = 4
-    speed: float = 1.0
-    sharing: bool = False
-    room: int = 64  # calls that may wait, or with ``sharing`` be worked on beside the cores'
-    connections: int = 10_000
-    warm_us: int = 0  # from its start to full speed, in a straight line
-    start_capacity: float = 1.0  # its part at the start
-    thrash: float = 0.0  # with ``sharing``: the part of its speed that each call over the cores costs
+    ANSWERED = "answered"
+    DROPPED = "dropped"  # the queue is full
+    REFUSED = "refused"  # the server is down or out of connections
+    BROKEN = "broken"  # the server stopped during the call
+    TIMED_OUT = "late"
+    NO_SERVER = "no line"  # the proxy has no open server
 
 
-class Call:
-    """A try under way at a server."""
+OutcomeCallback: TypeAlias = Callable[[Outcome], None]
 
-    __slots__ = ("done", "left", "ticket")
 
-    def __init__(self, work: float, done: Done):
-        self.left, self.done, self.ticket = work, done, 0
+class ServerType(NamedTuple):
+    """What a server is able to. Times are in microseconds; ``speed`` is work per microsecond and core."""
 
+    cores: int = 4
+    speed: float = 1.0
+    sharing: bool = False
+    queue_capacity: int = 64  # calls that may wait, or with ``sharing`` be worked on beyond the cores'
+    max_connections: int = 10_000
+    warm_up_us: int = 0  # from the start to full speed, in a straight line
+    start_capacity: float = 1.0  # fraction of the speed at the start
+    thrash: float = 0.0  # with ``sharing``: fraction of the speed that each call beyond the cores costs
 
-class Server:
-    """One server. ``take`` hands it a call of some work; ``done`` is told the outcome, once."""
 
-    def __init__(self, heap: Heap, name: Hashable, kind: Kind):
-        self.heap, self.name, self.kind = heap, name, kind
-        self.up, self.started_us, self.hung, self.slow = True, -kind.warm_us, False, 1.0
-        self.waiting: deque[Call] = deque()
-        self.working: set[Call] = set()
-        self.shared: list[tuple[float, int, Call]] = []  # by when, in work a call, each is ready
-        self.given = 0.0  # work that each sharing call has got since the beginning
-        self.seen_us, self.count = heap.now, 0
-        self.ready: int | None = None  # the ticket of the next that is ready
+class Server(ABC):
+    """One server, up and warm at first. Subclasses are the disciplines."""
 
-    # How fast
+    def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
+        self.clock, self.name, self.type = clock, name, server_type
+        self.up, self.started_us = True, -server_type.warm_up_us
+        self.hung, self.slowdown = False, 1.0
 
-    def able(self) -> float:
-        """The part of its speed that it has just now."""
-        kind = self.kind
+    def speed_fraction(self) -> float:
+        """Give the fraction of its speed that the server has now."""
         if self.hung:
             return 0.0
-        age = (self.heap.now - self.started_us) / kind.warm_us if kind.warm_us else 1.0
-        return min(1.0, kind.start_capacity + (1 - kind.start_capacity) * max(0.0, age)) / self.slow
-
-    def rate(self) -> float:
-        """Work that each of the sharing calls gets in a microsecond."""
-        many = len(self.shared)
-        over = max(0, many - self.kind.cores)
-        speed = self.kind.speed * self.able() / (1 + self.kind.thrash * over)
-        return speed * min(1.0, self.kind.cores / many) if many else 0.0
-
-    # What happens to it
+        warm_up_us, start = self.type.warm_up_us, self.type.start_capacity
+        age = (self.clock.now - self.started_us) / warm_up_us if warm_up_us else 1.0
+        return min(1.0, start + (1 - start) * max(0.0, age)) / self.slowdown
 
     def start(self) -> None:
-        self.up, self.started_us, self.hung = True, self.heap.now, False
+        """Start, which begins a slow start."""
+        self.up, self.started_us, self.hung = True, self.clock.now, False
 
     def stop(self) -> None:
-        """It goes at once: calls under way break."""
-        calls = [*self.waiting, *self.working, *(call for _, _, call in self.shared)]
+        """Stop at once: calls in progress break."""
         self.up = False
-        self.waiting.clear()
-        self.working.clear()
-        self.shared.clear()
-        for call in calls:
-            if call.ticket:
-                self.heap.cancel(call.ticket)
-            call.done(BROKEN)
-        self.plan()
-
-    def change(self, slow: float = 1.0, hung: bool = False) -> None:
-        """A fault begins or ends. Slots finish what they began; sharing calls feel it at once."""
-        self.settle()
-        self.slow, was, self.hung = slow, self.hung, hung
-        self.plan()
-        if was and not hung:
-            self.fill()
-
-    def open(self) -> int:
-        return len(self.waiting) + len(self.working) + len(self.shared)
-
-    def take(self, work: float, done: Done) -> None:
-        if not self.up or self.open() >= self.kind.connections:
-            done(REFUSED)
-        elif self.open() >= self.kind.cores + self.kind.room:
-            done(DROPPED)
-        elif self.kind.sharing:
-            self.settle()
-            self.count += 1
-            heappush(self.shared, (self.given + work, self.count, Call(work, done)))
-            self.plan()
+        for done in self.remove_calls():
+            done(Outcome.BROKEN)
+
+    def handle(self, work: float, done: OutcomeCallback) -> None:
+        """Handle a call of some work, in microseconds at speed 1; ``done`` is called once."""
+        calls = self.call_count()
+        if not self.up or calls >= self.type.max_connections:
+            done(Outcome.REFUSED)
+        elif calls >= self.type.cores + self.type.queue_capacity:
+            done(Outcome.DROPPED)
         else:
-            self.waiting.append(Call(work, done))
-            self.fill()
+            self.admit(work, done)
+
+    @abstractmethod
+    def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
+        """Begin a fault, or with no arguments end it."""
+
+    @abstractmethod
+    def call_count(self) -> int:
+        """Count the calls that wait or are worked on."""
+
+    @abstractmethod
+    def admit(self, work: float, done: OutcomeCallback) -> None:
+        """Begin a call or put it into the queue."""
+
+    @abstractmethod
+    def remove_calls(self) -> list[OutcomeCallback]:
+        """Remove all calls, and give their callbacks."""
+
+
+class SlotCall:
+    """A call at a server with slots."""
+
+    __slots__ = ("done", "ticket", "work")
+
+    def __init__(self, work: float, done: OutcomeCallback):
+        self.work, self.done = work, done
+        self.ticket: Ticket = 0  # of its end, once it is worked on
+
 
-    # Slots
+class SlotServer(Server):
+    """Works on as many calls at once as it has cores; a fault lets it finish at the speed of the begin."""
 
-    def fill(self) -> None:
-        while self.waiting and len(self.working) < self.kind.cores and not self.hung:
-            call = self.waiting.popleft()
+    def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
+        super().__init__(clock, name, server_type)
+        self.queue: deque[SlotCall] = deque()
+        self.working: set[SlotCall] = set()
+
+    def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
+        """Begin or end a fault: calls that begin from now on feel it."""
+        recovered = self.hung and not hung
+        self.slowdown, self.hung = slowdown, hung
+        if recovered:
+            self.fill_slots()
+
+    def call_count(self) -> int:
+        """Count the calls that wait or are worked on."""
+        return len(self.queue) + len(self.working)
+
+    def admit(self, work: float, done: OutcomeCallback) -> None:
+        """Queue a call, and begin it if a slot is free."""
+        self.queue.append(SlotCall(work, done))
+        self.fill_slots()
+
+    def remove_calls(self) -> list[OutcomeCallback]:
+        """Remove all calls and cancel their ends."""
+        for call in self.working:
+            self.clock.cancel(call.ticket)
+        callbacks = [call.done for call in (*self.queue, *self.working)]
+        self.queue.clear()
+        self.working.clear()
+        return callbacks
+
+    def fill_slots(self) -> None:
+        """Begin calls that wait while slots are free."""
+        while self.queue and len(self.working) < self.type.cores and not self.hung:
+            call = self.queue.popleft()
             self.working.add(call)
-            took = call.left / (self.kind.speed * self.able())
-            call.ticket = self.heap.after(max(1, round(took)), self.finish, call)
+            duration_us = call.work / (self.type.speed * self.speed_fraction())
+            call.ticket = self.clock.schedule_after(max(1, round(duration_us)), self.finish, call)
 
-    def finish(self, call: Call) -> None:
-        if self.hung:  # it hangs over what it holds, too
-            call.ticket = self.heap.after(10_000, self.finish, call)
+    def finish(self, call: SlotCall) -> None:
+        """End a call; while the server hangs, its end is put off."""
+        if self.hung:
+            call.ticket = self.clock.schedule_after(HUNG_RETRY_US, self.finish, call)
             return
         self.working.discard(call)
-        call.ticket = 0
-        call.done(ANSWERED)
-        self.fill()
+        call.done(Outcome.ANSWERED)
+        self.fill_slots()
+
+
+class SharedCoreServer(Server):
+    """Shares its cores among all calls; a change of its speed changes all of them at once.
+
+    All calls get work at the same rate. So one sum of the work that each has got is kept, and a call ends
+    when the sum has grown by its work.
+    """
 
-    # Sharing
+    def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
+        super().__init__(clock, name, server_type)
+        self.calls: list[tuple[float, int, OutcomeCallback]] = []  # heap by the sum at which each ends
+        self.work_done = 0.0  # the sum
+        self.updated_us = clock.now  # when it was last brought up to date
+        self.admitted = 0
+        self.next_end: Ticket | None = None
+
+    def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
+        """Begin or end a fault: calls in progress feel it at once."""
+        self.settle()
+        self.slowdown, self.hung = slowdown, hung
+        self.schedule_next_end()
+
+    def call_count(self) -> int:
+        """Count the calls that share the cores."""
+        return len(self.calls)
+
+    def admit(self, work: float, done: OutcomeCallback) -> None:
+        """Begin a call, which slows down the others."""
+        self.settle()
+        self.admitted += 1
+        heappush(self.calls, (self.work_done + work, self.admitted, done))
+        self.schedule_next_end()
+
+    def remove_calls(self) -> list[OutcomeCallback]:
+        """Remove all calls."""
+        callbacks = [done for _, _, done in self.calls]
+        self.calls.clear()
+        self.schedule_next_end()
+        return callbacks
+
+    def rate(self) -> float:
+        """Give the work that each call gets in a microsecond."""
+        calls = len(self.calls)
+        if not calls:
+            return 0.0
+        excess = max(0, calls - self.type.cores)
+        speed = self.type.speed * self.speed_fraction() / (1 + self.type.thrash * excess)
+        return speed * min(1.0, self.type.cores / calls)
 
     def settle(self) -> None:
-        """Give out the work done since it was last looked at."""
-        self.given += (self.heap.now - self.seen_us) * self.rate()
-        self.seen_us = self.heap.now
-
-    def plan(self) -> None:
-        if self.ready is not None:
-            self.heap.cancel(self.ready)
-            self.ready = None
+        """Account for the work done since this was last called, at the rate of now."""
+        self.work_done += (self.clock.now - self.updated_us) * self.rate()
+        self.updated_us = self.clock.now
+
+    def schedule_next_end(self) -> None:
+        """Schedule the end of the call that is next to end at the present rate."""
+        if self.next_end is not None:
+            self.clock.cancel(self.next_end)
+            self.next_end = None
         rate = self.rate()
-        if self.shared and rate:
-            wait = max(0.0, self.shared[0][0] - self.given) / rate
-            # A cold server gets faster meanwhile: looked at again before long.
-            cold = self.kind.warm_us and self.able() * self.slow < 1
-            self.ready = self.heap.after(
-                min(max(1, round(wait)), 20_000) if cold else max(1, round(wait)), self.look
-            )
-
-    def look(self) -> None:
-        self.ready = None
+        if not self.calls or not rate:
+            return
+        delay_us = max(1, round(max(0.0, self.calls[0][0] - self.work_done) / rate))
+        warming_up = self.type.warm_up_us and self.speed_fraction() * self.slowdown < 1
+        if warming_up:  # the rate rises meanwhile
+            delay_us = min(delay_us, WARM_UP_CHECK_US)
+        self.next_end = self.clock.schedule_after(delay_us, self.end_calls)
+
+    def end_calls(self) -> None:
+        """End the calls whose work is done."""
+        self.next_end = None
         self.settle()
-        done = []
-        near = self.given * (1 + 1e-9) + 0.5 * self.rate()  # half a microsecond is ready
-        while self.shared and self.shared[0][0] <= near:
-            done.append(heappop(self.shared)[2])
-        self.plan()
-        for call in done:
-            call.done(ANSWERED)
+        callbacks: list[OutcomeCallback] = []
+        reached = self.work_done * (1 + 1e-9) + 0.5 * self.rate()  # half a microsecond short is done
+        while self.calls and self.calls[0][0] <= reached:
+            callbacks.append(heappop(self.calls)[2])
+        self.schedule_next_end()
+        for done in callbacks:
+            done(Outcome.ANSWERED)
+
+
+def create_server(clock: VirtualClock, name: Hashable, server_type: ServerType) -> Server:
+    """Make a server of the discipline that its type names."""
+    discipline = SharedCoreServer if server_type.sharing else SlotServer
+    return discipline(clock, name, server_type)
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -1,240 +1,160 @@
-"""A fleet in virtual time around one engine, the very one that the daemon drives: nothing of it is copied.
+"""An emulated fleet around one engine, the one that the daemon drives: nothing of it is copied.
 
-Members are listed, proxies join and are written to over links with a delay, clients call with Poisson
-arrivals and repeat what was not answered, reports come in rounds of so many lines a second, as late as they
-would.
+Servers are listed, proxies join and are written to over links with a delay, clients send requests through
+them, and load reports go back to the engine.
 """
 
 from __future__ import annotations
 
-from collections import Counter, deque
 from collections.abc import Callable
-from typing import NamedTuple
 
-from rainpick import model
 from rainpick.decisions.director import Director
 from rainpick.director.engine import Engine, Write
 from rainpick.director.tables import Key
-from rainpick.emulator.chance import Chance
-from rainpick.emulator.heap import Heap
-from rainpick.emulator.proxy import Pick, Proxy
-from rainpick.emulator.server import ANSWERED, Kind, Server
+from rainpick.emulator.clients import Clients
+from rainpick.emulator.clock import Ticket, VirtualClock
+from rainpick.emulator.load_reports import LoadReport, LoadReporter
+from rainpick.emulator.proxy import Proxy
+from rainpick.emulator.random_streams import RandomStream
+from rainpick.emulator.server import Server, create_server
+from rainpick.emulator.shape import Shape
+from rainpick.model import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from rainpick.settings import Settings
 
-BEGIN_US = 1_000_000
-
-
-class Shape(NamedTuple):
-    """How large, how busy, how far apart. Times in microseconds."""
-
-    servers: int = 12
-    proxies: int = 8
-    kinds: tuple[Kind, ...] = (Kind(),)  # server n is of kind n modulo how many
-    weights: tuple[float, ...] = (1.0,)  # as listed, likewise
-    calls_per_s: float = 400.0  # of all proxies together
-    work_us: float = 20_000.0
-    pick: Pick = "lottery"
-    standing: int = 3  # servers that a proxy knows before it is told any
-    same_us: int = 300  # one way, within a zone
-    cross_us: int = 2_000
-    list_delay_us: int = 300_000
-    report_delay_us: int = 50_000
-    repeats: int = 1  # by the client
-    wait_us: int = 50_000  # before a repeat, doubled each time, with chance
-
+__all__ = ["Shape", "World"]
 
-class Asked:
-    """A call of a client, over all its tries."""
-
-    __slots__ = ("begin", "left", "over", "proxy", "ticket")
-
-    def __init__(self, begin: int, proxy: Proxy, repeats: int):
-        self.begin, self.proxy, self.left, self.over, self.ticket = begin, proxy, repeats, False, 0
+BEGIN_US = 1_000_000
+SERVER_HOST = "10.0.0.1"
+FIRST_PORT = 1024
 
 
 class World:
-    """One run. ``module`` is the decision module's class; ``begin`` starts all, ``run`` lets time pass."""
+    """One run. ``module`` makes the decision module; ``begin`` starts all, ``run`` lets time pass."""
 
     def __init__(
         self, settings: Settings, shape: Shape, seed: int, module: Callable[[], Director] = Director
     ):
-        self.settings, self.shape, self.heap = settings, shape, Heap(BEGIN_US)
+        self.shape, self.seed, self.clock = shape, seed, VirtualClock(BEGIN_US)
         self.engine = Engine(settings, seed, BEGIN_US, module)
-        self.zones = max(1, len(settings.zones))
-        self.comes, self.works = Chance(seed, "comes"), Chance(seed, "works")
-        self.waits = Chance(seed, "waits")
+        self.engine_due_us = -1  # when the engine is next advanced, if that is not past
+        self.engine_ticket: Ticket = 0
+        self.zone_count = max(1, len(settings.zones))
         self.servers: dict[Key, Server] = {}
-        self.entries: dict[Key, model.Endpoint] = {}
+        self.endpoints: dict[Key, Endpoint] = {}
+        self.list_version = 1
         for number in range(shape.servers):
-            name = ("10.0.0.1", 1024 + number)
-            self.servers[name] = Server(self.heap, name, shape.kinds[number % len(shape.kinds)])
-            weight = shape.weights[number % len(shape.weights)]
-            self.entries[name] = model.Endpoint(
-                weight,
-                number % self.zones,
-                0,
-                number % len(shape.kinds),
-                number,
-                name,
-                model.EndpointState.READY,
-            )
+            self.add_server(number)
         self.proxies: dict[int, Proxy] = {}
-        self.seed, self.pumped = seed, (-1, 0)  # when the engine is next looked at, and the ticket of that
-        self.reports: deque[model.ServerLoadReport | model.RouteLoadReport] = deque()
-        self.outcomes: Counter[str] = Counter()
-        self.in_slo, self.offered, self.version = 0, 0, 1
-        self.slo_us, self.limit_us = settings.routes[0].slo_time, settings.routes[0].time_limit
-        self.listeners: list[Callable[[int, str, Key, int], None]] = []  # now, what, server, proxy
+        zones = {server: endpoint.zone for server, endpoint in self.endpoints.items()}
+        self.clients = Clients(self.clock, settings, shape, seed, self.servers, zones)
+        self.reporter = LoadReporter(self.clock, settings, shape, self.proxies, self.receive_reports)
+
+    @property
+    def offered(self) -> int:
+        """The requests that have arrived so far."""
+        return self.clients.offered
+
+    def add_server(self, number: int) -> None:
+        """Add a server and its endpoint, ready and warm."""
+        shape, address = self.shape, (SERVER_HOST, FIRST_PORT + number)
+        machine_type = number % len(shape.server_types)
+        self.servers[address] = create_server(self.clock, address, shape.server_types[machine_type])
+        self.endpoints[address] = Endpoint(
+            weight=shape.listed_weights[number % len(shape.listed_weights)],
+            zone=number % self.zone_count,
+            started_us=0,
+            machine_type=machine_type,
+            pod=number,
+            address=address,
+            state=EndpointState.READY,
+        )
 
     def begin(self) -> None:
-        self.engine.list_changed(
-            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(self.entries.values()), self.version)
-        )
+        """Hand the list to the engine, let all proxies join, and begin to report."""
+        endpoints = tuple(self.endpoints.values())
+        self.engine.list_changed(EndpointUpdate(UpdateKind.CACHED, endpoints, self.list_version))
         for number in range(self.shape.proxies):
             self.join(number)
-        self.heap.after(int(self.settings.proxies.report_every), self.collect)
-        self.heap.after(100_000, self.report)
-        self.pump()
+        self.reporter.start()
+        self.advance_engine()
 
     def run(self, seconds: float) -> None:
-        self.heap.run(self.heap.now + int(seconds * 1e6))
-
-    # The director's side
-
-    def pump(self) -> None:
-        """Let the engine take what waits, carry what it writes, and come back when it wants to be."""
-        for write in self.engine.advance(self.heap.now):
-            self.heap.after(self.shape.same_us, self.deliver, write)
-        due = self.engine.due_us()
-        if due is not None:
-            due = max(due, self.heap.now + 1)
-            if self.heap.now < self.pumped[0] <= due:
-                return
-            if self.pumped[0] > self.heap.now:
-                self.heap.cancel(self.pumped[1])
-            self.pumped = due, self.heap.at(due, self.pump)
+        """Let virtual time pass."""
+        self.clock.run(self.clock.now + int(seconds * 1e6))
+
+    def service(self) -> float:
+        """Give the fraction of the ended requests that were answered within the SLO time."""
+        return self.clients.service()
+
+    # The engine
+
+    def advance_engine(self) -> None:
+        """Let the engine handle its events, deliver what it writes, and come back when it is next due."""
+        for write in self.engine.advance(self.clock.now):
+            self.clock.schedule_after(self.shape.same_zone_delay_us, self.deliver, write)
+        due_us = self.engine.due_us()
+        if due_us is not None:
+            self.schedule_engine(max(due_us, self.clock.now + 1))
+
+    def schedule_engine(self, due_us: int) -> None:
+        """Schedule the next advance, unless one is scheduled that is not later."""
+        now = self.clock.now
+        if now < self.engine_due_us <= due_us:
+            return
+        if self.engine_due_us > now:
+            self.clock.cancel(self.engine_ticket)
+        self.engine_due_us = due_us
+        self.engine_ticket = self.clock.schedule_at(due_us, self.advance_engine)
 
     def deliver(self, write: Write) -> None:
+        """Deliver a message to its proxy, and acknowledge it."""
         proxy = self.proxies.get(write.proxy)
         if proxy is not None:
-            proxy.read(write.way.lines)
+            proxy.update(write.way.lines)
             self.engine.delivered(write.proxy, write.number)
-            self.pump()
+            self.advance_engine()
 
-    def join(self, number: int) -> None:
-        names = sorted(self.servers)
-        standing = [names[(number * 7 + one) % len(names)] for one in range(self.shape.standing)]
-        chance = Chance(self.seed, f"proxy {number}")
-        proxy = self.proxies[number] = Proxy(number, number % self.zones, self.shape.pick, chance, standing)
-        rate = self.shape.calls_per_s / self.shape.proxies
-        self.engine.joined(number, True, rate, proxy.zone, standing)
-        self.heap.after(round(self.comes.exponential(1e6 / rate)), self.come, proxy)
-
-    # The list
-
-    def say(self, name: Key, state: int) -> None:
-        """The list tells of a server, as late as it is."""
-        entry = self.entries[name] = self.entries[name]._replace(state=state)
-        self.heap.after(self.shape.list_delay_us, self.tell, entry)
-
-    def tell(self, entry: model.Endpoint) -> None:
-        self.version += 1
-        self.engine.list_changed(model.EndpointUpdate(model.UpdateKind.DELTA, (entry,), self.version))
-        self.pump()
-
-    def drain(self, name: Key) -> None:
-        self.say(name, model.EndpointState.DRAINING)
-
-    def stop(self, name: Key) -> None:
-        self.servers[name].stop()
-        self.say(name, model.EndpointState.GONE)
-
-    def start(self, name: Key) -> None:
-        self.servers[name].start()
-        self.entries[name] = self.entries[name]._replace(started_us=self.heap.now)
-        self.say(name, model.EndpointState.READY)
-
-    # Calls
-
-    def come(self, proxy: Proxy) -> None:
-        rate = self.shape.calls_per_s / self.shape.proxies
-        self.heap.after(max(1, round(self.comes.exponential(1e6 / rate))), self.come, proxy)
-        self.offered += 1
-        self.attempt(Asked(self.heap.now, proxy, self.shape.repeats))
-
-    def attempt(self, asked: Asked) -> None:
-        proxy = asked.proxy
-        proxy.calls += 1
-        name = proxy.pick()
-        if name is None:
-            return self.ended(asked, "no line")
-        for listener in self.listeners:
-            listener(self.heap.now, "sent", name, proxy.number)
-        proxy.busy[name] += 1
-        sent = self.heap.now
-        far = self.entries[name].zone != proxy.zone
-        link_us = self.shape.cross_us if far else self.shape.same_us
-        state = [False]  # whether this try has ended for the proxy
-
-        def over(how: str) -> None:
-            if state[0]:
-                return
-            state[0] = True
-            proxy.busy[name] -= 1
-            if how != "late":
-                self.heap.cancel(ticket)
-            proxy.note(name, how != ANSWERED, self.heap.now - sent)
-            self.ended(asked, how)
-
-        ticket = self.heap.after(self.limit_us, over, "late")
-        work = self.works.exponential(self.shape.work_us)
-        self.heap.after(
-            link_us, self.servers[name].take, work, lambda how: self.heap.after(link_us, over, how)
-        )
-        return None
-
-    def ended(self, asked: Asked, how: str) -> None:
-        took_us = self.heap.now - asked.begin
-        if how != ANSWERED and asked.left and took_us < self.limit_us:
-            wait_us = self.shape.wait_us * 2 ** (self.shape.repeats - asked.left)
-            asked.left -= 1
-            self.heap.after(round(wait_us * (0.5 + self.waits.uniform())), self.attempt, asked)
-            return
-        self.outcomes[how] += 1
-        self.in_slo += how == ANSWERED and took_us <= self.slo_us
-
-    # Reports
-
-    def collect(self) -> None:
-        """What proxies met since the last time becomes lines; a round that is not through is gone on with."""
-        span_us = int(self.settings.proxies.report_every)
-        sums: dict[tuple[Key, int], list[int]] = {}
-        for proxy in self.proxies.values():
-            for name, row in proxy.met.items():
-                total = sums.setdefault((name, proxy.zone), [0, 0, 0])
-                for column, value in enumerate(row):
-                    total[column] += value
-            self.reports.append(model.RouteLoadReport(proxy.number, 0, proxy.calls, 0, span_us))
-            proxy.met, proxy.calls = {}, 0
-        for (name, zone), (tries, dropped, took_us) in sums.items():
-            mean_us = took_us // max(1, tries - dropped)
-            self.reports.append(model.ServerLoadReport(name, zone, tries, dropped, mean_us, span_us, ()))
-        while len(self.reports) > 4 * (self.shape.servers * self.zones + self.shape.proxies):
-            self.reports.popleft()  # a report that is far too late tells nothing
-        self.heap.after(span_us, self.collect)
-
-    def report(self) -> None:
-        """So many lines a second reach the director."""
-        many = max(1, round(self.settings.proxies.hears_per_s / 10))
-        lines = [self.reports.popleft() for _ in range(min(many, len(self.reports)))]
-        if lines:
-            self.heap.after(self.shape.report_delay_us, self.hear, lines)
-        self.heap.after(100_000, self.report)
-
-    def hear(self, lines: list) -> None:
-        self.engine.met(lines)
-        self.pump()
+    def receive_reports(self, reports: list[LoadReport]) -> None:
+        """Hand load reports to the engine."""
+        self.engine.met(reports)
+        self.advance_engine()
 
-    def service(self) -> float:
-        """Of the calls that ended, the part answered within the SLO time."""
-        return self.in_slo / max(1, sum(self.outcomes.values()))
+    def join(self, number: int) -> None:
+        """Let a proxy join with some servers as its default table, and requests arrive at it."""
+        shape, addresses = self.shape, sorted(self.servers)
+        default_table = [
+            addresses[(number * 7 + offset) % len(addresses)] for offset in range(shape.default_servers)
+        ]
+        random = RandomStream(self.seed, f"proxy {number}")
+        proxy = Proxy(number, number % self.zone_count, shape.pick, random, default_table)
+        self.proxies[number] = proxy
+        self.engine.joined(number, True, shape.calls_per_s / shape.proxies, proxy.zone, default_table)
+        self.clients.start(proxy)
+
+    # The endpoint list and the servers' life
+
+    def list_state(self, server: Key, state: EndpointState) -> None:
+        """Change a server's state in the list, which the engine learns after the delay of the list."""
+        endpoint = self.endpoints[server] = self.endpoints[server]._replace(state=state)
+        self.clock.schedule_after(self.shape.list_delay_us, self.update_list, endpoint)
+
+    def update_list(self, endpoint: Endpoint) -> None:
+        """Hand a changed endpoint to the engine."""
+        self.list_version += 1
+        self.engine.list_changed(EndpointUpdate(UpdateKind.DELTA, (endpoint,), self.list_version))
+        self.advance_engine()
+
+    def drain(self, server: Key) -> None:
+        """List a server as draining; it goes on serving."""
+        self.list_state(server, EndpointState.DRAINING)
+
+    def stop(self, server: Key) -> None:
+        """Stop a server."""
+        self.servers[server].stop()
+        self.list_state(server, EndpointState.GONE)
+
+    def start(self, server: Key) -> None:
+        """Start a stopped server, which then warms up."""
+        self.servers[server].start()
+        self.endpoints[server] = self.endpoints[server]._replace(started_us=self.clock.now)
+        self.list_state(server, EndpointState.READY)
