--- a/rainpick/standins/__init__.py
+++ b/rainpick/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, written for this project, of what a director serves: servers, plain proxies, clients."""
+"""Simulated peers of a director on loopback: servers, proxies and clients, and scripted days with them."""
--- a/rainpick/standins/__main__.py
+++ b/rainpick/standins/__main__.py
@@ -1,26 +1,33 @@
-"""A fleet or some proxies in a process of their own: ``python -m rainpick.standins fleet|edge WORDS LOG``.
+"""A group of peers in a process of its own: ``python -m rainpick.standins fleet|edge LOG``.
 
-The first line of standard input is the day; each further one is ``[what, numbers, words]``. It ends with it.
+The first line of standard input is a ``PeerStart``, each further one an action; the process ends with the
+input. Once the peers run, it writes one line with the servers that it listens for, empty for proxies.
 """
 
-import json
 import os
 import sys
 import threading
 from pathlib import Path
 
-from rainpick.standins.day import Local
+import msgspec
+
+from rainpick.standins.actions import Action
+from rainpick.standins.peer_groups import LocalPeers, PeerRole
+from rainpick.standins.peer_settings import PeerStart
+
+THREAD_STACK_BYTES = 256 * 1024  # there are many threads
 
 
 def main() -> None:
-    threading.stack_size(256 * 1024)
-    what, words, log = sys.argv[1:4]
-    part = Local(what, json.loads(sys.stdin.readline()), json.loads(words), Path(log))
-    print(json.dumps(part.said), flush=True)
+    """Run the peers until the input ends."""
+    threading.stack_size(THREAD_STACK_BYTES)
+    role, log_path = sys.argv[1:3]
+    start = msgspec.json.decode(sys.stdin.readline(), type=PeerStart)
+    peers = LocalPeers(PeerRole(role), start, Path(log_path))
+    print(msgspec.json.encode(peers.servers).decode(), flush=True)
     for line in sys.stdin:
-        name, numbers, words = json.loads(line)
-        part.do(name, numbers, **words)
-    part.close()
+        peers.apply(msgspec.json.decode(line, type=Action))
+    peers.close()
     os._exit(0)  # threads that sleep in calls are not waited for
 
 
--- /dev/null
+++ b/rainpick/standins/director_link.py
@@ -0,0 +1,102 @@
+"""A simulated proxy's link to a director: it joins over SASP or MQTT and keeps its table up to date."""
+
+from __future__ import annotations
+
+import random
+import threading
+import time
+
+from rainpick.publish.follow import Follower
+from rainpick.publish.payloads import key
+from rainpick.sasp import codec
+from rainpick.sasp.codec import Group, Member
+from rainpick.standins.event_log import EventLog
+from rainpick.standins.mqtt_client import MqttProxy
+from rainpick.standins.peer_settings import PeerSettings, SocketAddress
+from rainpick.standins.proxy_table import ProxyTable
+from rainpick.standins.sasp_client import SaspClient
+
+HEARTBEAT_S = 1.0
+READ_TIMEOUT_S = 0.2
+
+
+class DirectorLink:
+    """Holds a stream to one of the directors; when it breaks, the next director is tried."""
+
+    def __init__(
+        self,
+        number: int,
+        uid: str,
+        settings: PeerSettings,
+        table: ProxyTable,
+        generator: random.Random,
+        log: EventLog,
+    ):
+        self.number, self.uid, self.settings, self.table = number, uid, settings, table
+        self.group, self.random, self.log = Group(uid, settings.group), generator, log
+        self.stream: SaspClient | MqttProxy | None = None
+        self.reading = threading.Event()  # cleared to stop reading
+        self.reading.set()
+        self.follower: Follower | None = None  # the table over MQTT, kept over reconnections
+
+    def run(self, ended: threading.Event) -> None:
+        """Keep joined until the proxy ends."""
+        settings = self.settings
+        director = self.number % max(1, len(settings.sasp))
+        front = settings.fronts[self.number % len(settings.fronts)]
+        follow = self.follow_mqtt if front == "mqtt" else self.follow_sasp
+        while not ended.is_set():
+            try:
+                follow(director % len(settings.sasp))
+            except OSError as error:
+                self.log.write("left", p=self.uid, why=str(error))
+                director += 1
+                ended.wait(self.random.uniform(*settings.reconnect_delay_s))
+
+    def follow_sasp(self, director: int) -> None:
+        """Join a director over SASP and apply what it pushes, until the stream breaks."""
+        self.stream = stream = SaspClient(self.settings.sasp[director])
+        self.require_success(stream.ask(codec.SetLbState(self.uid)))
+        members = tuple(Member.at(*server) for server in self.table.copy())
+        registration = codec.Registration((codec.Members(self.group, members),), True)
+        self.require_success(stream.ask(registration))
+        self.log.write("joined", p=self.uid, d=director)
+        heartbeat_due_s = time.monotonic() + HEARTBEAT_S
+        while True:
+            for message in stream.weights(READ_TIMEOUT_S):
+                self.log.write("weights", p=self.uid, m=self.table.update(message))
+            self.reading.wait()
+            if time.monotonic() >= heartbeat_due_s:
+                heartbeat_due_s += HEARTBEAT_S
+                stream.send(codec.SetLbState(self.uid))
+
+    def follow_mqtt(self, director: int) -> None:
+        """Join a director over MQTT and follow the table that it publishes, until the connection breaks."""
+        address = self.settings.mqtt[director]
+        assert address is not None  # a day's directors have this front
+        self.stream = stream = MqttProxy(address, self.uid)
+        weights = {"%s:%d" % server: weight for server, weight in self.table.copy().items()}
+        self.follower = stream.join(self.follower, weights)
+        self.log.write("joined", p=self.uid, d=director)
+        while True:
+            if stream.read(READ_TIMEOUT_S):
+                self.hold(self.follower)
+            self.reading.wait()
+
+    def hold(self, follower: Follower) -> None:
+        """Take over the open entries of a checked table."""
+        weights: dict[SocketAddress, int] = {
+            key(server): weight for server, weight in follower.open_lines().items()
+        }
+        self.log.write("weights", p=self.uid, m=self.table.replace(weights))
+
+    @staticmethod
+    def require_success(reply: codec.Reply) -> None:
+        """Raise ``ConnectionAbortedError`` if a director refused a request."""
+        if reply.code != codec.SUCCESS:
+            raise ConnectionAbortedError(f"refused: {reply.code:#04x}")
+
+    def close(self) -> None:
+        """Break the stream; ``run`` joins again unless the proxy has ended."""
+        if self.stream is not None:
+            self.stream.close()
--- /dev/null
+++ b/rainpick/standins/errors.py
@@ -0,0 +1,5 @@
+"""Errors of scripted days."""
+
+
+class DayError(Exception):
+    """The day could not be played."""
--- /dev/null
+++ b/rainpick/standins/load_reporter.py
@@ -0,0 +1,104 @@
+"""The load reports of a simulated proxy, sent over OTLP."""
+
+from __future__ import annotations
+
+import threading
+import time
+from collections import defaultdict
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from rainpick.http1.client import Client, ClientError
+from rainpick.otlp import metrics
+from rainpick.standins.actions import ReportMode
+from rainpick.standins.event_log import EventLog, now_us
+from rainpick.standins.peer_settings import SocketAddress
+
+REQUEST_TIMEOUT_S = 2.0
+LATE_REPORT_US = 10_000_000  # how much later a withheld report is sent
+
+
+@dataclass(slots=True)
+class AttemptTotals:
+    """The attempts at a server that ended in one way."""
+
+    count: int = 0
+    seconds: float = 0.0
+
+
+class WithheldReport(NamedTuple):
+    """A report that is to be late."""
+
+    body: bytes
+    due_us: int
+
+
+class LoadReporter:
+    """Counts what a proxy observes, and reports it at an interval.
+
+    ``lock`` is the proxy's; whoever records holds it.
+    """
+
+    def __init__(
+        self, proxy: str, collector: SocketAddress, interval_s: float, log: EventLog, lock: threading.Lock
+    ):
+        self.proxy, self.interval_s, self.log, self.lock = proxy, interval_s, log, lock
+        self.client = Client(*collector, timeout_s=REQUEST_TIMEOUT_S)
+        self.attempts: dict[tuple[SocketAddress, str], AttemptTotals] = defaultdict(AttemptTotals)
+        self.requests: dict[tuple[str, str], int] = defaultdict(int)  # by route and outcome
+        self.mode: ReportMode = "usual"
+        self.withheld: WithheldReport | None = None
+        self.interval_begin_ns = time.time_ns()
+
+    def record_attempt(self, server: SocketAddress, outcome: str, duration_us: int) -> None:
+        """Count an attempt. The lock is held."""
+        totals = self.attempts[server, outcome]
+        totals.count += 1
+        totals.seconds += duration_us / 1e6
+
+    def record_request(self, route: str, outcome: str) -> None:
+        """Count a request, over all its attempts."""
+        self.requests[route, outcome] += 1
+
+    def run(self, ended: threading.Event) -> None:
+        """Report until the proxy ends."""
+        while not ended.wait(self.interval_s):
+            for body in self.due_reports(self.next_report()):
+                self.send(body)
+
+    def next_report(self) -> bytes:
+        """Encode what was counted since the last report."""
+        begin_ns, self.interval_begin_ns = self.interval_begin_ns, time.time_ns()
+        with self.lock:
+            attempts, self.attempts = self.attempts, defaultdict(AttemptTotals)
+            requests, self.requests = self.requests, defaultdict(int)
+        return metrics.write(
+            self.proxy,
+            begin_ns,
+            self.interval_begin_ns,
+            [
+                (*server, outcome, totals.count, totals.seconds)
+                for (server, outcome), totals in attempts.items()
+            ],
+            [(route, outcome, count) for (route, outcome), count in requests.items()],
+        )
+
+    def due_reports(self, body: bytes) -> list[bytes]:
+        """Decide by the mode what is sent now. Of late reports the first is sent later, the others never."""
+        if self.mode == "late":
+            self.withheld = self.withheld or WithheldReport(body, now_us() + LATE_REPORT_US)
+            return []
+        bodies = [body, body] if self.mode == "double" else [body]
+        if self.withheld and now_us() >= self.withheld.due_us:
+            bodies.insert(0, self.withheld.body)
+            self.withheld = None
+        return bodies
+
+    def send(self, body: bytes) -> None:
+        """Send a report; status 0 in the log says that there was no answer."""
+        try:
+            headers = (("content-type", "application/x-protobuf"),)
+            status, _, _ = self.client.call("POST", "/v1/metrics", body, headers)
+        except ClientError:
+            status = 0
+        self.log.write("report", p=self.proxy, status=status)
--- /dev/null
+++ b/rainpick/standins/membership.py
@@ -0,0 +1,105 @@
+"""A simulated server's membership: its streams to the directors, over which it registers and drains."""
+
+from __future__ import annotations
+
+import contextlib
+import threading
+import time
+from collections.abc import Callable
+
+from rainpick.sasp import codec
+from rainpick.sasp.codec import Group, Member
+from rainpick.standins.event_log import EventLog, now_us
+from rainpick.standins.peer_settings import SocketAddress
+from rainpick.standins.sasp_client import SaspClient
+
+RECONNECT_DELAY_S = 0.2
+
+
+class Membership:
+    """Keeps a server registered with each director, over all its runs.
+
+    ``is_current`` says whether the run of a number still lasts. What a director was told is logged, for the
+    auditor judges by it.
+    """
+
+    def __init__(
+        self,
+        directors: tuple[SocketAddress, ...],
+        group: Group,
+        label: str,
+        log: EventLog,
+        is_current: Callable[[int], bool],
+    ):
+        self.directors, self.group, self.label, self.log = directors, group, label, log
+        self.is_current = is_current
+        self.streams: dict[int, SaspClient] = {}  # by director
+        self.address: SocketAddress = ("127.0.0.1", 0)
+        self.started_us, self.draining = 0, False
+
+    @property
+    def name(self) -> str:
+        """The server as logs name it."""
+        return "%s:%d" % self.address
+
+    def begin(self, run: int, address: SocketAddress, started_us: int) -> None:
+        """Register the server's new run with all directors, each in a thread of its own."""
+        self.address, self.started_us = address, started_us
+        for director in range(len(self.directors)):
+            threading.Thread(target=self.keep_registered, args=(director, run), daemon=True).start()
+
+    def keep_registered(self, director: int, run: int) -> None:
+        """Keep registered with a director while a run of the server lasts."""
+        while self.is_current(run):
+            try:
+                stream = SaspClient(self.directors[director])
+                self.streams[director] = stream
+                self.register(director, stream, run)
+                while True:
+                    stream.receive(None)
+            except OSError:
+                self.log.write("lost", s=self.name, d=director)
+                if self.is_current(run):
+                    time.sleep(RECONNECT_DELAY_S)
+
+    def register(self, director: int, stream: SaspClient, run: int) -> None:
+        """Register over a new stream, and repeat there that the server drains if it does."""
+        age_s = (now_us() - self.started_us) / 1e6
+        member = Member.at(*self.address, f"{self.label};boot={run};age={age_s:.3f}")
+        reply = stream.ask(codec.Registration((codec.Members(self.group, (member,)),)))
+        if reply.code != codec.SUCCESS:
+            raise ConnectionAbortedError(f"registration refused: {reply.code:#04x}")
+        self.log.write("said", s=self.name, d=director, what="ready")
+        if self.draining:
+            self.send_drain(director, stream)
+
+    def send_drain(self, director: int, stream: SaspClient) -> None:
+        """Tell a director that the server drains."""
+        state = codec.MemberState(Member.at(*self.address), 0, True)
+        stream.send(codec.SetMemberState((codec.States(self.group, (state,)),)))
+        self.log.write("said", s=self.name, d=director, what="draining")
+
+    def drain(self) -> None:
+        """Tell all directors that the server drains."""
+        self.draining = True
+        for director, stream in list(self.streams.items()):
+            with contextlib.suppress(OSError):
+                self.send_drain(director, stream)
+
+    def deregister(self) -> None:
+        """Tell all directors that the server goes."""
+        members = codec.Members(self.group, (Member.at(*self.address),))
+        for director, stream in list(self.streams.items()):
+            with contextlib.suppress(OSError):
+                stream.send(codec.Deregistration((members,), reason=codec.PURPOSEFUL))
+                self.log.write("said", s=self.name, d=director, what="gone")
+
+    def break_streams(self) -> None:
+        """Close the streams; while the run lasts, the server reconnects."""
+        for stream in list(self.streams.values()):
+            stream.close()
+
+    def end(self) -> None:
+        """Close the streams of a run that has ended."""
+        self.break_streams()
+        self.streams.clear()
--- a/rainpick/standins/mqtt_client.py
+++ b/rainpick/standins/mqtt_client.py
@@ -1,107 +1,120 @@
-"""A plain proxy's end of the publish-subscribe front, on a blocking socket."""
+"""A proxy's end of the publish-subscribe front, on a blocking socket."""
 
 from __future__ import annotations
 
 import socket
+from typing import TypeVar
 
 from rainpick.mqtt import codec
 from rainpick.mqtt.session import ClientEnd
 from rainpick.publish import payloads
 from rainpick.publish.follow import Follower
 from rainpick.publish.payloads import Presence, Trouble
-from rainpick.standins import blocking
+from rainpick.standins import blocking_socket
+
+AnyPacket = TypeVar("AnyPacket", bound=codec.Packet)
 
 
 class MqttProxy:
-    """One connection. ``acknowledges`` False: it reads and says nothing."""
+    """One connection; ``OSError`` says that it is broken.
+
+    ``acknowledges`` False lets it read without an acknowledgement. ``told`` has all that was published to it.
+    """
 
-    def __init__(self, place: tuple[str, int], uid: str, timeout_s: float = 3.0, receive_most: int = 100):
+    def __init__(self, address: tuple[str, int], uid: str, timeout_s: float = 3.0, receive_most: int = 100):
         self.uid, self.end, self.timeout_s = uid, ClientEnd(), timeout_s
-        self.acknowledges, self.told = True, []
-        self.codes: dict[int, int] = {}
+        self.acknowledges = True
+        self.told: list[codec.Publish] = []
+        self.codes: dict[int, int] = {}  # reason codes by packet identifier, until ``say`` takes them
         self.follower = Follower()
-        self.sock = socket.create_connection(place, timeout_s)
+        self.sock = socket.create_connection(address, timeout_s)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.write(codec.Connect(uid, props={"receive_maximum": receive_most}))
-        ack = self.wait_for(codec.Connack)
-        if ack.code != codec.SUCCESS:
-            raise ConnectionAbortedError(f"CONNACK {ack.code:#04x}")
+        reply = self.wait_for(codec.Connack)
+        if reply.code != codec.SUCCESS:
+            raise ConnectionAbortedError(f"CONNACK {reply.code:#04x}")
 
     def write(self, *packets: codec.Packet) -> None:
-        self.sock.sendall(b"".join(codec.write(one) for one in packets))
+        """Send packets."""
+        self.sock.sendall(b"".join(codec.write(packet) for packet in packets))
 
     def packets(self, timeout_s: float) -> list[codec.Packet]:
-        return blocking.receive(self.sock, timeout_s, self.end.receive, codec.MqttError)
+        """Receive the packets that come within a time, without handling them."""
+        return blocking_socket.receive(self.sock, timeout_s, self.end.receive, codec.MqttError)
 
-    def wait_for(self, kind: type) -> codec.Packet:
-        """The next packet of a kind; what is published meanwhile is taken."""
+    def wait_for(self, kind: type[AnyPacket]) -> AnyPacket:
+        """Wait for a packet of a type; others are handled meanwhile."""
         while True:
-            found = self.packets(self.timeout_s)
-            if not found:
+            packets = self.packets(self.timeout_s)
+            if not packets:
                 raise TimeoutError(f"no {kind.__name__}")
-            self.take(found)
-            for one in found:
-                if isinstance(one, kind):
-                    return one
+            self.handle(packets)
+            for packet in packets:
+                if isinstance(packet, kind):
+                    return packet
 
     def subscribe(self, *filters: str, qos: int = 1) -> tuple[int, ...]:
+        """Subscribe to topic filters; give the reason codes."""
         self.write(codec.Subscribe(self.end.number(), tuple((name, qos) for name in filters)))
         return self.wait_for(codec.Suback).codes
 
-    def say(self, what: str, one: payloads.Up | bytes) -> int:
-        """Publish upwards; the reason code of the acknowledgement."""
+    def say(self, what: str, payload: payloads.Up | bytes) -> int:
+        """Publish to one of the proxy's topics; give the reason code of the acknowledgement."""
         number = self.end.number()
-        data = one if isinstance(one, bytes) else payloads.encode(one)
+        data = payload if isinstance(payload, bytes) else payloads.encode(payload)
         self.write(codec.Publish(payloads.up_topic(self.uid, what), data, 1, number))
         while number not in self.codes:
-            found = self.packets(self.timeout_s)
-            if not found:
+            packets = self.packets(self.timeout_s)
+            if not packets:
                 raise TimeoutError("no PUBACK")
-            self.take(found)
+            self.handle(packets)
         return self.codes.pop(number)
 
-    def join(self, before: Follower | None, held: dict[str, int]) -> Follower:
-        """Be a proxy that holds a checked version of a table, or servers of unknown weight."""
-        self.follower = before or Follower(held)
+    def join(self, before: Follower | None, weights: dict[str, int]) -> Follower:
+        """Join with the table of an earlier connection, or with servers of a default table."""
+        self.follower = before or Follower(weights)
         self.subscribe(payloads.orders_topic(self.uid), f"{payloads.ROOT}/table/+")
         old = self.follower
-        code = self.say(
-            "presence", Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.lines))
-        )
+        presence = Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.lines))
+        code = self.say("presence", presence)
         if code != codec.SUCCESS:
             raise ConnectionAbortedError(f"presence refused: {code:#04x}")
         return self.follower
 
-    def take(self, found: list[codec.Packet]) -> bool:
-        """Follow what is published; whether anything came."""
-        news = False
-        for one in found:
-            if isinstance(one, codec.Puback):
-                self.codes[one.number] = one.code
-            elif isinstance(one, codec.Disconnect):
-                raise ConnectionResetError(f"DISCONNECT {one.code:#04x}")
-            elif isinstance(one, codec.Publish):
-                self.told.append(one)
-                news = True
-                if one.qos and self.acknowledges:
-                    self.write(codec.Puback(one.number))
-                self.follow(one.payload)
-        return news
+    def handle(self, packets: list[codec.Packet]) -> bool:
+        """Handle packets; say whether anything was published."""
+        published = False
+        for packet in packets:
+            if isinstance(packet, codec.Puback):
+                self.codes[packet.number] = packet.code
+            elif isinstance(packet, codec.Disconnect):
+                raise ConnectionResetError(f"DISCONNECT {packet.code:#04x}")
+            elif isinstance(packet, codec.Publish):
+                published = True
+                self.told.append(packet)
+                if packet.qos and self.acknowledges:
+                    self.write(codec.Puback(packet.number))
+                self.follow(packet.payload)
+        return published
 
     def follow(self, data: bytes) -> None:
+        """Apply a payload to the table, and report it if it does not fit or was damaged on its way."""
         try:
             trouble = self.follower.take(payloads.read_down(data))
         except payloads.PayloadError:
-            trouble = self.follower.trouble("digest")  # damaged on its way: the whole is wanted
+            trouble = self.follower.trouble("digest")
         if trouble is not None:
-            self.complain(trouble)
+            self.report_trouble(trouble)
 
-    def complain(self, trouble: Trouble) -> None:
+    def report_trouble(self, trouble: Trouble) -> None:
+        """Ask for the complete table."""
         topic = payloads.up_topic(self.uid, "trouble")
         self.write(codec.Publish(topic, payloads.encode(trouble), 0))
 
     def read(self, timeout_s: float) -> bool:
-        return self.take(self.packets(timeout_s))
+        """Handle what comes within a time; say whether anything was published."""
+        return self.handle(self.packets(timeout_s))
 
     def close(self) -> None:
-        blocking.close(self.sock)
+        """Close the connection."""
+        blocking_socket.close(self.sock)
--- /dev/null
+++ b/rainpick/standins/peer_groups.py
@@ -0,0 +1,65 @@
+"""Groups of peers: the fleet of servers, or some proxies with their clients."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+from pathlib import Path
+from typing import Protocol, cast
+
+from rainpick.standins.actions import Action, ProxyAction, ServerAction
+from rainpick.standins.event_log import EventLog
+from rainpick.standins.fleet import Fleet
+from rainpick.standins.peer_settings import ListedServer, PeerStart
+from rainpick.standins.proxy_group import ProxyGroup
+
+
+class PeerRole(StrEnum):
+    """What a group of peers is."""
+
+    FLEET = "fleet"
+    PROXIES = "edge"
+
+
+class PeerGroup(Protocol):
+    """A running group, in whatever process."""
+
+    servers: list[ListedServer]  # empty for proxies
+
+    def apply(self, action: Action) -> None:
+        """Have the group apply an action; it must be one for its role."""
+
+    def close(self) -> None:
+        """End the group."""
+
+
+class PeerGroupStarter(Protocol):
+    """Starts a group, which logs its events to a file."""
+
+    def __call__(self, role: PeerRole, start: PeerStart, log_path: Path, /) -> PeerGroup:
+        """Give the running group."""
+
+
+class LocalPeers:
+    """A group within this process."""
+
+    def __init__(self, role: PeerRole, start: PeerStart, log_path: Path):
+        self.log = EventLog(log_path)
+        self.servers: list[ListedServer] = []
+        self.group: Fleet | ProxyGroup
+        if role == PeerRole.FLEET:
+            self.group = Fleet(start.settings, self.log)
+            self.servers = self.group.listed()
+        else:
+            self.group = ProxyGroup(start.settings, start.listed, start.proxies, self.log)
+
+    def apply(self, action: Action) -> None:
+        """Apply an action."""
+        if isinstance(self.group, Fleet):
+            self.group.apply(cast(ServerAction, action))
+        else:
+            self.group.apply(cast(ProxyAction, action))
+
+    def close(self) -> None:
+        """End the group and its log."""
+        self.group.close()
+        self.log.close()
--- /dev/null
+++ b/rainpick/standins/ports.py
@@ -0,0 +1,19 @@
+"""Free ports on loopback."""
+
+import contextlib
+import secrets
+import socket
+
+# Below those that the system deals out, which could go to any socket while a director restarts.
+PORTS = range(20_000, 32_768)
+
+
+def free_ports(count: int) -> list[int]:
+    """Find so many different ports at which nobody listens."""
+    ports: list[int] = []
+    while len(ports) < count:
+        port = secrets.choice(PORTS)
+        with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
+            if port not in ports:
+                ports.append(port)
+    return ports
--- /dev/null
+++ b/rainpick/standins/proxies.py
@@ -0,0 +1,105 @@
+"""Simulated proxies: they follow a director's weights, pick servers by them, and retry only if told to."""
+
+from __future__ import annotations
+
+import random
+import threading
+
+from rainpick.http1.client import ClientError
+from rainpick.standins.director_link import DirectorLink
+from rainpick.standins.event_log import EventLog, now_us
+from rainpick.standins.load_reporter import LoadReporter
+from rainpick.standins.peer_settings import PeerSettings, RouteLoad, SocketAddress
+from rainpick.standins.proxy_table import ProxyTable
+
+OUTCOMES = {200: "answered", 503: "throttled"}  # by status; else the attempt was dropped
+MIN_ATTEMPT_LIMIT_S = 0.01
+
+
+class SimulatedProxy:
+    """One proxy: a link to a director, a table, attempts at servers, load reports."""
+
+    def __init__(
+        self,
+        number: int,
+        settings: PeerSettings,
+        default_table: list[SocketAddress],
+        pods: dict[SocketAddress, int],
+        log: EventLog,
+    ):
+        self.number, self.uid, self.settings, self.log = number, f"edge-{number}", settings, log
+        self.pods, self.lock, self.ended = pods, threading.Lock(), threading.Event()
+        generator = random.Random(f"{settings.seed} proxy {number}")
+        self.table = ProxyTable(settings.pick, default_table, generator, self.lock)
+        self.link = DirectorLink(number, self.uid, settings, self.table, generator, log)
+        self.reporter = LoadReporter(self.uid, settings.otlp[0], settings.report_interval_s, log, self.lock)
+        log.write("standing", p=self.uid, m=[["%s:%d" % server, 1] for server in default_table])
+        for run in (self.link.run, self.reporter.run):
+            threading.Thread(target=run, args=(self.ended,), daemon=True).start()
+
+    def call(self, route: RouteLoad, request: str, until_us: int) -> str:
+        """Forward a request to a server, and on failure to another if the settings say so.
+
+        The outcome is ``answered``, ``dropped`` or ``throttled``; the last also if there is no server.
+        """
+        excluded: list[SocketAddress] = []  # the servers tried, and those that a retry may not go to
+        outcome, first_us = "throttled", now_us()
+        while True:
+            server = self.table.pick(excluded)
+            if server is None or now_us() >= until_us:
+                break
+            if excluded:
+                self.log_retry(route, request, server, excluded[0], first_us)
+            outcome = self.attempt(route, request, server, until_us)
+            is_retry = bool(excluded)
+            if outcome == "answered" or self.settings.retry == "never" or is_retry:
+                break
+            excluded.append(server)
+            if self.settings.retry == "same_pod":
+                excluded += self.servers_outside_pod(server)
+        self.reporter.record_request(route.name, outcome)
+        return outcome
+
+    def servers_outside_pod(self, server: SocketAddress) -> list[SocketAddress]:
+        """List the servers of other pods than a server's."""
+        pod = self.pods.get(server)
+        return [other for other, other_pod in self.pods.items() if other_pod != pod]
+
+    def log_retry(
+        self, route: RouteLoad, request: str, server: SocketAddress, first: SocketAddress, first_us: int
+    ) -> None:
+        """Log a retry, with the server and the time of the first attempt."""
+        self.log.write(
+            "again",
+            p=self.uid,
+            id=request,
+            r=route.name,
+            s="%s:%d" % server,
+            after=["%s:%d" % first],
+            first=first_us,
+        )
+
+    def attempt(self, route: RouteLoad, request: str, server: SocketAddress, until_us: int) -> str:
+        """Send a request to a server; give the outcome."""
+        begin, name = now_us(), "%s:%d" % server
+        self.log.write("try", at=begin, p=self.uid, id=request, r=route.name, s=name)
+        limit_us = min(until_us - begin, self.settings.attempt_limit_share * route.time_limit_us)
+        limit_s = max(MIN_ATTEMPT_LIMIT_S, limit_us / 1e6)
+        client, idle = self.table.acquire(server)
+        try:
+            headers = ("call", request), ("proxy", self.uid)
+            status, _, _ = client.call("POST", f"/{route.name}", b"", headers, limit_s)
+            outcome = OUTCOMES.get(status, "dropped")
+        except ClientError:
+            outcome = "dropped"
+        duration_us = now_us() - begin
+        with self.lock:
+            self.table.release(server, client, idle)
+            self.reporter.record_attempt(server, outcome, duration_us)
+        self.log.write("end", p=self.uid, id=request, s=name, out=outcome)
+        return outcome
+
+    def close(self) -> None:
+        """End the proxy."""
+        self.ended.set()
+        self.link.close()
--- /dev/null
+++ b/rainpick/standins/proxy_table.py
@@ -0,0 +1,107 @@
+"""The table of a simulated proxy: the weights that it holds, by which it picks, and idle connections."""
+
+from __future__ import annotations
+
+import random
+import threading
+from collections import defaultdict
+from collections.abc import Collection, Iterable
+from typing import Any
+
+from rainpick.http1.client import Client
+from rainpick.sasp import codec
+from rainpick.standins.peer_settings import SocketAddress
+
+MAX_IDLE_CONNECTIONS = 8  # to each server
+
+Entry = list[Any]  # server, weight and SASP flags, as the log's events have them
+
+
+class ProxyTable:
+    """Holds the last weights that the proxy has read. All methods are for any thread.
+
+    ``lock`` is the proxy's: it also guards what the proxy observes at the servers.
+    """
+
+    def __init__(
+        self,
+        pick: str,
+        default_table: Iterable[SocketAddress],
+        generator: random.Random,
+        lock: threading.Lock,
+    ):
+        self.policy, self.random, self.lock = pick, generator, lock
+        self.weights: dict[SocketAddress, int] = dict.fromkeys(default_table, 1)
+        self.in_flight: dict[SocketAddress, int] = defaultdict(int)
+        self.credits: dict[SocketAddress, float] = {}  # of the smooth weighted round robin
+        self.idle: dict[SocketAddress, list[Client]] = defaultdict(list)
+
+    def copy(self) -> dict[SocketAddress, int]:
+        """Copy the weights."""
+        with self.lock:
+            return dict(self.weights)
+
+    def update(self, message: codec.SendWeights) -> list[Entry]:
+        """Apply pushed weights; give their entries."""
+        entries = [entry for group in message.groups for entry in group.entries]
+        with self.lock:
+            for entry in entries:
+                server = entry.member.key()
+                if entry.weight:
+                    self.weights[server] = entry.weight
+                else:
+                    self.weights.pop(server, None)
+                    self.close_idle(server)
+        return [["%s:%d" % entry.member.key(), entry.weight, entry.flags] for entry in entries]
+
+    def replace(self, weights: dict[SocketAddress, int]) -> list[Entry]:
+        """Replace the table by a checked one; give the entries that changed."""
+        with self.lock:
+            changed = [
+                ["%s:%d" % server, weight, 0]
+                for server, weight in weights.items()
+                if self.weights.get(server) != weight
+            ]
+            removed = [server for server in self.weights if server not in weights]
+            for server in removed:
+                self.close_idle(server)
+            self.weights = weights
+        return changed + [["%s:%d" % server, 0, 0] for server in removed]
+
+    def close_idle(self, server: SocketAddress) -> None:
+        """Close the idle connections to a server that is not to be used any more. The lock is held."""
+        for client in self.idle.pop(server, ()):
+            client.close()
+
+    def pick(self, excluded: Collection[SocketAddress]) -> SocketAddress | None:
+        """Pick a server that is not excluded; None if there is none."""
+        with self.lock:
+            weights = {server: weight for server, weight in self.weights.items() if server not in excluded}
+            if not weights:
+                return None
+            if self.policy == "wheel":
+                return self.pick_round_robin(weights)
+            draws = 2 if self.policy == "pair" else 1
+            drawn = self.random.choices(list(weights), list(weights.values()), k=draws)
+            return min(drawn, key=lambda server: self.in_flight[server])
+
+    def pick_round_robin(self, weights: dict[SocketAddress, int]) -> SocketAddress:
+        """Pick by smooth weighted round robin. The lock is held."""
+        for server, weight in weights.items():
+            self.credits[server] = self.credits.get(server, 0) + weight
+        best = max(weights, key=lambda server: self.credits[server])
+        self.credits[best] -= sum(weights.values())
+        return best
+
+    def acquire(self, server: SocketAddress) -> tuple[Client, list[Client]]:
+        """Take a connection to a server for an attempt, and the idle ones that it may go back to."""
+        idle = self.idle[server]
+        with self.lock:
+            self.in_flight[server] += 1
+            return (idle.pop() if idle else Client(*server)), idle
+
+    def release(self, server: SocketAddress, client: Client, idle: list[Client]) -> None:
+        """Give a connection back after an attempt. The lock is held."""
+        self.in_flight[server] -= 1
+        if client.sock is not None and len(idle) < MAX_IDLE_CONNECTIONS:
+            idle.append(client)
--- a/rainpick/standins/sasp_client.py
+++ b/rainpick/standins/sasp_client.py
@@ -1,54 +1,78 @@
-"""A blocking SASP client: asks, waits for the reply, keeps what was pushed meanwhile."""
+"""A blocking SASP client: sends a request, waits for its reply, and keeps weights pushed meanwhile."""
 
 from __future__ import annotations
 
 import socket
+from typing import Any, TypeAlias, overload
 
 from rainpick.sasp import codec
 from rainpick.sasp.session import ClientEnd
-from rainpick.standins import blocking
+from rainpick.standins import blocking_socket
+
+Received: TypeAlias = tuple[codec.Message | None, codec.Message]  # the request that is answered, the message
+
+# The requests that are answered by a status alone.
+StatusRequest: TypeAlias = codec.Registration | codec.Deregistration | codec.SetLbState | codec.SetMemberState
 
 
 class SaspClient:
-    """One stream to a director. ``OSError`` when it is broken. ``buffer``: bytes that wait to be read."""
+    """One stream to a director; ``OSError`` says that it is broken.
 
-    def __init__(self, place: tuple[str, int], timeout_s: float = 3.0, buffer: int | None = None):
+    ``buffer`` is the size of the socket's receive buffer in bytes, where it is to be small.
+    """
+
+    def __init__(self, address: tuple[str, int], timeout_s: float = 3.0, buffer: int | None = None):
         self.sock = socket.socket()
         self.sock.settimeout(timeout_s)
         if buffer is not None:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
-        self.sock.connect(place)
+        self.sock.connect(address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.end, self.pushed = ClientEnd(), []
+        self.end = ClientEnd()
+        self.pushed: list[codec.SendWeights] = []
         self.timeout_s = timeout_s
 
-    def receive(self, timeout_s: float | None) -> list:
-        """What came within the time; nothing if it ran out."""
-        return blocking.receive(self.sock, timeout_s, self.end.receive, codec.SaspError)
+    def receive(self, timeout_s: float | None) -> list[Received]:
+        """Receive what comes within a time; nothing if it runs out."""
+        return blocking_socket.receive(self.sock, timeout_s, self.end.receive, codec.SaspError)
 
-    def ask(self, message: codec.Message) -> codec.Message:
-        """The reply; pushed weights that came before it are kept in ``pushed``."""
-        self.sock.settimeout(self.timeout_s)
-        self.sock.sendall(self.end.ask(message))
+    @overload
+    def ask(self, message: codec.GetWeights) -> codec.GetWeightsReply: ...
+
+    @overload
+    def ask(self, message: StatusRequest) -> codec.Reply: ...
+
+    def ask(self, message: codec.Message) -> Any:
+        """Send a request and wait for its reply; weights pushed before it are kept."""
+        self.send(message)
         while True:
-            found = self.receive(self.timeout_s)
-            if not found:
+            received = self.receive(self.timeout_s)
+            if not received:
                 raise TimeoutError("no reply")
-            replies = [reply for asked, reply in found if asked is not None]
-            self.pushed += [one for asked, one in found if asked is None]
+            replies = [reply for request, reply in received if request is not None]
+            self.keep_pushed(received)
             if replies:
                 return replies[0]
 
     def send(self, message: codec.Message) -> None:
+        """Send a request without waiting for its reply."""
         self.sock.settimeout(self.timeout_s)
         self.sock.sendall(self.end.ask(message))
 
     def weights(self, timeout_s: float) -> list[codec.SendWeights]:
-        """Pushed weights, as they come."""
+        """Give the weights pushed so far, else those that come within a time."""
         if not self.pushed:
-            self.pushed += [one for asked, one in self.receive(timeout_s) if asked is None]
-        found, self.pushed = self.pushed, []
-        return found
+            self.keep_pushed(self.receive(timeout_s))
+        weights, self.pushed = self.pushed, []
+        return weights
+
+    def keep_pushed(self, received: list[Received]) -> None:
+        """Keep the messages that answer no request."""
+        for request, message in received:
+            if request is None:
+                assert isinstance(message, codec.SendWeights)  # the session lets nothing else through
+                self.pushed.append(message)
 
     def close(self) -> None:
-        blocking.close(self.sock)
+        """Close the stream."""
+        blocking_socket.close(self.sock)
--- a/rainpick/standins/scenario.py
+++ b/rainpick/standins/scenario.py
@@ -1,4 +1,4 @@
-"""A scripted day: what fleet, which clients, what happens when. JSON5, checked by a schema."""
+"""The schema of scenario files (JSON5): the fleet of a scripted day, its clients, and what happens when."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class Machine(Part):
+    """A type of servers; the servers take the types in turn."""
+
     name: str
     slots: int = Field(4, ge=1, le=256, description="calls worked on at once")
     speed: float = Field(1.0, gt=0, description="of a slot")
@@ -18,21 +20,27 @@
 
 
 class Route(Part):
+    """A route of the clients' requests."""
+
     name: str
     share: float = Field(1.0, gt=0)
-    work: Duration = "40ms"
-    slo_time: Duration = "500ms"
-    time_limit: Duration = "2s"
+    work: Duration = Field("40ms", validate_default=True)
+    slo_time: Duration = Field("500ms", validate_default=True)
+    time_limit: Duration = Field("2s", validate_default=True)
     importance: float = Field(1.0, ge=0)
     effect: Effect = "repeatable"
-    repeat_window: Duration = "1s"
+    repeat_window: Duration = Field("1s", validate_default=True)
 
 
 class Zone(Part):
+    """Selects the servers of a zone."""
+
     zone: str
 
 
 class Every(Part):
+    """Selects one of so many, from the first on."""
+
     every: int = Field(ge=1)
     first: int = Field(0, ge=0)
 
@@ -41,7 +49,7 @@
 
 
 class Event(Part):
-    """Something that happens. ``for`` undoes it after that time."""
+    """Something that happens at a time; ``for`` ends it after that long, where it can end."""
 
     at: Duration
     do: Literal[
@@ -66,16 +74,21 @@
     lasts: Annotated[Duration | None, Field(alias="for")] = None
     factor: float = Field(4.0, ge=1, description="slow: how many times")
     share: float = Field(1.0, ge=0, le=1, description="drop: part of the calls")
-    stagger: Duration = "0s"
-    notice: Duration = Field("2s", description="deploy: from the drain to the end")
-    down: Duration = Field("500ms", description="deploy: from the end to the start")
+    stagger: Duration = Field("0s", validate_default=True)
+    notice: Duration = Field("2s", validate_default=True, description="deploy: from the drain to the end")
+    down: Duration = Field("500ms", validate_default=True, description="deploy: from the end to the start")
+
+    @property
+    def end(self) -> int | None:
+        """When the event ends; None if it does not say."""
+        return None if self.lasts is None else self.at + self.lasts
 
 
 class Scenario(Part):
-    """A day."""
+    """A scripted day."""
 
     name: str
-    length: Duration = "20s"
+    length: Duration = Field("20s", validate_default=True)
     seed: int = 1
     goal: float = Field(0.9, ge=0, le=1, description="service that must be reached")
     directors: int = Field(1, ge=1, le=8)
@@ -95,42 +108,55 @@
         "never", description="what proxies do with a call that got no answer; SASP carries no orders for it"
     )
     client_repeats: int = Field(1, ge=0, le=5)
-    client_wait: Duration = "50ms"
+    client_wait: Duration = Field("50ms", validate_default=True)
     try_share: float = Field(0.6, gt=0, le=1, description="part of the time limit that a try may take")
-    report_every: Duration = "1s"
-    redial: tuple[Duration, Duration] = ("200ms", "600ms")
+    report_every: Duration = Field("1s", validate_default=True)
+    redial: tuple[Duration, Duration] = Field(("200ms", "600ms"), validate_default=True)
     settings: dict[str, Any] = Field({}, description="further settings of the directors, part by part")
     events: tuple[Event, ...] = ()
 
     @model_validator(mode="after")
     def names_are_known(self) -> Scenario:
-        for at, event in enumerate(self.events):
-            zone = event.servers.zone if isinstance(event.servers, Zone) else event.zone
-            if zone is not None and zone not in self.zones:
-                raise ValueError(f"events.{at}: zone {zone!r} is not one of {list(self.zones)}")
-            if event.do == "lose_zone" and event.zone is None:
-                raise ValueError(f"events.{at}: lose_zone wants a zone")
-            if event.at > self.length:
-                raise ValueError(f"events.{at}: at is after the end of the day")
-            if event.director >= self.directors:
-                raise ValueError(f"events.{at}: there is no director {event.director}")
+        """Check that the events fit the fleet."""
+        for index, event in enumerate(self.events):
+            error = self.event_error(event)
+            if error is not None:
+                raise ValueError(f"events.{index}: {error}")
         return self
 
-    def chosen(self, event: Event) -> list[int]:
-        """The servers that an event is about."""
-        numbers = range(self.servers)
+    def event_error(self, event: Event) -> str | None:
+        """Say why an event does not fit the fleet; None if it does."""
+        zone = event.servers.zone if isinstance(event.servers, Zone) else event.zone
+        if zone is not None and zone not in self.zones:
+            return f"zone {zone!r} is not one of {list(self.zones)}"
+        if event.do == "lose_zone" and event.zone is None:
+            return "lose_zone wants a zone"
+        if event.at > self.length:
+            return "at is after the end of the day"
+        if event.director >= self.directors:
+            return f"there is no director {event.director}"
+        return None
+
+    def servers_of(self, event: Event) -> list[int]:
+        """List the servers that an event is about."""
         zone = event.zone if event.do == "lose_zone" else None
         if isinstance(event.servers, Zone):
             zone = event.servers.zone
         if zone is not None:
-            place = self.zones.index(zone)
-            return [number for number in numbers if number % len(self.zones) == place]
-        if isinstance(event.servers, Every):
-            return list(numbers[event.servers.first :: event.servers.every])
-        return list(numbers) if event.servers == "all" else list(event.servers)
-
-    def chosen_proxies(self, event: Event) -> list[int]:
-        numbers = range(self.proxies)
-        if isinstance(event.proxies, Every):
-            return list(numbers[event.proxies.first :: event.proxies.every])
-        return list(numbers) if event.proxies == "all" else list(event.proxies)
+            index = self.zones.index(zone)
+            return [number for number in range(self.servers) if number % len(self.zones) == index]
+        return select(self.servers, event.servers)
+
+    def proxies_of(self, event: Event) -> list[int]:
+        """List the proxies that an event is about."""
+        return select(self.proxies, event.proxies)
+
+
+def select(count: int, selector: Selector) -> list[int]:
+    """List the selected numbers out of so many."""
+    if isinstance(selector, Every):
+        return list(range(count)[selector.first :: selector.every])
+    if selector == "all":
+        return list(range(count))
+    assert isinstance(selector, tuple)  # zones are for servers alone, and looked up before
+    return list(selector)
--- a/rainpick/standins/servers.py
+++ b/rainpick/standins/servers.py
@@ -1,243 +1,153 @@
-"""Stand-in servers: slots, a waiting room, cold starts, faults by script; members of the directors' list."""
+"""Simulated servers: they serve requests over HTTP, warm up, show faults, and are members of directors."""
 
 from __future__ import annotations
 
-import contextlib
 import random
 import threading
 import time
-from collections import deque
-from heapq import heapreplace
 
 from rainpick.http1.server import Answer, Asked, Server
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member
-from rainpick.standins.log import Log, now_us
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.sasp.codec import Group
+from rainpick.standins.event_log import EventLog, now_us
+from rainpick.standins.membership import Membership
+from rainpick.standins.peer_settings import PeerSettings, RouteLoad, SocketAddress
+from rainpick.standins.server_capacity import ServerCapacity
 
-ROOM_US = 1_500_000  # work is turned away that would wait longer
-SLACK = 4  # calls of mean work that a cold server stands beyond its budget
+MAX_CONNECTIONS = 512
+MAX_KNOWN_REQUESTS = 4096  # in a pod, before outdated ones are forgotten
+HUNG_CHECK_S = 0.02
+DEREGISTRATION_S = 0.05  # for the last messages to leave before the streams are closed
 
 
 class Pod:
-    """What servers of a pod know together: calls that ran lately, so that repeats are dropped."""
+    """What the servers of a pod share: recent idempotency keys, so that duplicates are dropped."""
 
     def __init__(self) -> None:
-        self.lock, self.seen = threading.Lock(), {}
+        self.lock = threading.Lock()
+        self.known_until_us: dict[str, int] = {}
 
-    def is_repeat(self, call: str, window_us: int) -> bool:
+    def is_duplicate(self, request: str, window_us: int) -> bool:
+        """Say whether a request came within the window before; if not, remember it."""
         now = now_us()
         with self.lock:
-            if len(self.seen) > 4096:
-                self.seen = {known: until for known, until in self.seen.items() if until > now}
-            if self.seen.get(call, 0) > now:
+            if len(self.known_until_us) > MAX_KNOWN_REQUESTS:
+                known = self.known_until_us.items()
+                self.known_until_us = {request: until for request, until in known if until > now}
+            if self.known_until_us.get(request, 0) > now:
                 return True
-            self.seen[call] = now + window_us
+            self.known_until_us[request] = now + window_us
             return False
 
 
-class StandInServer:
-    """One server on loopback. It registers with each director and serves calls as fast as it can just now."""
-
-    def __init__(self, number: int, day: dict, pod: Pod, log: Log):
-        machine = day["machines"][number % len(day["machines"])]
-        self.number, self.day, self.pod, self.log = number, day, pod, log
-        self.slots, self.speed, self.weight = machine["slots"], machine["speed"], machine["weight"]
-        self.label = (
-            f"weight={self.weight};zone={day['zones'][number % len(day['zones'])]};"
-            f"machine={machine['name']};pod={self.pod_number()}"
-        )
-        self.group = Group(day["uid"], day["group"])
-        self.routes = {route["name"]: route for route in day["routes"]}
-        self.chance = random.Random(f"{day['seed']} server {number}")
-        self.boots, self.place, self.front = 0, ("127.0.0.1", 0), None
-        self.slow, self.drop_share, self.hung = 1.0, 0.0, False
-        self.lock, self.arrived = threading.Lock(), deque()
-        self.running, self.quiesced = threading.Event(), False
-        self.streams: dict[int, SaspClient] = {}
-
-    def pod_number(self) -> int:
-        return self.number // (len(self.day["zones"]) * 2) * len(self.day["zones"]) + self.number % len(
-            self.day["zones"]
-        )
-
+def pod_number(server: int, zones: int) -> int:
+    """Give a server's pod: two servers of a zone that are next to each other."""
+    return server // (zones * 2) * zones + server % zones
+
+
+class SimulatedServer:
+    """One server on loopback; its faults are attributes that the fleet sets."""
+
+    def __init__(self, number: int, settings: PeerSettings, pod: Pod, log: EventLog):
+        machine = settings.machines[number % len(settings.machines)]
+        zone = settings.zones[number % len(settings.zones)]
+        self.number, self.pod, self.log = number, pod, log
+        self.pod_number = pod_number(number, len(settings.zones))
+        self.routes = {route.name: route for route in settings.routes}
+        self.random = random.Random(f"{settings.seed} server {number}")
+        self.warm_up_us = settings.slow_start.warm_up_us
+        self.capacity = ServerCapacity(machine, settings.slow_start)
+        label = f"weight={machine.weight};zone={zone};machine={machine.name};pod={self.pod_number}"
+        group = Group(settings.uid, settings.group)
+        self.membership = Membership(settings.sasp, group, label, log, self.is_current)
+        self.run = 0  # counts its starts
+        self.running = threading.Event()
+        self.address: SocketAddress = ("127.0.0.1", 0)  # the port is kept from the first start on
+        self.front: Server | None = None
+        self.slowdown, self.failure_share, self.hung = 1.0, 0.0, False
+
+    @property
     def name(self) -> str:
-        return "%s:%d" % self.place
+        """The server as logs name it."""
+        return "%s:%d" % self.address
 
-    # Calls
+    def is_current(self, run: int) -> bool:
+        """Say whether the run of a number still lasts."""
+        return self.running.is_set() and self.run == run
 
-    def capacity(self, now: int) -> float:
-        """Microseconds of work it does in a microsecond: less while it is cold."""
-        rules = self.day["rules"]
-        age = (now - self.started_us) / rules["warm_after"]
-        least = rules["start_capacity"]
-        return self.slots * self.speed * min(1.0, least + (1 - least) * age)
+    # Requests
 
     def serve(self, asked: Asked) -> Answer:
-        now, call = now_us(), asked.headers.get("call", "?")
+        """Handle a request: the route is its path, its identity the header ``call``.
+
+        ``ConnectionResetError`` ends the connection without an answer.
+        """
+        now, request = now_us(), asked.headers.get("call", "?")
         route = self.routes[asked.path.strip("/")]
-        self.log("call", s=self.name(), id=call, r=route["name"], w=route["work"])
+        self.log.write("call", s=self.name, id=request, r=route.name, w=route.work_us)
         while self.hung and self.running.is_set():
-            time.sleep(0.02)
+            time.sleep(HUNG_CHECK_S)
         if not self.running.is_set():
             raise ConnectionResetError
-        if self.falls(now, route["work"]):
+        if self.capacity.is_overwhelmed(now, route.work_us):
             self.stop("fell")
             raise ConnectionResetError
-        if self.chance.random() < self.drop_share:
+        if self.random.random() < self.failure_share:
             return Answer(500, b"broken", "text/plain")
-        if route["effect"] == "keyed" and self.pod.is_repeat(call, route["window"]):
-            self.log("repeat", s=self.name(), id=call)
+        if route.effect == "keyed" and self.pod.is_duplicate(request, route.retry_window_us):
+            self.log.write("repeat", s=self.name, id=request)
             return Answer(200, b"dropped: it runs already", "text/plain")
-        work = self.chance.expovariate(1 / route["work"]) / 2 + route["work"] / 2
-        took = work * self.slots / self.capacity(now) * self.slow
-        with self.lock:
-            begin = max(now, self.free[0])
-            if begin - now > ROOM_US:
-                return Answer(503, b"full", "text/plain")
-            heapreplace(self.free, begin + took)
-        time.sleep(max(0.0, (begin + took - now_us()) / 1e6))
+        return self.work(route, request, now)
+
+    def work(self, route: RouteLoad, request: str, now: int) -> Answer:
+        """Do the work of a request; it takes effect at the end."""
+        work_us = self.random.expovariate(1 / route.work_us) / 2 + route.work_us / 2
+        duration_us = work_us * self.capacity.slots / self.capacity.rate(now) * self.slowdown
+        end_us = self.capacity.reserve(now, duration_us)
+        if end_us is None:
+            return Answer(503, b"full", "text/plain")
+        time.sleep(max(0.0, (end_us - now_us()) / 1e6))
         if not self.running.is_set():
             raise ConnectionResetError
-        if route["effect"] != "repeatable":
-            self.log("effect", s=self.name(), id=call, r=route["name"])
+        if route.effect != "repeatable":
+            self.log.write("effect", s=self.name, id=request, r=route.name)
         return Answer(200, b"ok", "text/plain")
 
-    def falls(self, now: int, work: int) -> bool:
-        """Whether a cold server has been sent more than it stands."""
-        rules = self.day["rules"]
-        if now - self.started_us >= rules["warm_after"]:
-            return False
-        with self.lock:
-            self.arrived.append((now, work))
-            while self.arrived[0][0] <= now - rules["fall"]:
-                self.arrived.popleft()
-            sent = sum(work for _, work in self.arrived)
-        return sent > rules["fall_multiple"] * self.capacity(now) * rules["fall"] + SLACK * work
-
     # Life
 
     def start(self, cold: bool) -> None:
-        self.boots += 1
-        self.started_us = now_us() - (0 if cold else self.day["rules"]["warm_after"])
-        self.free, self.arrived = [0.0] * self.slots, deque()
-        self.hung, self.quiesced = False, False
-        self.front = Server("server", self.place, self.serve, connections_most=512)
-        self.place = self.front.address
+        """Start a run of the server, which warms up if it is cold."""
+        self.run += 1
+        started_us = now_us() - (0 if cold else self.warm_up_us)
+        self.capacity.reset(started_us)
+        self.hung, self.membership.draining = False, False
+        self.front = Server("server", self.address, self.serve, connections_most=MAX_CONNECTIONS)
+        self.address = self.front.address
         self.running.set()
-        self.log(
+        self.log.write(
             "start",
-            s=self.name(),
+            s=self.name,
             n=self.number,
-            born=self.started_us,
-            pod=self.pod_number(),
-            capacity=self.slots * self.speed,
+            born=started_us,
+            pod=self.pod_number,
+            capacity=self.capacity.warm_rate,
         )
-        for director, place in enumerate(self.day["directors"]):
-            words = director, tuple(place), self.boots
-            threading.Thread(target=self.speak, args=words, daemon=True).start()
-
-    def speak(self, director: int, place: tuple[str, int], boot: int) -> None:
-        """Keep registered with a director while this start of the server lasts."""
-        member = None
-        while self.running.is_set() and self.boots == boot:
-            try:
-                stream = SaspClient(place)
-                self.streams[director] = stream
-                age = (now_us() - self.started_us) / 1e6
-                member = Member.at(*self.place, f"{self.label};boot={boot};age={age:.3f}")
-                reply = stream.ask(codec.Registration((codec.Members(self.group, (member,)),)))
-                if reply.code != codec.SUCCESS:
-                    raise ConnectionAbortedError(f"registration refused: {reply.code:#04x}")
-                self.log("said", s=self.name(), d=director, what="ready")
-                if self.quiesced:
-                    self.tell_drain(director, stream)
-                while True:
-                    stream.receive(None)
-            except OSError:
-                self.log("lost", s=self.name(), d=director)
-                if self.running.is_set() and self.boots == boot:
-                    time.sleep(0.2)
-
-    def tell_drain(self, director: int, stream: SaspClient) -> None:
-        state = codec.MemberState(Member.at(*self.place), 0, True)
-        stream.send(codec.SetMemberState((codec.States(self.group, (state,)),)))
-        self.log("said", s=self.name(), d=director, what="draining")
+        self.membership.begin(self.run, self.address, started_us)
 
     def drain(self) -> None:
-        self.quiesced = True
-        for director, stream in list(self.streams.items()):
-            with contextlib.suppress(OSError):
-                self.tell_drain(director, stream)
+        """Begin a graceful shutdown: the directors are told, and requests are still served."""
+        self.membership.drain()
 
     def leave(self) -> None:
-        """Deregister, then end in good order."""
-        for director, stream in list(self.streams.items()):
-            with contextlib.suppress(OSError):
-                group = codec.Members(self.group, (Member.at(*self.place),))
-                stream.send(codec.Deregistration((group,), reason=codec.PURPOSEFUL))
-                self.log("said", s=self.name(), d=director, what="gone")
-        time.sleep(0.05)
+        """End a graceful shutdown: deregister and stop."""
+        self.membership.deregister()
+        time.sleep(DEREGISTRATION_S)
         self.stop("left")
 
-    def stop(self, how: str) -> None:
+    def stop(self, reason: str) -> None:
+        """Stop at once: requests in progress get no answer. Does nothing if it has stopped."""
         if self.running.is_set():
             self.running.clear()
-            self.log("stop", s=self.name(), how=how)
-            self.front.close()
-            for stream in list(self.streams.values()):
-                stream.close()
-            self.streams.clear()
-
-    def break_streams(self) -> None:
-        for stream in list(self.streams.values()):
-            stream.close()
-
-
-class Fleet:
-    """All servers of a day; does what the script says."""
-
-    def __init__(self, day: dict, log: Log):
-        pods: dict[int, Pod] = {}
-        self.day, self.servers, self.log = day, [], log
-        for number in range(day["servers"]):
-            server = StandInServer(number, day, Pod(), log)
-            server.pod = pods.setdefault(server.pod_number(), server.pod)
-            self.servers.append(server)
-        for server in self.servers:
-            server.start(cold=False)
-
-    def do(self, what: str, servers: list[int], **words) -> None:
-        for number in servers:
-            server = self.servers[number]
-            if what == "slow":
-                server.slow = words["factor"]
-            elif what == "drop":
-                server.drop_share = words["share"]
-            elif what == "hang":
-                server.hung = words["on"]
-            elif what == "die":
-                server.stop("died")
-            elif what == "start" and not server.running.is_set():
-                server.start(cold=True)
-            elif what == "break_member_streams":
-                server.break_streams()
-            elif what == "drain":
-                server.drain()
-            elif what == "replace":
-                threading.Thread(
-                    target=self.replace, args=(server, words["notice_s"], words["down_s"]), daemon=True
-                ).start()
-
-    @staticmethod
-    def replace(server: StandInServer, notice_s: float, down_s: float) -> None:
-        """A deploy: told, drained, ended, started anew and cold."""
-        server.drain()
-        time.sleep(notice_s)
-        server.leave()
-        time.sleep(down_s)
-        server.start(cold=True)
-
-    def close(self) -> None:
-        for server in self.servers:
-            server.stop("end")
+            self.log.write("stop", s=self.name, how=reason)
+            if self.front is not None:
+                self.front.close()
+            self.membership.end()
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -9,7 +9,7 @@
 from rainpick.decisions.director import Director
 from rainpick.director.daemon import Daemon
 from rainpick.settings import Settings, parse
-from rainpick.standins.day import Day, Local
+from rainpick.standins.day import Day, LocalPeers
 from rainpick.standins.scenario import Scenario
 
 SMALL = """{
@@ -24,7 +24,7 @@
 }"""
 
 
-class InProcess:
+class InProcessDirector:
     """A director in the test's process, so that a double can stand in for its module."""
 
     def __init__(self, module, settings, folder):
@@ -43,7 +43,12 @@
 
 def play(tmp_path, settings="", rest="", module=Director):
     scenario = parse(SMALL % (settings, rest), "day", Scenario)
-    day = Day(scenario, tmp_path / "day", lambda plain, folder: InProcess(module, plain, folder), Local)
+    day = Day(
+        scenario,
+        tmp_path / "day",
+        lambda settings, folder: InProcessDirector(module, settings, folder),
+        LocalPeers,
+    )
     verdict = day.play()
     broken = {rule.name: rule.breaches[:2] for rule in verdict.rules if rule.breaches}
     return (
@@ -72,9 +77,11 @@
 class NoWithdrawals(Director):
     def step(self, now, events):
         return [
-            order
-            for order in super().step(now, events)
-            if not (type(order) is model.SetWithdrawn or type(order) is model.SetWeight and not order.weight)
+            command
+            for command in super().step(now, events)
+            if not (
+                type(command) is model.SetWithdrawn or type(command) is model.SetWeight and not command.weight
+            )
         ]
 
 
@@ -82,23 +89,23 @@
     assert set(play(tmp_path, rest=LATE_DRAIN, module=NoWithdrawals)[1]) == {"drains kept"}
 
 
-class ShutsAll(Director):
+class WithdrawsAll(Director):
     def step(self, now, events):
-        orders = super().step(now, events)
+        commands = super().step(now, events)
         if now - self.since(now) > 2_000_000:
-            orders += [model.SetWithdrawn(server, True) for server in self.servers]
-        return orders
+            commands += [model.SetWithdrawn(server, True) for server in self.servers]
+        return commands
 
     def since(self, now):
         self.began = getattr(self, "began", now)
         return self.began
 
 
-def test_a_director_that_shuts_all_breaks_the_rule_on_lines(tmp_path):
-    assert "a line to pick" in play(tmp_path, module=ShutsAll)[1]
+def test_a_director_that_withdraws_all_breaks_the_rule_on_empty_tables(tmp_path):
+    assert "a line to pick" in play(tmp_path, module=WithdrawsAll)[1]
 
 
-class TrustsTheCold(Director):
+class SkipsSlowStart(Director):
     def warm(self, held):
         return held.state == model.EndpointState.READY
 
@@ -107,44 +114,44 @@
         return super().weight(held, table) * (50 if young else 1)
 
 
-def test_a_director_that_trusts_the_cold_breaks_the_rule_on_cold_servers(tmp_path):
+def test_a_director_that_skips_slow_starts_breaks_the_rule_on_cold_servers(tmp_path):
     rest = (
         DEPLOY.replace("{every: 3}", "[0]")
         + ', machines: [{name: "one", slots: 1, speed: 0.6, weight: 1}], pick: "lottery"'
     )
-    broken = play(tmp_path, "fleet: {weight_most: 64}", rest, TrustsTheCold)[1]
+    broken = play(tmp_path, "fleet: {weight_most: 64}", rest, SkipsSlowStart)[1]
     assert "no cold server pushed over" in broken
 
 
-class Talks(Director):
+class Floods(Director):
     """Orders a change for everybody in each step."""
 
     def step(self, now, events):
         self.turns = getattr(self, "turns", 0) + 1
         server = next(iter(getattr(self, "servers", {})), None)
-        talk = [model.SetWeight(0, server, 1 + self.turns % 5)] * 40 if server else []
-        return super().step(now, events) + talk
+        flood = [model.SetWeight(0, server, 1 + self.turns % 5)] * 40 if server else []
+        return super().step(now, events) + flood
 
 
-def test_a_director_that_talks_without_end_breaks_the_rule_on_the_queue(tmp_path):
+def test_a_director_that_floods_breaks_the_rule_on_backlogs(tmp_path):
     settings = 'channel: {lines_per_s: 100, pending_lines: 250, messages_most: 6, messages_over: "10s"}'
-    assert set(play(tmp_path, settings, module=Talks)[1]) == {"a short queue"}
+    assert set(play(tmp_path, settings, module=Floods)[1]) == {"a short queue"}
 
 
-def test_commits_repeated_in_their_pod_are_dropped_there_and_counted(tmp_path):
-    """Slow servers make proxies repeat in the same pod while the first try still runs."""
+def test_commits_retried_in_their_pod_are_dropped_there_and_counted(tmp_path):
+    """Slow servers make proxies retry in the same pod while the first attempt still runs."""
     rest = (
         'repeat: "same_pod", client_repeats: 0, try_share: 0.25, '
         'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
     )
     verdict, broken, events = play(tmp_path, rest=rest)
     assert not broken and verdict.repeats["dropped by servers"] > 0
-    again = {event["id"] for event in events if event["k"] == "again" and event["r"] == "commit"}
+    retried = {event["id"] for event in events if event["k"] == "again" and event["r"] == "commit"}
     effects = [event["id"] for event in events if event["k"] == "effect"]
-    assert again & set(effects) and len(set(effects)) == len(effects)
+    assert retried & set(effects) and len(set(effects)) == len(effects)
 
 
-def test_commits_repeated_anywhere_are_found_out(tmp_path):
+def test_commits_retried_anywhere_break_the_rule_on_duplicate_effects(tmp_path):
     rest = (
         'repeat: "anywhere", client_repeats: 0, try_share: 0.25, '
         'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
@@ -152,12 +159,12 @@
     assert set(play(tmp_path, rest=rest)[1]) == {"no effect twice"}
 
 
-def advice(events, server):
+def weights_read(events, server):
     """The weights that proxies read for a server, with the second from the day's beginning."""
     begin = next(event["t"] for event in events if event["k"] == "mark")
     return [
         ((event["t"] - begin) / 1e6, weight)
-        for event in sorted(events, key=lambda one: one["t"])
+        for event in sorted(events, key=lambda entry: entry["t"])
         if event["k"] == "weights"
         for name, weight, _ in event["m"]
         if name == server
@@ -172,7 +179,12 @@
     )
     text = (SMALL % ("proxies: {ejects_after: 0}", rest)).replace('length: "6s",', "")
     scenario = parse(text, "day", Scenario)
-    day = Day(scenario, tmp_path / "day", lambda plain, folder: InProcess(Director, plain, folder), Local)
+    day = Day(
+        scenario,
+        tmp_path / "day",
+        lambda settings, folder: InProcessDirector(Director, settings, folder),
+        LocalPeers,
+    )
     verdict = day.play()
     events = [
         json.loads(line)
@@ -180,7 +192,7 @@
         for line in path.read_text().splitlines()
     ]
     slow = next(event["s"] for event in events if event["k"] == "start" and event["n"] == 1)
-    seen = advice(events, slow)
+    seen = weights_read(events, slow)
     full = max(weight for second, weight in seen if second < 2)
     least = min(weight for second, weight in seen if 2 < second < 14)
     assert least < 0.8 * full, seen
@@ -191,10 +203,12 @@
 def test_a_deploy_over_both_fronts_keeps_all_five_rules(tmp_path):
     verdict, broken, events = play(tmp_path, rest=DEPLOY + ', fronts: ["mqtt", "sasp"]')
     assert not broken and verdict.share() > 0.95
-    assert {event["p"] for event in events if event["k"] == "weights"} == {f"edge-{one}" for one in range(4)}
+    assert {event["p"] for event in events if event["k"] == "weights"} == {
+        f"edge-{number}" for number in range(4)
+    }
 
 
-def test_streams_broken_and_reports_late_or_double_change_no_rule(tmp_path):
+def test_broken_streams_and_late_or_duplicate_reports_break_no_rule(tmp_path):
     rest = (
         'events: [{at: "1s", do: "break_streams"}, {at: "1s", do: "double_reports", for: "3s"}, '
         '{at: "2s", do: "break_member_streams", servers: "all"}, '
@@ -215,6 +229,6 @@
         ('events: [{at: "1s", do: "kill_director", director: 3}]', "no director 3"),
     ],
 )
-def test_a_day_that_makes_no_sense_is_refused(text, expected):
+def test_an_inconsistent_scenario_is_rejected(text, expected):
     with pytest.raises(Exception, match=expected):
         parse(SMALL % ("", text), "day", Scenario)
