--- a/rainpick/rules/empty_tables.py
+++ b/rainpick/rules/empty_tables.py
@@ -9,6 +9,8 @@
 from rainpick.rules.timeline import KnownServers, Timeline
 from rainpick.rules.verdict import Limits, Rule
 
+KINDS = frozenset({"weights", "standing", "left"})  # of the events that the check is about
+
 
 class Span(NamedTuple):
     """A span of time."""
@@ -41,10 +43,10 @@
         self.empty_since: dict[str, int] = {}  # by proxy, for those with an empty table
 
     def update(self, event: LogEvent) -> None:
-        """Handle an event, in order of time."""
-        if event["k"] in ("weights", "standing"):
+        """Handle an event of one of ``KINDS``, in order of time."""
+        if event["k"] != "left":
             self.update_table(event["p"], event)
-        elif event["k"] == "left" and event["p"] in self.empty_since:
+        elif event["p"] in self.empty_since:
             self.measure(event["p"], event["t"])
             self.empty_since[event["p"]] = event["t"]
 
@@ -85,5 +87,6 @@
     """Judge the rule over a day that lasts until ``end``."""
     check = EmptyTableCheck(limits, timeline, end)
     for event in events:
-        check.update(event)
+        if event["k"] in KINDS:
+            check.update(event)
     return check.finish()
--- a/rainpick/rules/timeline.py
+++ b/rainpick/rules/timeline.py
@@ -11,6 +11,7 @@
 from rainpick.rules.logs import LogEvent
 from rainpick.rules.verdict import Limits
 
+KINDS = frozenset({"said", "joined", "left", "start", "stop"})  # of the events that a timeline is built of
 STILL_OPEN = 1 << 62  # the end of a session that has not ended
 
 
@@ -89,7 +90,7 @@
         return next((run for run in reversed(self.runs[server]) if run["t"] <= at), None)
 
     def add(self, event: LogEvent) -> None:
-        """Add an event, in order of time; kinds that the timeline does not need are passed over."""
+        """Add an event of one of ``KINDS``, in order of time."""
         match event["k"]:
             case "said":
                 self.known[event["d"]].add(event["s"], event["t"], event["what"])
@@ -108,7 +109,8 @@
     """Build the timeline of events that are in order of time."""
     timeline = Timeline()
     for event in events:
-        timeline.add(event)
+        if event["k"] in KINDS:
+            timeline.add(event)
     if limits.gone_binds:
         add_disconnections(timeline, events, limits.member_grace)
     return timeline
