--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple, TypeAlias, TypeVar
 
-from rainpick.wording import nested
+from rainpick.operator_settings import translate_nested
 
 Kind = TypeVar("Kind")
 SocketAddress: TypeAlias = tuple[str, int]  # host and port
@@ -130,7 +130,7 @@
     if not path:
         raise ConfigurationError("PROXY_CONFIG: not set; it names the configuration file")
     file = ConfigurationFile(path)
-    settings: dict[str, Any] = nested(file.value("settings", dict))
+    settings: dict[str, Any] = translate_nested(file.value("settings", dict))
     vocabulary = read_vocabulary(file, settings)
     seed = file.seed()
     return Configuration(
--- a/rainpick/simhost/events.py
+++ b/rainpick/simhost/events.py
@@ -11,8 +11,8 @@
 from typing import Any, TypeAlias
 
 from rainpick import model
+from rainpick.operator_settings import translate_lines
 from rainpick.simhost.framing import Batch, MalformedError
-from rainpick.wording import settings as translate_settings
 
 Event: TypeAlias = (
     model.Started
@@ -63,7 +63,7 @@
         text = batch.read_bytes(length).decode()
     except UnicodeDecodeError as error:
         raise MalformedError(f"the settings are not UTF-8: {error}") from None
-    return instance, model.Started(seed, translate_settings(text))
+    return instance, model.Started(seed, translate_lines(text))
 
 
 def decode_peer_message(batch: Batch) -> InstanceEvent:
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -17,8 +17,7 @@
 
 from rainpick.director.listing import ListCache, read_cache, read_list
 from rainpick.model import Endpoint
-from rainpick.operator_settings import translate_lines as operators_settings
-from rainpick.operator_settings import translate_nested as nested
+from rainpick.operator_settings import translate_lines, translate_nested
 from rainpick.record.incarnations import MissingSteps, read_incarnations
 from rainpick.record.replay import replay_incarnation
 from rainpick.settings import load, plain_map
@@ -276,10 +275,10 @@
 
 
 def test_operators_words_are_read_from_lines():
-    found = operators_settings((STORED / "settings" / "operators.txt").read_text())
+    found = translate_lines((STORED / "settings" / "operators.txt").read_text())
     assert as_json(found) == expected("operators-lines.json")
 
 
 def test_operators_words_are_read_from_nested_settings():
-    found = nested(json.loads((STORED / "settings" / "operators.json").read_text()))
+    found = translate_nested(json.loads((STORED / "settings" / "operators.json").read_text()))
     assert as_json(found) == expected("operators-nested.json")
--- a/tests/decisions/scenario_player.py
+++ b/tests/decisions/scenario_player.py
@@ -29,7 +29,7 @@
 
 from rainpick import model
 from rainpick.decisions.director import Director
-from rainpick.wording import value as read
+from rainpick.operator_settings import translate_value
 
 # What scenarios call the commands.
 COMMAND_NAMES = {
@@ -208,7 +208,7 @@
     def set(self, *words):
         for word in words:
             name, _, value = word.partition("=")
-            self.settings[name] = read(name, value)
+            self.settings[name] = translate_value(value)
 
     def see(self, *words):
         assert fnmatch.filter(self.commands, " ".join(words)), self.commands
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rainpick.node.configuration import ConfigurationError, read_configuration
-from rainpick.wording import nested, settings
+from rainpick.operator_settings import translate_lines, translate_nested
 from tests.node.platform_stubs import SETTINGS, VOCABULARY, configuration_tree
 
 ADDRESSES = ("127.0.0.1", 8080), ("127.0.0.1", 8500), ("127.0.0.1", 6400)
@@ -47,7 +47,7 @@
 
 def test_nested_settings_and_dotted_lines_give_the_same_map():
     tree = SETTINGS | {"one": ["alone"], "classOwnZone": [False, True], "name": "12"}
-    assert nested(tree) == settings("\n".join(dotted_lines(tree)))
+    assert translate_nested(tree) == translate_lines("\n".join(dotted_lines(tree)))
 
 
 @pytest.mark.parametrize(
