--- a/rainpick/cli/day_output.py
+++ b/rainpick/cli/day_output.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
+from typing import Any
 
-from rainpick.cli.status_front import DirectorStatus
 from rainpick.cli.terminal import print_rich
 from rainpick.standins.scenario import Scenario
 
 STATUS_EVERY_S = 5.0
 
 
-def ignore_progress(second: float, event: str, states: Sequence[DirectorStatus | None]) -> None:
+def ignore_progress(second: float, event: str, states: Sequence[Mapping[str, Any] | None]) -> None:
     """Print nothing."""
 
 
@@ -26,7 +26,7 @@
             f"{scenario.length / 1e6:g} s"
         )
 
-    def __call__(self, second: float, event: str, states: Sequence[DirectorStatus | None]) -> None:
+    def __call__(self, second: float, event: str, states: Sequence[Mapping[str, Any] | None]) -> None:
         """Print the event, or the states if there is no event. ``second``: since the day began.
 
         ``states``: of each director, None for one that does not answer.
@@ -39,7 +39,7 @@
             print_rich(f"{second:6.1f} s  " + "; ".join(descriptions))
 
 
-def _describe(state: DirectorStatus | None) -> str:
+def _describe(state: Mapping[str, Any] | None) -> str:
     """A director that has not begun to decide counts as one that does not answer."""
     if not state or "channel" not in state:
         return "no director answers"
--- a/rainpick/cli/weights_output.py
+++ b/rainpick/cli/weights_output.py
@@ -4,7 +4,6 @@
 
 import json
 import time
-from typing import cast
 
 import click
 
@@ -49,7 +48,7 @@
         codec.Registration((codec.Members(group),), True),
     )
     for request in requests:
-        reply = cast(codec.Reply, client.ask(request))  # the client checks that its type answers the request
+        reply = client.ask(request)
         if reply.code != codec.SUCCESS:
             raise ConnectionAbortedError(f"{type(request).__name__} is refused: {reply.code:#04x}")
 
@@ -65,7 +64,7 @@
 
 
 def _poll(client: SaspClient, group: Group) -> tuple[codec.Weights, ...]:
-    reply = cast(codec.GetWeightsReply, client.ask(codec.GetWeights((group,))))
+    reply = client.ask(codec.GetWeights((group,)))
     return reply.groups
 
 
--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -43,9 +43,9 @@
 class Client:
     """Calls one server.
 
-    ``timeout_s`` limits a whole call, however slowly its bytes arrive; ``dial_s`` limits connecting, if that
-    should differ. A response body over ``max_body_bytes`` is an error. Only ``abort`` may be used by a thread
-    other than the calling one.
+    ``timeout_s`` limits a whole call, however slowly its bytes arrive; ``connect_timeout_s`` limits
+    connecting, if that should differ. A response body over ``max_body_bytes`` is an error. Only ``abort``
+    may be used by a thread other than the calling one.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         port: int,
         timeout_s: float = 5.0,
         max_body_bytes: int = MAX_BODY_BYTES,
-        dial_s: float | None = None,
+        connect_timeout_s: float | None = None,
     ):
         self.address = (host, port)
         self.timeout_s = timeout_s
         self.max_body_bytes = max_body_bytes
-        self.dial_s = dial_s
+        self.connect_timeout_s = connect_timeout_s
         # The lock guards both: ``abort`` must not shut down a descriptor that has been closed and reused.
         self._lock = threading.Lock()
         self._aborted = False
@@ -104,7 +104,7 @@
         """Open a connection; ``ConnectionAbortedError`` if ``abort`` was called before it was there."""
         if self._aborted:
             raise ConnectionAbortedError("aborted")
-        sock = socket.create_connection(self.address, self.dial_s or timeout_s)
+        sock = socket.create_connection(self.address, self.connect_timeout_s or timeout_s)
         connection = _Connection(sock, h11.Connection(h11.CLIENT))
         with self._lock:
             if self._aborted:
--- a/rainpick/node/collector_listener.py
+++ b/rainpick/node/collector_listener.py
@@ -9,7 +9,7 @@
 from itertools import count
 
 from rainpick import model
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.net.streams import Listener, Stream
 from rainpick.node.configuration import SocketAddress, Vocabulary
 from rainpick.node.frame_codec import (
@@ -100,14 +100,14 @@
         elif isinstance(message, Heartbeat):
             self.counts["heartbeats"] += 1
             stream.write(HEARTBEAT_ANSWER)
-            if len(stream.rest) > UNREAD_LIMIT:
+            if len(stream.unsent) > UNREAD_LIMIT:
                 self.disconnect(stream)
         elif isinstance(message, CollectorJoined):
             self.join(stream, message.zone)
         elif isinstance(message, MalformedReport):
             self.counts["malformed"] += 1
             log.warning("malformed load report dropped", peer=stream.peer, reason=message.reason)
-        elif isinstance(message, Ended):
+        elif isinstance(message, StreamEnded):
             self.end(stream, message)
         else:
             raise TypeError(f"no message of a peer: {type(message).__name__}")
@@ -123,7 +123,7 @@
             self.disconnect(oldest)
         log.info("collector joined", peer=stream.peer, zone=zone)
 
-    def end(self, stream: Stream, end: Ended) -> None:
+    def end(self, stream: Stream, end: StreamEnded) -> None:
         """Close a peer whose stream has ended, after the last bytes to it."""
         if stream.closed:
             return
@@ -136,7 +136,7 @@
         stream.close()
         if was_collector or end.data:
             event = "collector disconnected" if was_collector else "peer rejected"
-            log.info(event, peer=stream.peer, reason=end.why)
+            log.info(event, peer=stream.peer, reason=end.reason)
 
     def status(self) -> dict[str, int]:
         """The fields of the log's status line; "strangers" are pending peers."""
--- a/rainpick/node/discovery_watch.py
+++ b/rainpick/node/discovery_watch.py
@@ -41,7 +41,7 @@
     @staticmethod
     def new_client(address: SocketAddress) -> Client:
         """A client of discovery at an address; it connects with its first call."""
-        return Client(*address, timeout_s=LIST_TIMEOUT_S, dial_s=CONNECT_TIMEOUT_S)
+        return Client(*address, timeout_s=LIST_TIMEOUT_S, connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def set_address(self, address: SocketAddress) -> None:
         """For another thread: follow discovery at this address from now on."""
--- a/rainpick/node/frame_codec.py
+++ b/rainpick/node/frame_codec.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.node.configuration import Vocabulary
 from rainpick.node.load_report_parsing import LoadReport, parse_route_report, parse_server_report
 from rainpick.node.message_fields import (
@@ -41,7 +41,7 @@
     reason: str
 
 
-PeerMessage = Heartbeat | CollectorJoined | MalformedReport | LoadReport | Ended
+PeerMessage = Heartbeat | CollectorJoined | MalformedReport | LoadReport | StreamEnded
 
 
 def encode_frame(message: Message) -> bytes:
@@ -72,7 +72,7 @@
         self.ended = False
 
     def receive(self, data: bytes) -> list[PeerMessage]:
-        """The messages that these bytes complete, in order. ``Ended`` is the last one ever."""
+        """The messages that these bytes complete, in order. ``StreamEnded`` is the last one ever."""
         if self.ended:
             return []
         self.buffer += data
@@ -93,11 +93,11 @@
                     messages.append(message)
         return messages
 
-    def end(self, reason: str) -> Ended:
+    def end(self, reason: str) -> StreamEnded:
         """End the stream; nothing is ever written to a collector."""
         self.ended = True
         self.buffer.clear()
-        return Ended(encode_frame({"t": "reject", "why": reason}) if self.zone is None else b"", reason)
+        return StreamEnded(encode_frame({"t": "reject", "why": reason}) if self.zone is None else b"", reason)
 
     def read(self, body: bytes) -> PeerMessage | None:
         """The message in a frame's body; None if it says nothing new."""
--- a/rainpick/standins/sasp_client.py
+++ b/rainpick/standins/sasp_client.py
@@ -6,11 +6,9 @@
 from typing import Any, TypeAlias, overload
 
 from rainpick.sasp import codec
-from rainpick.sasp.session import ClientEnd
+from rainpick.sasp.client import ClientSession, ReceivedMessage
 from rainpick.standins import blocking_socket
 
-Received: TypeAlias = tuple[codec.Message | None, codec.Message]  # the request that is answered, the message
-
 # The requests that are answered by a status alone.
 StatusRequest: TypeAlias = codec.Registration | codec.Deregistration | codec.SetLbState | codec.SetMemberState
 
@@ -28,11 +26,11 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
         self.sock.connect(address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.end = ClientEnd()
+        self.end = ClientSession()
         self.pushed: list[codec.SendWeights] = []
         self.timeout_s = timeout_s
 
-    def receive(self, timeout_s: float | None) -> list[Received]:
+    def receive(self, timeout_s: float | None) -> list[ReceivedMessage]:
         """Receive what comes within a time; nothing if it runs out."""
         return blocking_socket.receive(self.sock, timeout_s, self.end.receive, codec.SaspError)
 
@@ -57,7 +55,7 @@
     def send(self, message: codec.Message) -> None:
         """Send a request without waiting for its reply."""
         self.sock.settimeout(self.timeout_s)
-        self.sock.sendall(self.end.ask(message))
+        self.sock.sendall(self.end.encode_request(message))
 
     def weights(self, timeout_s: float) -> list[codec.SendWeights]:
         """Give the weights pushed so far, else those that come within a time."""
@@ -66,7 +64,7 @@
         weights, self.pushed = self.pushed, []
         return weights
 
-    def keep_pushed(self, received: list[Received]) -> None:
+    def keep_pushed(self, received: list[ReceivedMessage]) -> None:
         """Keep the messages that answer no request."""
         for request, message in received:
             if request is None:
--- a/tests/node/test_frame_codec.py
+++ b/tests/node/test_frame_codec.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from rainpick import model
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.node.frame_codec import CollectorJoined, FrameReader, Heartbeat, MalformedReport, encode_frame
 from tests.node.platform_stubs import VOCABULARY
 
@@ -101,14 +101,14 @@
 def test_a_peer_that_is_no_collector_is_rejected(data):
     """Commands, HTTP, zones that do not exist, reports before ``telemetry``, impossible lengths."""
     *_, last = read_stream(data)
-    assert type(last) is Ended and b'"t":"reject"' in last.data
+    assert type(last) is StreamEnded and b'"t":"reject"' in last.data
 
 
 def test_a_peer_is_rejected_at_the_first_byte_that_cannot_begin_an_object():
     """A length that could be right must not make the director wait for bytes that cannot be used."""
     reader = FrameReader(VOCABULARY)
     assert reader.receive(b"\x40\x00\x00\x00") == []
-    assert type(reader.receive(b"x")[0]) is Ended
+    assert type(reader.receive(b"x")[0]) is StreamEnded
     assert reader.receive(b"y" * 100_000) == [] and not reader.buffer, "nothing is kept of an ended stream"
 
 
@@ -202,4 +202,6 @@
     """Nothing is ever written to a collector; deep nesting and endless numbers must not trip the reader."""
     body = begin + b"}"
     messages = read_stream(TELEMETRY, len(body).to_bytes(4, "little") + body)
-    assert [type(message) for message in messages] == [CollectorJoined, Ended] and messages[1].data == b""
+    assert [type(message) for message in messages] == [CollectorJoined, StreamEnded] and messages[
+        1
+    ].data == b""
