--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -8,14 +8,14 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable, Hashable, Iterator
-from typing import NamedTuple
+from collections.abc import Callable, Iterator
+from typing import NamedTuple, cast
 
 from rainpick import model
 from rainpick.decisions.director import Director
 from rainpick.director.channel import Channel
 from rainpick.director.stepper import Stepper
-from rainpick.director.tables import Scale, Snapshot, Tables, Way
+from rainpick.director.tables import Key, Scale, Snapshot, Tables, Way
 from rainpick.settings import Settings, plain_map
 
 LAZY_US = 5_000  # what only says that messages have left may wait so long for a step
@@ -59,14 +59,14 @@
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
         )
-        self.listed: dict[Hashable, model.Endpoint] = {}
+        self.listed: dict[Key, model.Endpoint] = {}
         self.tables = Tables(Scale(settings.fleet.weight_most), self.listed_weight)
         self.applied: list[model.Acknowledged] = []
         self.applied_us = now  # since when the first of them waits
         self.unread: dict[int, Unread] = {}
         self.counts, self.notes, self.now = Counts(), deque(maxlen=100), now
 
-    def listed_weight(self, server: Hashable) -> float:
+    def listed_weight(self, server: Key) -> float:
         entry = self.listed.get(server)
         return entry.weight if entry else 1.0
 
@@ -74,7 +74,7 @@
 
     def list_changed(self, update: model.EndpointUpdate) -> None:
         for entry in update.endpoints:
-            self.listed[entry.address] = entry
+            self.listed[cast(Key, entry.address)] = entry
         self.stepper.events.append(update)
 
     def joined(
--- /dev/null
+++ b/rainpick/director/inbox.py
@@ -0,0 +1,70 @@
+"""The bounded queue of messages between the other threads and the event loop of a director."""
+
+from __future__ import annotations
+
+import queue
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from rainpick.director.messages import AnswerT, Query
+
+ANSWER_TIMEOUT_S = 2.0
+
+
+@dataclass(slots=True)
+class WaitingTimes:
+    """How long messages waited until the event loop received them."""
+
+    count: int = 0
+    sum_us: int = 0
+    max_us: int = 0
+
+    def add(self, waited_us: int) -> None:
+        """Count one message."""
+        self.count += 1
+        self.sum_us += waited_us
+        self.max_us = max(self.max_us, waited_us)
+
+
+class Inbox:
+    """Messages in the order of their arrival, each with the time at which it was posted.
+
+    ``post`` and ``query`` are for any thread, ``receive`` is for the event loop alone.
+    """
+
+    def __init__(self, capacity: int, clock: Callable[[], int]):
+        self.clock = clock
+        self.messages: queue.Queue[tuple[int, Any]] = queue.Queue(capacity)
+        self.waiting_times = WaitingTimes()
+
+    def __len__(self) -> int:
+        return self.messages.qsize()
+
+    def post(self, message: object, wait: bool = True) -> bool:
+        """Enqueue a message; False if the queue is full and the caller does not wait."""
+        try:
+            self.messages.put((self.clock(), message), block=wait)
+        except queue.Full:
+            return False
+        return True
+
+    def query(self, query: Query[AnswerT], timeout_s: float = ANSWER_TIMEOUT_S) -> AnswerT | None:
+        """Post a query and wait for its answer; None if the event loop is too busy for one."""
+        if not self.post(query, wait=False):
+            return None
+        try:
+            return query.replies.get(timeout=timeout_s)
+        except queue.Empty:
+            return None
+
+    def receive(self, timeout_s: float = 0.0) -> Any | None:
+        """The next message, or None if there is none within the timeout."""
+        try:
+            posted_us, message = (
+                self.messages.get(timeout=timeout_s) if timeout_s else self.messages.get_nowait()
+            )
+        except queue.Empty:
+            return None
+        self.waiting_times.add(self.clock() - posted_us)
+        return message
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -18,6 +18,11 @@
 LABEL_KEYS = ("weight", "zone", "machine", "pod", "boot", "age")
 
 
+def format_address(server: Key) -> str:
+    """``HOST:PORT``."""
+    return f"{server[0]}:{server[1]}"
+
+
 class Described(NamedTuple):
     """What is known of a server beside its state."""
 
--- /dev/null
+++ b/rainpick/director/mqtt_frontend.py
@@ -0,0 +1,369 @@
+"""The MQTT frontend within the event loop's thread: connections of proxies and of observers.
+
+A proxy is a client that subscribed to its own orders with QoS 1 and published its presence. What the engine
+writes to it becomes one message: a change or the whole of its table, with its commands when they are new. An
+acknowledgement by MQTT is what ``Acknowledged`` stands for here.
+"""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from typing import Any
+
+import structlog
+
+from rainpick.director.context import Context
+from rainpick.director.delivery import Delivery
+from rainpick.director.engine import Write
+from rainpick.director.mqtt_connection import MqttConnection
+from rainpick.director.mqtt_reports import points_of
+from rainpick.director.observers import is_observer, keep_feeds, queue_newest_tables
+from rainpick.director.report_intake import ReportIntake
+from rainpick.director.sessions import ProxySession, Sessions
+from rainpick.mqtt import codec
+from rainpick.mqtt.codec import MqttError, Packet
+from rainpick.mqtt.session import Acked, Joined, Over, Said, Unwants, Wants
+from rainpick.net import Ended
+from rainpick.net.streams import Stream
+from rainpick.publish import payloads
+from rainpick.publish.follow import Writer
+from rainpick.publish.payloads import Change, Level, Met, Orders, PayloadError, Presence, Trouble, Whole
+from rainpick.sasp.codec import NO_CHANGE, PUSH, TRUST
+
+CLIENT_IDENTIFIER = re.compile(r"[^/+#\x00]{1,64}")
+PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # what a proxy over MQTT would set over SASP
+PACKET_OVERHEAD = 16  # most bytes of a PUBLISH beside topic and payload
+PROXY_PAYLOADS: dict[str, type[Presence | Met | Trouble]] = {  # by the last level of the topic
+    "presence": Presence,
+    "report": Met,
+    "trouble": Trouble,
+}
+
+
+@dataclass(slots=True)
+class MqttCounts:
+    """What the frontend did since its start."""
+
+    whole_tables: int = 0  # sent to proxies
+    table_changes: int = 0  # sent to proxies
+    bytes: int = 0
+    resynchronisations: int = 0  # of proxies that could not follow
+    rejected: int = 0  # broken packets and payloads
+    rate_limited: int = 0  # connections
+
+
+class MqttFrontend:
+    """All MQTT connections of a director."""
+
+    def __init__(self, context: Context, sessions: Sessions, delivery: Delivery, intake: ReportIntake):
+        self.context = context
+        self.settings = context.settings
+        self.sessions = sessions
+        self.delivery = delivery
+        self.intake = intake
+        self.writer = Writer(context.epoch)
+        self.connections: dict[int, MqttConnection] = {}  # by stream number
+        self.counts = MqttCounts()
+        self.log = structlog.get_logger(front="mqtt")
+        sessions.closing_listeners.append(self.forget)
+        sessions.replacing_listeners.append(self.announce_takeover)
+        delivery.has_send_quota = self.has_send_quota
+
+    # Connections
+
+    def open(self, stream: Stream) -> None:
+        """A peer has dialled; its CONNECT is still to come."""
+        now = self.context.clock()
+        self.connections[stream.number] = MqttConnection(stream, now, self.settings.mqtt.says_per_s)
+
+    def forget(self, stream: Stream) -> None:
+        """A stream ends."""
+        self.connections.pop(stream.number, None)
+
+    def receive(self, stream: Stream, event: Packet | MqttError | Ended) -> None:
+        """Handle what the reader of a stream delivers."""
+        connection = self.connections[stream.number]
+        connection.received_us = self.context.clock()
+        if isinstance(event, Ended):
+            self.sessions.close(stream, event.why)
+            return
+        if isinstance(event, MqttError):
+            self.counts.rejected += 1
+        over = self.handle(connection, connection.end.receive(event))
+        if over is not None:
+            stream.write(bytes(connection.end.out) + over.data)
+            self.sessions.close(stream, over.why)
+        else:
+            self.send(connection)
+
+    def handle(
+        self, connection: MqttConnection, step: Joined | Wants | Unwants | Said | Acked | Over | None
+    ) -> Over | None:
+        """Act on what a packet means; ``Over`` if it ends the connection."""
+        if isinstance(step, Joined):
+            return self.connect(connection, step.connect)
+        if isinstance(step, Wants):
+            self.subscribed(connection)
+        elif isinstance(step, Unwants):
+            wanted = connection.end.wanted
+            keep_feeds(
+                connection, [n for n in connection.feeds if wanted(payloads.table_topic(n)) is not None]
+            )
+        elif isinstance(step, Said):
+            return self.published(connection, step.publish)
+        elif isinstance(step, Acked):
+            self.acknowledged(connection, step)
+        return step if isinstance(step, Over) else None
+
+    def connect(self, connection: MqttConnection, connect: codec.Connect) -> Over | None:
+        """Accept a client; of two with the same identifier the newer counts."""
+        if not CLIENT_IDENTIFIER.fullmatch(connect.client):
+            why = "a client identifier of 1 to 64 characters but / + #"
+            return connection.end.end(codec.BAD_CLIENT_ID, why)
+        for other in list(self.connections.values()):
+            if other is not connection and other.client == connect.client:
+                self.announce_takeover(other.stream)
+                self.sessions.close(other.stream, "another client has the same identifier")
+        connection.client = connect.client
+        connection.end.accept(
+            {
+                "receive_maximum": self.settings.mqtt.receive_most,
+                "maximum_qos": 1,
+                "retain_available": 1,
+                "maximum_packet": self.settings.mqtt.packet_most,
+                "topic_alias_maximum": 0,
+                "wildcards": 1,
+                "subscription_ids": 0,
+                "shared": 0,
+                "session_expiry": 0,
+            }
+        )
+        return None
+
+    def announce_takeover(self, stream: Stream) -> None:
+        """Tell a client that a newer connection replaces its own; does nothing for a SASP stream."""
+        if stream.number in self.connections:
+            stream.write(codec.write(codec.Disconnect(codec.TAKEN_OVER)))
+
+    def subscribed(self, connection: MqttConnection) -> None:
+        """Close a connection that is one observer too many."""
+        observers = sum(map(self.observes, self.connections.values()))
+        if self.observes(connection) and observers > self.settings.mqtt.observers_most:
+            self.sessions.close(connection.stream, "too many observers")
+
+    def observes(self, connection: MqttConnection) -> bool:
+        """Whether a connection is an observer's."""
+        return is_observer(connection, connection.stream.number in self.sessions.by_stream)
+
+    # What clients publish
+
+    def published(self, connection: MqttConnection, publish: codec.Publish) -> Over | None:
+        """Handle a PUBLISH and acknowledge it; ``Over`` for a client beyond its rate."""
+        if not connection.rate_limit.allows(self.context.clock()):
+            self.counts.rate_limited += 1
+            per_s = connection.rate_limit.per_s
+            return connection.end.end(codec.QUOTA, f"over {per_s:g} messages a second")
+        kind = publish.topic.removeprefix(payloads.up_topic(connection.client, ""))
+        if kind == publish.topic or kind not in PROXY_PAYLOADS:
+            connection.end.acknowledge(publish, codec.NOT_AUTHORIZED)
+            return None
+        try:
+            payload = payloads.read_up(publish.payload)
+            if not isinstance(payload, PROXY_PAYLOADS[kind]):
+                raise PayloadError(f"{type(payload).__name__} on {kind}")
+            code = self.handle_payload(connection, payload)
+        except PayloadError as error:
+            self.counts.rejected += 1
+            self.log.warning("payload rejected", proxy=connection.client, topic=publish.topic, why=str(error))
+            code = codec.BAD_PAYLOAD
+        connection.end.acknowledge(publish, code)
+        return None
+
+    def handle_payload(self, connection: MqttConnection, payload: Presence | Met | Trouble) -> int:
+        """Handle what a proxy publishes; the reason code of the acknowledgement."""
+        session = self.sessions.by_stream.get(connection.stream.number)
+        if isinstance(payload, Presence):
+            return self.handle_presence(connection, session, payload)
+        if session is None:
+            return codec.NOT_AUTHORIZED
+        if isinstance(payload, Trouble):
+            self.resynchronise(session, payload)
+        else:
+            self.intake.receive_mqtt(session, points_of(session.uid, payload))
+        return codec.SUCCESS
+
+    def resynchronise(self, session: ProxySession, trouble: Trouble) -> None:
+        """A proxy can't follow its table: it is sent the whole."""
+        self.counts.resynchronisations += 1
+        self.log.warning("proxy can't follow", proxy=session.uid, why=trouble.why, table=trouble.table)
+        if self.context.engine is not None and session.joined:
+            self.context.engine.distrust(session.number)
+
+    def handle_presence(
+        self, connection: MqttConnection, session: ProxySession | None, presence: Presence
+    ) -> int:
+        """A client says that it is a proxy, or one no longer; the reason code."""
+        if presence.state == "gone":
+            if session is not None:
+                self.sessions.end_session(session)
+            return codec.SUCCESS
+        if connection.end.filters.get(payloads.orders_topic(connection.client)) != 1:
+            return codec.NOT_AUTHORIZED  # it would not receive its orders, or not acknowledge them
+        if session is not None:
+            return codec.SUCCESS
+        if connection.client == self.settings.fleet.uid:
+            return codec.NOT_AUTHORIZED
+        initial_servers = frozenset(payloads.key(server) for server in presence.holds)
+        session = self.sessions.open_session(
+            connection.stream, connection.client, PROXY_FLAGS, over_mqtt=True
+        )
+        session.registered, session.initial_servers = True, initial_servers
+        engine = self.context.engine
+        if engine is not None:
+            if presence.epoch == self.context.epoch and presence.table is not None:
+                snapshot = engine.tables.version(presence.table, presence.version)
+                matches = snapshot is not None and snapshot.digest == presence.digest
+                session.resumed_snapshot = snapshot if matches else None
+            self.sessions.join(session)
+        return codec.SUCCESS
+
+    def acknowledged(self, connection: MqttConnection, acknowledgement: Acked) -> None:
+        """A client has acknowledged a packet."""
+        message = connection.unacknowledged.pop(acknowledgement.number, None)
+        session = self.sessions.by_stream.get(connection.stream.number)
+        connection.unacknowledged_since_us = self.context.clock() if connection.unacknowledged else None
+        engine = self.context.engine
+        if message is not None and session is not None and engine is not None:
+            engine.delivered(session.number, message)
+            stalled = connection.stream.number in self.delivery.stalled
+            if session.blocked_since_us is not None and not stalled:
+                self.delivery.set_blocked(session, False)
+        for feed in connection.feeds.values():
+            if feed.packet == acknowledgement.number:
+                feed.packet = 0
+
+    # What they are sent
+
+    def push(self, session: ProxySession, write: Write) -> None:
+        """Send a proxy one message with what the engine has for it."""
+        connection = self.connections[session.stream.number]
+        topic, data = self.push_payload(session, write)
+        if len(data) + len(topic) + PACKET_OVERHEAD > connection.end.send_most:
+            self.sessions.disconnect(session, "its largest packet is smaller than what it is to be sent")
+            return
+        packet = connection.end.publish(topic, data, 1)
+        connection.unacknowledged[packet] = write.number
+        if connection.unacknowledged_since_us is None:
+            connection.unacknowledged_since_us = self.context.clock()
+        if not connection.end.room:
+            self.delivery.set_blocked(session, True)
+        self.send(connection)
+
+    def push_payload(self, session: ProxySession, write: Write) -> tuple[str, bytes]:
+        """Topic and payload: the part of its table alone, or its commands with that part if there is one."""
+        proxy = self.context.started_engine.tables.proxies[session.number]
+        table = proxy.table
+        part: Whole | Change | None = None
+        if table is not None and (write.way.shut or write.way.rest or write.orders):
+            part, data = self.writer.part(table, write.before, write.after)
+            if isinstance(part, Whole):
+                self.counts.whole_tables += 1
+            else:
+                self.counts.table_changes += 1
+            if write.orders is None:
+                return payloads.table_topic(table), data
+        commands = write.orders or proxy.told
+        if commands is None:
+            raise RuntimeError(f"{session.uid} has no commands, though it speaks MQTT")
+        changed, removed = self.writer.loose(write.way) if table is None else ((), ())
+        routes = self.settings.routes
+        levels = tuple(
+            [Level(routes[route].name, rate, payloads.RETRIES[retry]) for route, rate, retry in commands[1]]
+        )
+        data = payloads.encode(Orders(self.context.epoch, table, levels, part, changed, removed))
+        return payloads.orders_topic(session.uid), data
+
+    def send(self, connection: MqttConnection) -> None:
+        """Hand the socket what the protocol end has collected."""
+        out = connection.end.out
+        if not out:
+            return
+        stream = connection.stream
+        session = self.sessions.by_stream.get(stream.number)
+        self.counts.bytes += len(out)
+        data = bytes(out)
+        out.clear()
+        within_backlog = stream.write(data)
+        if session is not None:
+            if not within_backlog:
+                self.sessions.disconnect(session, "more waits for it than is held")
+            elif stream.rest and self.context.engine is not None and session.joined:
+                self.delivery.mark_stalled(session)
+        elif not within_backlog:
+            self.sessions.close(stream, "it does not read")
+
+    def has_send_quota(self, stream: Stream) -> bool:
+        """Whether the client of a stream allows one more unacknowledged message; always so over SASP."""
+        connection = self.connections.get(stream.number)
+        return connection is None or connection.end.room
+
+    def update_observers(self) -> None:
+        """Send observers the newest versions of the tables that they follow."""
+        engine = self.context.engine
+        if engine is None:
+            return
+        for connection in list(self.connections.values()):
+            if not connection.end.accepted or connection.stream.number in self.sessions.by_stream:
+                continue
+            if connection.stream.rest or not is_observer(connection, is_proxy=False):
+                continue
+            queue_newest_tables(connection, engine, self.writer)
+            self.send(connection)
+
+    # Slow clients
+
+    def check_connections(self, now: int) -> None:
+        """Close who is silent past its keep-alive, acknowledges nothing, or whose socket takes nothing."""
+        for connection in list(self.connections.values()):
+            if self.keep_alive_passed(connection, now):
+                connection.stream.write(codec.write(codec.Disconnect(codec.KEEP_ALIVE)))
+                self.sessions.close(connection.stream, "silent past its keep-alive")
+                continue
+            session = self.sessions.by_stream.get(connection.stream.number)
+            since_us = connection.unacknowledged_since_us
+            overdue = since_us is not None and now - since_us > self.settings.mqtt.ack_within
+            if session is not None and overdue:
+                self.sessions.disconnect(session, "it acknowledges nothing")
+            elif session is None and connection.stream.rest:
+                self.retry_observer(connection, now)
+
+    @staticmethod
+    def keep_alive_passed(connection: MqttConnection, now: int) -> bool:
+        """Whether a client has been silent for one and a half times its keep-alive (MQTT 5, 3.1.2.10)."""
+        connect = connection.end.connect
+        keep_alive_us = connect.keep_alive * 1_500_000 if connect is not None else 0
+        return bool(keep_alive_us) and now - connection.received_us > keep_alive_us
+
+    def retry_observer(self, connection: MqttConnection, now: int) -> None:
+        """Write to an observer whose socket took too little; close it after ``sasp.write_stall``."""
+        stream = connection.stream
+        stream.pump()
+        connection.stalled_since_us = (connection.stalled_since_us or now) if stream.rest else None
+        since_us = connection.stalled_since_us
+        if since_us is not None and now - since_us > self.settings.sasp.write_stall:
+            self.sessions.close(stream, "it does not read")
+
+    def status(self) -> dict[str, Any]:
+        """What ``/status`` shows under ``subscribers``."""
+        counts = self.counts
+        return {
+            "connections": len(self.connections),
+            "observers": sum(map(self.observes, self.connections.values())),
+            "wholes": counts.whole_tables,
+            "changes": counts.table_changes,
+            "bytes": counts.bytes,
+            "healed": counts.resynchronisations,
+            "refused": counts.rejected,
+            "floods": counts.rate_limited,
+        }
--- /dev/null
+++ b/rainpick/director/sasp_frontend.py
@@ -0,0 +1,231 @@
+"""The SASP frontend within the event loop's thread: carries out requests and pushes weights.
+
+``rainpick.sasp.session`` has checked that a request is allowed on its stream; what it does to the fleet is
+decided here. Member requests change the endpoint list, load-balancer requests the proxy sessions.
+"""
+
+from __future__ import annotations
+
+from itertools import pairwise
+
+from rainpick.director.context import Context
+from rainpick.director.delivery import Delivery
+from rainpick.director.engine import Write
+from rainpick.director.membership import Membership, RefusedMemberError
+from rainpick.director.sessions import REQUEST_TIMES, ProxySession, Sessions
+from rainpick.director.weight_entries import WeightEntryEncoder
+from rainpick.net import Ended
+from rainpick.net.streams import Stream
+from rainpick.sasp import codec
+from rainpick.sasp.codec import Deregistration, GetWeights, Group, Registration, SetLbState, SetMemberState
+from rainpick.sasp.session import Asked, Refused, reply
+
+MemberRequest = Registration | Deregistration | SetMemberState
+REQUEST_TYPES: dict[type, int] = {
+    Registration: codec.REGISTRATION,
+    Deregistration: codec.DEREGISTRATION,
+    SetMemberState: codec.SET_MEMBER_STATE,
+}
+MAX_MESSAGE = 0x7FFFFFFF  # message ids of pushes stay positive
+MIN_REQUEST_TIMES = REQUEST_TIMES - 1  # a proxy with fewer has not shown that it polls
+
+
+class SaspFrontend:
+    """Members and proxies that speak SASP."""
+
+    def __init__(self, context: Context, sessions: Sessions, delivery: Delivery, membership: Membership):
+        self.context = context
+        self.settings = context.settings
+        self.log = context.log
+        self.sessions = sessions
+        self.delivery = delivery
+        self.membership = membership
+        self.encoder = WeightEntryEncoder()
+
+    # Requests
+
+    def receive(self, stream: Stream, event: Asked | Refused | Ended) -> None:
+        """Handle what the reader of a stream delivers."""
+        if isinstance(event, Asked):
+            self.sessions.identified(stream)
+            self.carry_out(stream, event)
+        elif isinstance(event, Refused):
+            self.sessions.counts.rejected += 1
+            self.log.warning("request rejected", peer=stream.peer, why=event.why, code=event.code)
+            stream.write(event.data)
+        else:
+            if event.data:
+                stream.write(event.data)
+            self.sessions.close(stream, event.why)
+
+    def carry_out(self, stream: Stream, request: Asked) -> None:
+        """Carry out a request and answer it."""
+        session = self.sessions.by_stream.get(stream.number)
+        if session is not None:
+            self.confirm_reading(session)
+        message = request.message
+        if isinstance(message, SetLbState):
+            code = self.set_lb_state(stream, message)
+            stream.write(reply(codec.SET_LB_STATE, request.number, code))
+        elif isinstance(message, GetWeights):
+            self.get_weights(self.sessions.by_stream[stream.number], request.number, message)
+        elif isinstance(message, Registration) and message.from_lb:
+            self.register_group(self.sessions.by_stream[stream.number], request.number, message)
+        elif isinstance(message, Deregistration) and message.from_lb:
+            self.deregister_group(self.sessions.by_stream[stream.number], request.number, message)
+        elif isinstance(message, MemberRequest):
+            self.carry_out_member_request(stream, request.number, message)
+        if session is not None:
+            session.replied_since_push = True
+
+    def carry_out_member_request(self, stream: Stream, number: int, message: MemberRequest) -> None:
+        """Change the endpoint list as a member asks, and answer with success or the code of the rejection."""
+        try:
+            self.change_membership(stream.number, message)
+            code = codec.SUCCESS
+        except RefusedMemberError as error:
+            self.sessions.counts.rejected += 1
+            self.log.warning("request rejected", peer=stream.peer, why=str(error), code=error.code)
+            code = error.code
+        stream.write(reply(REQUEST_TYPES[type(message)], number, code))
+
+    def change_membership(self, stream: int, message: MemberRequest) -> None:
+        """Apply each group of a request; ``RefusedMemberError`` at the first one that can't be."""
+        if isinstance(message, Registration):
+            now = self.context.clock()
+            for members in message.groups:
+                self.membership.register(stream, members.group, members.members, now)
+        elif isinstance(message, Deregistration):
+            now = self.context.clock()
+            for members in message.groups:
+                self.membership.deregister(stream, members.group, members.members, now)
+        else:
+            for states in message.groups:
+                self.membership.set_state(stream, states.group, states.states)
+
+    # Proxies
+
+    def set_lb_state(self, stream: Stream, message: SetLbState) -> int:
+        """Open a proxy's session or change its flags; the return code."""
+        if not message.flags & codec.TRUST:
+            self.log.warning(
+                "request rejected",
+                peer=stream.peer,
+                proxy=message.uid,
+                why="without the trust flag no server that registered itself may be named to it",
+            )
+            return codec.NOT_ACCEPTED
+        if message.uid == self.settings.fleet.uid:
+            return codec.NOT_ACCEPTED
+        session = self.sessions.by_stream.get(stream.number)
+        if session is None:
+            session = self.sessions.open_session(stream, message.uid, message.flags, over_mqtt=False)
+        session.flags = message.flags
+        if self.context.engine is not None and session.joined:
+            blocked = not session.accepts_push or session.blocked_since_us is not None
+            self.context.engine.blocked(session.number, blocked)
+        return codec.SUCCESS
+
+    def register_group(self, session: ProxySession, number: int, message: Registration) -> None:
+        """A proxy registers its group and names the servers that it holds already."""
+        code = self.registration_code(session, message)
+        session.stream.write(reply(codec.REGISTRATION, number, code))
+        if code == codec.SUCCESS and self.context.engine is not None:
+            self.sessions.join(session)
+
+    def registration_code(self, session: ProxySession, message: Registration) -> int:
+        """Note the group and the servers of a registration; the return code."""
+        if any(members.group.name != self.settings.fleet.group for members in message.groups):
+            return codec.INVALID_GROUP
+        servers = [member.key() for members in message.groups for member in members.members]
+        if session.registered and session.initial_servers.issuperset(servers):
+            return codec.ALREADY_REGISTERED
+        session.registered = True
+        session.initial_servers |= frozenset(servers)
+        return codec.SUCCESS
+
+    def deregister_group(self, session: ProxySession, number: int, message: Deregistration) -> None:
+        """A proxy deregisters its group, or some servers of it: those it goes on being sent."""
+        code = self.deregistration_code(session, message)
+        session.stream.write(reply(codec.DEREGISTRATION, number, code))
+
+    def deregistration_code(self, session: ProxySession, message: Deregistration) -> int:
+        """Remove the group of a proxy if the request names no servers; the return code."""
+        if any(members.group.name != self.settings.fleet.group for members in message.groups):
+            return codec.UNKNOWN_GROUP
+        if not session.registered:
+            return codec.UNKNOWN_GROUP
+        if not any(members.members for members in message.groups):
+            session.registered = session.joined = False
+            session.initial_servers = frozenset()
+            if self.context.engine is not None:
+                self.context.engine.left(session.number)
+        return codec.SUCCESS
+
+    def get_weights(self, session: ProxySession, number: int, message: GetWeights) -> None:
+        """Answer a poll: what has changed if the proxy only polls and wants only that, else everything."""
+        interval = self.settings.sasp.poll_interval_s
+        engine = self.context.engine
+        group = Group(session.uid, self.settings.fleet.group)
+        if any(requested != group for requested in message.groups) or not session.registered:
+            answer = codec.GetWeightsReply(codec.UNKNOWN_GROUP, interval)
+            session.stream.write(codec.write(answer, number))
+            return
+        if engine is None:
+            session.stream.write(codec.write(codec.GetWeightsReply(codec.SUCCESS, interval), number))
+            return
+        if not session.accepts_push and session.last_message:
+            # It polls again, so it has read the last answer.
+            engine.delivered(session.number, session.last_message)
+        pulled, delta = engine.pull(session.number)
+        only_changes = not session.accepts_push and session.flags & codec.NO_CHANGE and session.last_message
+        lines = delta.lines if only_changes else engine.tables.all_lines(session.number)
+        fixed = codec.BYTE.pack(codec.SUCCESS) + codec.SHORT.pack(interval) + codec.SHORT.pack(1)
+        rows = codec.group_of_weights(session.encoded_group, len(lines), self.encoder.encode(lines))
+        data = codec.frame(number, codec.GET_WEIGHTS_REPLY, fixed, rows)
+        if session.accepts_push:
+            self.delivery.send(session, data, pulled)
+        else:
+            session.last_message = pulled
+            session.stream.write(data)
+
+    def push(self, session: ProxySession, write: Write, now: int) -> None:
+        """Send a proxy what the engine has for it, without waiting."""
+        withdrawn, others = write.way
+        if not session.flags & codec.NO_CHANGE:  # it wants all lines each time
+            snapshot = self.context.started_engine.tables.proxies[write.proxy].holds
+            withdrawn = tuple([line for line in withdrawn if line.server not in snapshot.lines])
+            others = snapshot.whole()
+        if session.unconfirmed_since_us is None:
+            session.unconfirmed_since_us, session.replied_since_push = now, False
+        session.last_message = (session.last_message + 1) & MAX_MESSAGE
+        rows = self.encoder.encode(withdrawn) + self.encoder.encode(others)
+        frame = codec.send_weights_frame(
+            session.last_message, session.encoded_group, len(withdrawn) + len(others), rows
+        )
+        self.delivery.send(session, frame, write.number)
+
+    # Proxies that do not read
+
+    def confirm_reading(self, session: ProxySession) -> None:
+        """A proxy that polls has read the previous reply, and all that was written before that."""
+        session.request_times_us.append(self.context.clock())
+        if session.replied_since_push:
+            session.unconfirmed_since_us = None
+
+    def disconnect_silent(self, now: int) -> None:
+        """Disconnect proxies that used to poll, and have not done so since they were last pushed to.
+
+        A proxy that never polls can't show that it reads; ``sasp.write_stall`` covers those.
+        """
+        proof_us = self.settings.sasp.read_proof
+        if not proof_us:
+            return
+        for session in list(self.sessions.by_stream.values()):
+            if session.unconfirmed_since_us is None or len(session.request_times_us) < MIN_REQUEST_TIMES:
+                continue
+            times_us = list(session.request_times_us)
+            interval_us = max(after - before for before, after in pairwise(times_us))
+            silent_us = now - times_us[-1]
+            if now - session.unconfirmed_since_us > proof_us and silent_us > max(proof_us, 3 * interval_us):
+                self.sessions.disconnect(session, "it does not read")
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -172,12 +172,16 @@
     assert post(daemon, body())[0] == 200
 
 
+class Hold:
+    """A message that keeps the event loop from the next ones."""
+
+
 def test_a_busy_director_says_429_and_when_to_come_again():
     with running(director=", inbox: 100") as daemon:
         held = threading.Event()
-        daemon.core.on_hold = lambda: held.wait(10)
-        daemon.core.put("hold")
-        while daemon.core.put("hold", wait=False):
+        daemon.core.handlers[Hold] = lambda message: held.wait(10)
+        daemon.core.inbox.post(Hold())
+        while daemon.core.inbox.post(Hold(), wait=False):
             pass
         try:
             code, headers, _ = post(daemon, body())
