--- a/rainpick/director/channel.py
+++ b/rainpick/director/channel.py
@@ -1,118 +1,149 @@
-"""The channel from a director to its proxies: paced by the line, counted by the message. Free of I/O.
+"""The channel from a director to its proxies: paced by the line, limited by the message. Free of I/O.
 
 What a step orders for a proxy is one message of some lines and a head. What waits for the same proxy is one
-message: only the newest state of a line is ever written, so a message that holds a withdrawal may overtake
-others and nothing old can come after something new. Urgent messages (withdrawals) leave before the rest.
+message: only the newest state of a line is ever written, so a message with a withdrawal may overtake others,
+and nothing old can come after something new. Urgent messages (withdrawals) leave before the others.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-GRAIN_US = 1_000  # the pace is kept to within this: a turn of the clock for each line would cost more than it
+# The pace is kept to within this time: a turn of the event loop for each line would cost more than the line.
+PACE_TOLERANCE_US = 1_000
 
 
-class Waiting:
+class PendingMessage:
     """The message that waits for one proxy."""
 
-    __slots__ = ("proxy", "lines", "urgent", "marks", "since_us")
+    __slots__ = ("proxy", "lines", "urgent", "nonces", "since_us")
 
     def __init__(self, proxy: int, since_us: int):
-        self.proxy, self.lines, self.urgent, self.since_us = proxy, 0, False, since_us
-        self.marks: list[int] = []
+        self.proxy = proxy
+        self.lines = 0
+        self.urgent = False
+        self.since_us = since_us
+        self.nonces: list[int] = []  # acknowledgements that are due once it is delivered
 
 
 class Channel:
-    """Which message leaves when."""
+    """Decides which message leaves when."""
 
-    def __init__(self, lines_per_s: float, head: int, messages_most: int, messages_over_us: int):
+    def __init__(self, lines_per_s: float, head_lines: int, max_messages: int, window_us: int):
+        """A message costs its lines and ``head_lines``; at most ``max_messages`` go to a proxy in a window.
+
+        No limit on messages if ``max_messages`` is 0.
+        """
         self.us_per_line = 1e6 / lines_per_s
-        self.head, self.most, self.over_us = head, messages_most, messages_over_us
-        self.waiting: dict[int, Waiting] = {}
+        self.head_lines = head_lines
+        self.max_messages = max_messages
+        self.window_us = window_us
+        self.waiting: dict[int, PendingMessage] = {}  # by proxy
+        # Proxies in the order of their turns. A proxy whose message has become urgent is in both.
         self.urgent: deque[int] = deque()
-        self.usual: deque[int] = deque()
-        self.blocked: set[int] = set()  # their socket takes nothing now
-        self.written: dict[int, deque[int]] = {}  # by proxy, when messages left: what the cap counts
-        self.free_us = 0.0
-        self.lines = 0  # that wait, heads counted
+        self.ordinary: deque[int] = deque()
+        self.blocked: set[int] = set()  # proxies whose sockets take nothing now
+        self.sent_us: dict[int, deque[int]] = {}  # by joined proxy: when messages left within the window
+        self.busy_until_us = 0.0
+        self.lines = 0  # that wait, heads included
         self.lines_most = 0
-        self.held_back = 0  # messages that the cap delayed
+        self.held_back = 0  # how often the limit on messages delayed one
+
+    # Proxies
 
-    def joined(self, proxy: int) -> None:
-        """A new stream; the count of messages begins afresh (it is counted from the joining)."""
-        self.left(proxy)
-        self.written[proxy] = deque()
+    def join(self, proxy: int) -> None:
+        """A proxy has a new stream; its messages are counted from here on."""
+        self.leave(proxy)
+        self.sent_us[proxy] = deque()
 
-    def left(self, proxy: int) -> None:
-        gone = self.waiting.pop(proxy, None)
-        if gone is not None:
-            self.lines -= gone.lines + self.head
+    def leave(self, proxy: int) -> None:
+        """Forget a proxy and what waits for it."""
+        message = self.waiting.pop(proxy, None)
+        if message is not None:
+            self.lines -= message.lines + self.head_lines
         self.blocked.discard(proxy)
-        self.written.pop(proxy, None)
+        self.sent_us.pop(proxy, None)
+
+    def set_blocked(self, proxy: int, blocked: bool) -> None:
+        """Hold back a proxy's messages, or no longer; nobody else's wait for them."""
+        if blocked:
+            self.blocked.add(proxy)
+        else:
+            self.blocked.discard(proxy)
+
+    # Messages
 
-    def order(self, proxy: int, lines: int, urgent: bool, mark: int | None, now: int) -> None:
-        """Have something written to a proxy."""
+    def enqueue(self, proxy: int, lines: int, urgent: bool, nonce: int | None, now: int) -> None:
+        """Have so many lines written to a proxy, with the message that waits for it if there is one."""
         message = self.waiting.get(proxy)
         if message is None:
-            message = self.waiting[proxy] = Waiting(proxy, now)
-            self.lines += self.head
-            (self.urgent if urgent else self.usual).append(proxy)
+            message = self.waiting[proxy] = PendingMessage(proxy, now)
             message.urgent = urgent
+            self.lines += self.head_lines
+            (self.urgent if urgent else self.ordinary).append(proxy)
         elif urgent and not message.urgent:
             message.urgent = True
             self.urgent.append(proxy)
         message.lines += lines
         self.lines += lines
-        if mark is not None:
-            message.marks.append(mark)
+        if nonce is not None:
+            message.nonces.append(nonce)
         self.lines_most = max(self.lines_most, self.lines)
 
-    def pull(self, proxy: int) -> list[int]:
-        """A proxy asked by itself: nothing waits for it any more. The marks of what did."""
+    def remove(self, proxy: int) -> list[int]:
+        """A proxy has polled: nothing waits for it any more. The nonces of what did."""
         message = self.waiting.pop(proxy, None)
         if message is None:
             return []
-        self.lines -= message.lines + self.head
-        return message.marks
+        self.lines -= message.lines + self.head_lines
+        return message.nonces
 
     def allowed_us(self, proxy: int, now: int) -> int:
-        """From when on the cap lets a message go to this proxy."""
-        if not self.most:
+        """From when on the limit on messages allows one to this proxy."""
+        if not self.max_messages:
             return now
-        times = self.written[proxy]
-        while times and times[0] <= now - self.over_us:
-            times.popleft()
-        return now if len(times) < self.most else times[0] + self.over_us
+        times_us = self.sent_us[proxy]
+        while times_us and times_us[0] <= now - self.window_us:
+            times_us.popleft()
+        return now if len(times_us) < self.max_messages else times_us[0] + self.window_us
 
-    def take(self, now: int) -> Waiting | None:
+    def dequeue(self, now: int) -> PendingMessage | None:
         """The message to write now; None if there is none or the pace does not allow one yet."""
-        if self.free_us > now + GRAIN_US:
+        if self.busy_until_us > now + PACE_TOLERANCE_US:
             return None
-        for queue, urgent in ((self.urgent, True), (self.usual, False)):
-            for _ in range(len(queue)):
-                proxy = queue.popleft()
-                message = self.waiting.get(proxy)
-                if message is None or message.urgent != urgent:
-                    continue  # it left with an urgent one, or its proxy is gone
-                if proxy in self.blocked or self.most and self.allowed_us(proxy, now) > now:
-                    self.held_back += proxy not in self.blocked
-                    queue.append(proxy)
-                    continue
-                del self.waiting[proxy]
-                self.lines -= message.lines + self.head
-                return message
+        message = self.dequeue_from(self.urgent, True, now)
+        return message if message is not None else self.dequeue_from(self.ordinary, False, now)
+
+    def dequeue_from(self, turns: deque[int], urgent: bool, now: int) -> PendingMessage | None:
+        """The first message of a queue that may leave; those that may not go to its end."""
+        for _ in range(len(turns)):
+            proxy = turns.popleft()
+            message = self.waiting.get(proxy)
+            if message is None or message.urgent != urgent:
+                continue  # it left with the urgent ones, or its proxy did
+            blocked = proxy in self.blocked
+            if blocked or self.max_messages and self.allowed_us(proxy, now) > now:
+                self.held_back += not blocked
+                turns.append(proxy)
+                continue
+            del self.waiting[proxy]
+            self.lines -= message.lines + self.head_lines
+            return message
         return None
 
-    def wrote(self, proxy: int, lines: int, now: int) -> None:
-        """So many lines went out in a message: the channel is busy for as long as they take."""
-        self.free_us = max(self.free_us, now) + (lines + self.head) * self.us_per_line
-        if self.most and proxy in self.written:
-            self.written[proxy].append(now)
+    def sent(self, proxy: int, lines: int, now: int) -> None:
+        """So many lines have left in one message: the channel is busy for as long as they take."""
+        cost_us = (lines + self.head_lines) * self.us_per_line
+        self.busy_until_us = max(self.busy_until_us, now) + cost_us
+        if self.max_messages and proxy in self.sent_us:
+            self.sent_us[proxy].append(now)
 
     def due_us(self, now: int) -> int | None:
-        """When to look again; None if nothing waits that could go."""
-        able = [proxy for proxy in self.waiting if proxy not in self.blocked]
-        if not able:
+        """When ``dequeue`` may have a message; None if nothing waits that could leave."""
+        proxies = [proxy for proxy in self.waiting if proxy not in self.blocked]
+        if not proxies:
             return None
-        ready = now if not self.most else min(self.allowed_us(proxy, now) for proxy in able)
-        return max(ready, int(self.free_us) + 1 - GRAIN_US)
+        ready_us = now
+        if self.max_messages:
+            ready_us = min(self.allowed_us(proxy, now) for proxy in proxies)
+        return max(ready_us, int(self.busy_until_us) + 1 - PACE_TOLERANCE_US)
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -15,6 +15,7 @@
 from rainpick.director.context import Context, monotonic_us
 from rainpick.director.delivery import Delivery
 from rainpick.director.engine import Engine, Write
+from rainpick.director.evidence import Evidence
 from rainpick.director.inbox import Inbox
 from rainpick.director.list_follower import ListFollower
 from rainpick.director.membership import Membership
@@ -31,7 +32,7 @@
 from rainpick.director.mqtt_frontend import MqttFrontend
 from rainpick.director.proxies import Proxies
 from rainpick.director.report_intake import ReportIntake
-from rainpick.director.reports import Evidence, Freshness
+from rainpick.director.reports import Freshness
 from rainpick.director.sasp_frontend import SaspFrontend
 from rainpick.director.sessions import Sessions
 from rainpick.director.status import StatusReader
@@ -89,8 +90,8 @@
         self.handlers: dict[type, Callable[[Any], None]] = {
             StreamOpened: self.open_stream,
             StreamReceived: self.receive_from_stream,
-            ListFileRead: lambda message: self.follower.list_file_read(message.servers),
-            CachedListRead: lambda message: self.follower.cached_list_read(message.servers),
+            ListFileRead: lambda message: self.follower.list_file_read(message.entries),
+            CachedListRead: lambda message: self.follower.cached_list_read(message.entries),
             StopRequested: self.stop,
             LoadReportReceived: self.intake.receive_otlp,
             StatusQuery: self.status.handle,
@@ -146,10 +147,10 @@
         self.follower.advance(now)
         engine = self.engine
         if engine is not None:
-            engine.met(self.evidence.tell(now))
+            engine.met(self.evidence.collect(now))
             for write in engine.advance(now):
                 self.push(write, now)
-        self.mqtt.update_observers()
+        self.mqtt.sender.update_observers()
         self.delivery.poll(now)
         if now >= self.next_check_us:
             self.next_check_us = now + CHECK_INTERVAL_US
@@ -159,7 +160,7 @@
         """Send a message of the engine by the frontend that its proxy dialled."""
         session = self.sessions.by_number[write.proxy]
         if session.over_mqtt:
-            self.mqtt.push(session, write)
+            self.mqtt.sender.push(session, write)
         else:
             self.sasp.push(session, write, now)
 
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -141,9 +141,9 @@
         path = self.settings.director.list_cache
         if not path:
             return
-        servers = read_cache(path, self.settings, self.core.clock(), wall_us())
-        if servers:
-            self.core.inbox.post(CachedListRead(servers))
+        entries = read_cache(path, self.settings, self.core.clock(), wall_us())
+        if entries:
+            self.core.inbox.post(CachedListRead(entries))
 
     def read_list_file(self, first: bool = False) -> None:
         """A bad file is rejected as a whole: what was read before stays. At the start it ends the start."""
@@ -152,8 +152,8 @@
             return
         try:
             self.list_file_mtime_ns = os.stat(path).st_mtime_ns if os.path.exists(path) else None
-            servers = read_list(path, self.settings, self.core.clock())
-            self.core.inbox.post(ListFileRead(servers))
+            entries = read_list(path, self.settings, self.core.clock())
+            self.core.inbox.post(ListFileRead(entries))
         except SettingsError as error:
             if first:
                 raise
--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -54,7 +54,7 @@
     def set_blocked(self, session: ProxySession, blocked: bool) -> None:
         """Let the engine hold back a proxy's messages, or no longer; who polls always is."""
         session.blocked_since_us = (session.blocked_since_us or self.context.clock()) if blocked else None
-        self.context.started_engine.blocked(session.number, blocked or not session.accepts_push)
+        self.context.started_engine.set_blocked(session.number, blocked or not session.accepts_push)
 
     def poll(self, now: int) -> None:
         """Retry stalled sockets, then look at what sockets have delivered."""
--- /dev/null
+++ b/rainpick/director/evidence.py
@@ -0,0 +1,216 @@
+"""What all proxies reported, summed, and handed to the decisions at a bounded pace. Free of I/O."""
+
+from __future__ import annotations
+
+from collections import OrderedDict, defaultdict, deque
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple
+
+from rainpick import model
+from rainpick.director.addresses import Key
+from rainpick.director.reports import Freshness, Point, Verdict
+
+RATE_SMOOTHING = 8  # a new rate counts for one part in so many
+Report = model.ServerLoadReport | model.RouteLoadReport
+
+
+class ServerKey(NamedTuple):
+    """What is summed under it: the attempts at a server by all proxies of a zone."""
+
+    zone: int
+    server: Key
+
+
+class RouteKey(NamedTuple):
+    """What is summed under it: the requests of a route at one proxy."""
+
+    proxy: int
+    route: str
+
+
+class Reporter(NamedTuple):
+    """A joined proxy, as far as its reports go."""
+
+    number: int
+    zone: int
+
+
+class Sum:
+    """The fresh points of one key that have not been handed on: counts over one or more periods."""
+
+    __slots__ = ("answered", "dropped", "took_us", "start_ns", "end_ns")
+
+    def __init__(self) -> None:
+        self.answered = 0
+        self.dropped = 0
+        self.took_us = 0
+        self.start_ns, self.end_ns = 1 << 62, 0
+
+    def add(self, point: Point) -> None:
+        """Add a point; the sum covers its period from here on."""
+        self.answered += point.answered
+        self.dropped += point.dropped
+        self.took_us += point.took_us
+        self.start_ns = min(self.start_ns, point.start_ns)
+        self.end_ns = max(self.end_ns, point.end_ns)
+
+    def interval_us(self) -> int:
+        """From the first moment to the last one that the sum covers."""
+        return max(1, (self.end_ns - self.start_ns) // 1000)
+
+    def server_report(self, key: ServerKey) -> model.ServerLoadReport:
+        """The sum as an event of the decisions."""
+        attempts = self.answered + self.dropped
+        mean_us = self.took_us // self.answered if self.answered else 0
+        return model.ServerLoadReport(
+            key.server, key.zone, attempts, self.dropped, mean_us, self.interval_us(), ()
+        )
+
+    def route_report(self, proxy: int, route: int) -> model.RouteLoadReport:
+        """The sum as an event of the decisions; ``route`` is the route's index."""
+        requests = self.answered + self.dropped
+        return model.RouteLoadReport(proxy, route, requests, self.dropped, self.interval_us())
+
+
+class ReportedRates:
+    """Requests a second by reporter, smoothed over its reports."""
+
+    def __init__(self) -> None:
+        self.per_s: dict[str, float] = {}
+
+    def add(self, points: Iterable[Point]) -> None:
+        """Take the fresh points of one report into account; only those of routes count requests."""
+        sums: dict[str, Sum] = {}
+        for point in points:
+            if point.route is not None:
+                sums.setdefault(point.reporter, Sum()).add(point)
+        for reporter, total in sums.items():
+            rate = (total.answered + total.dropped) * 1e9 / (total.end_ns - total.start_ns)
+            old = self.per_s.get(reporter)
+            self.per_s[reporter] = rate if old is None else old + (rate - old) / RATE_SMOOTHING
+
+
+class Evidence:
+    """Sums of fresh points by (zone, server) and (proxy, route), handed on at a bounded pace.
+
+    Once a report period all sums become due; so many a second are handed on, the oldest first, and what waits
+    adds up. A proxy that floods delays its own sums and nobody else's.
+    """
+
+    def __init__(self, freshness: Freshness, routes: Iterable[str], period_us: int, reports_per_s: float):
+        self.freshness = freshness
+        self.route_indexes = {name: index for index, name in enumerate(routes)}
+        self.period_us = period_us
+        self.reports_per_s = reports_per_s
+        self.sums: OrderedDict[ServerKey | RouteKey, Sum] = OrderedDict()
+        self.due: deque[ServerKey | RouteKey] = deque()
+        self.next_period_us: int | None = None
+        self.credit, self.credit_us = 0.0, 0  # reports that may be handed on, as of that time
+        self.verdicts: dict[Verdict, int] = dict.fromkeys(Verdict, 0)  # of all points
+        self.handed_on = 0  # reports
+        self.rates = ReportedRates()
+
+    def add_report(
+        self,
+        points: list[Point],
+        wall_ns: int,
+        reporters: Mapping[str, Reporter],
+        known_servers: Mapping[Key, object],
+    ) -> dict[str, int]:
+        """Judge the points of one report and add the fresh ones; how many there were by verdict.
+
+        ``reporters``: the joined ones among the reporters of these points, by UID.
+        """
+        verdicts: dict[str, int] = defaultdict(int)
+        offsets_ns = self.clock_offsets_ns(points, wall_ns, reporters)
+        fresh: list[Point] = []
+        for point in points:
+            reporter = reporters.get(point.reporter)
+            if reporter is None or not self.is_known(point, known_servers):
+                verdict = Verdict.UNKNOWN
+            else:
+                verdict = self.freshness.judge(point, wall_ns, offsets_ns[point.reporter])
+                if verdict is Verdict.FRESH:
+                    self.add_point(sum_key(point, reporter), point)
+                    fresh.append(point)
+            verdicts[verdict] += 1
+            self.verdicts[verdict] += 1
+        self.rates.add(fresh)
+        return verdicts
+
+    def add_point(self, key: ServerKey | RouteKey, point: Point) -> None:
+        """Add a fresh point to its sum."""
+        total = self.sums.get(key)
+        if total is None:
+            total = self.sums[key] = Sum()
+        total.add(point)
+
+    def clock_offsets_ns(
+        self, points: list[Point], wall_ns: int, reporters: Mapping[str, Reporter]
+    ) -> dict[str, int]:
+        """By joined reporter: the offset of its clock, judged by its newest point."""
+        newest_ns: dict[str, int] = {}
+        for point in points:
+            if point.reporter in reporters:
+                newest_ns[point.reporter] = max(point.end_ns, newest_ns.get(point.reporter, point.end_ns))
+        return {
+            reporter: self.freshness.clock_offset_ns(reporter, end_ns, wall_ns)
+            for reporter, end_ns in newest_ns.items()
+        }
+
+    def is_known(self, point: Point, known_servers: Mapping[Key, object]) -> bool:
+        """Whether a point is about a listed server or a route of the settings."""
+        if point.server:
+            return point.server in known_servers
+        return point.route in self.route_indexes
+
+    def due_us(self, now: int) -> int | None:
+        """When ``collect`` has something to hand on; None if there is nothing."""
+        if self.due:
+            missing_credit = 1 - self.credit
+            return max(now, self.credit_us + int(missing_credit / self.reports_per_s * 1e6) + 1)
+        if not self.sums:
+            return None
+        return now if self.next_period_us is None else self.next_period_us
+
+    def collect(self, now: int) -> list[Report]:
+        """The reports that may be handed on now."""
+        self.start_period(now)
+        reports: list[Report] = []
+        while self.due and self.credit >= 1:
+            key = self.due.popleft()
+            total = self.sums.pop(key)
+            self.credit -= 1
+            if isinstance(key, ServerKey):
+                reports.append(total.server_report(key))
+            else:
+                reports.append(total.route_report(key.proxy, self.route_indexes[key.route]))
+        self.handed_on += len(reports)
+        return reports
+
+    def start_period(self, now: int) -> None:
+        """Bring the credit up to date; when a period is over, all sums that do not wait yet become due."""
+        if self.next_period_us is None:
+            self.next_period_us = now + self.period_us
+        earned = (now - self.credit_us) * self.reports_per_s / 1e6
+        self.credit = min(self.reports_per_s * self.period_us / 1e6, self.credit + earned)
+        self.credit_us = now
+        if now >= self.next_period_us:
+            waiting = set(self.due)
+            self.due.extend(key for key in self.sums if key not in waiting)
+            self.next_period_us = max(self.next_period_us + self.period_us, now)
+
+    def forget(self, proxy: int) -> None:
+        """A proxy has left: what it reported of its requests is not handed on any more."""
+        keys = [key for key in self.sums if isinstance(key, RouteKey) and key.proxy == proxy]
+        for key in keys:
+            del self.sums[key]
+            if key in self.due:
+                self.due.remove(key)
+
+
+def sum_key(point: Point, reporter: Reporter) -> ServerKey | RouteKey:
+    """What a known point is summed under."""
+    if point.server:
+        return ServerKey(reporter.zone, point.server)
+    return RouteKey(reporter.number, point.route or "")
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -8,10 +8,11 @@
 
 from rainpick import model
 from rainpick.decisions.director import Director
+from rainpick.director.addresses import Key, format_address
 from rainpick.director.context import Context, wall_us
 from rainpick.director.engine import Engine
 from rainpick.director.listing import ListCache
-from rainpick.director.membership import Filed, Key, Membership, format_address
+from rainpick.director.membership import FileEntry, Membership
 from rainpick.director.sessions import Sessions
 from rainpick.publish.pins import Pins
 from rainpick.record.recorder import Recorder, module_digest
@@ -49,21 +50,21 @@
 
     # Lists from files
 
-    def list_file_read(self, servers: list[Filed]) -> None:
+    def list_file_read(self, entries: list[FileEntry]) -> None:
         """The operators' list file has been read, for the first time or anew."""
-        self.membership.file(servers)
-        self.context.log.info("list file read", servers=len(servers))
+        self.membership.apply_list_file(entries)
+        self.context.log.info("list file read", servers=len(entries))
 
-    def cached_list_read(self, servers: list[Filed]) -> None:
+    def cached_list_read(self, entries: list[FileEntry]) -> None:
         """An earlier incarnation left a cached list."""
-        self.membership.remember(servers, self.context.clock())
-        self.context.log.info("starting from the cached list", servers=len(servers))
+        self.membership.apply_cached_list(entries, self.context.clock())
+        self.context.log.info("starting from the cached list", servers=len(entries))
 
     # The clock
 
     def due_us(self) -> int | None:
         """When ``advance`` is next wanted, if nothing happens before."""
-        start_us = self.membership.begin_us() if self.context.engine is None else None
+        start_us = self.membership.start_due_us() if self.context.engine is None else None
         times = [time_us for time_us in (start_us, self.membership.due_us()) if time_us is not None]
         return min(times, default=None)
 
@@ -74,11 +75,11 @@
                 "server gone", server=format_address(key), why="its stream broke, the grace passed"
             )
         if self.context.engine is None:
-            start_us = self.membership.begin_us()
+            start_us = self.membership.start_due_us()
             if start_us is not None and now >= start_us:
                 self.start(now)
             return
-        update = self.membership.changes()
+        update = self.membership.next_update()
         if update is not None:
             for entry in update.endpoints[:MAX_CHANGES_LOGGED]:
                 state = STATE_NAMES[entry.state]
@@ -96,7 +97,7 @@
             engine.stepper.watch = self.recorder.step
         self.pins = Pins(self.is_listed, engine.tables.withdrawn.__contains__, self.is_warm)
         engine.tables.overlay = self.pins.overlay
-        update = self.membership.start()
+        update = self.membership.initial_update()
         engine.list_changed(update)
         self.context.log.info(
             "decisions begin", servers=len(update.endpoints), proxies=len(self.sessions.by_uid)
@@ -134,7 +135,7 @@
     def cache_list(self, now: int) -> None:
         """Hand the list to the cache, if there is one."""
         if self.cache is not None:
-            self.cache.keep(self.membership.whole(), now, wall_us())
+            self.cache.keep(self.membership.published(), now, wall_us())
 
     # What pins ask
 
--- a/rainpick/director/messages.py
+++ b/rainpick/director/messages.py
@@ -10,7 +10,7 @@
 from queue import SimpleQueue
 from typing import Any, Generic, Literal, NamedTuple, TypeVar
 
-from rainpick.director.membership import Filed
+from rainpick.director.membership import FileEntry
 from rainpick.mqtt.codec import MqttError, Packet
 from rainpick.net import Ended
 from rainpick.net.streams import Stream
@@ -38,13 +38,13 @@
 class ListFileRead(NamedTuple):
     """The operators' list file was read without error; these are all of its servers."""
 
-    servers: list[Filed]
+    entries: list[FileEntry]
 
 
 class CachedListRead(NamedTuple):
     """The endpoint list that an earlier incarnation of this director cached."""
 
-    servers: list[Filed]
+    entries: list[FileEntry]
 
 
 class StopRequested(NamedTuple):
--- a/rainpick/director/mqtt_connection.py
+++ b/rainpick/director/mqtt_connection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rainpick.director.tables import Snapshot
+from rainpick.director.snapshots import Snapshot
 from rainpick.mqtt.session import ServerEnd
 from rainpick.net.streams import Stream
 
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -1,8 +1,7 @@
 """The MQTT frontend within the event loop's thread: connections of proxies and of observers.
 
-A proxy is a client that subscribed to its own orders with QoS 1 and published its presence. What the engine
-writes to it becomes one message: a change or the whole of its table, with its commands when they are new. An
-acknowledgement by MQTT is what ``Acknowledged`` stands for here.
+A proxy is a client that subscribed to its own orders with QoS 1 and published its presence. An MQTT
+acknowledgement is what ``Acknowledged`` stands for here.
 """
 
 from __future__ import annotations
@@ -15,10 +14,10 @@
 
 from rainpick.director.context import Context
 from rainpick.director.delivery import Delivery
-from rainpick.director.engine import Write
 from rainpick.director.mqtt_connection import MqttConnection
 from rainpick.director.mqtt_reports import points_of
-from rainpick.director.observers import is_observer, keep_feeds, queue_newest_tables
+from rainpick.director.mqtt_sender import MqttSender
+from rainpick.director.observers import is_observer, keep_feeds
 from rainpick.director.report_intake import ReportIntake
 from rainpick.director.sessions import ProxySession, Sessions
 from rainpick.mqtt import codec
@@ -27,13 +26,11 @@
 from rainpick.net import Ended
 from rainpick.net.streams import Stream
 from rainpick.publish import payloads
-from rainpick.publish.follow import Writer
-from rainpick.publish.payloads import Change, Level, Met, Orders, PayloadError, Presence, Trouble, Whole
+from rainpick.publish.payloads import Met, PayloadError, Presence, Trouble
 from rainpick.sasp.codec import NO_CHANGE, PUSH, TRUST
 
 CLIENT_IDENTIFIER = re.compile(r"[^/+#\x00]{1,64}")
 PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # what a proxy over MQTT would set over SASP
-PACKET_OVERHEAD = 16  # most bytes of a PUBLISH beside topic and payload
 PROXY_PAYLOADS: dict[str, type[Presence | Met | Trouble]] = {  # by the last level of the topic
     "presence": Presence,
     "report": Met,
@@ -42,12 +39,9 @@
 
 
 @dataclass(slots=True)
-class MqttCounts:
-    """What the frontend did since its start."""
+class ReceiveCounts:
+    """What came over MQTT since the start."""
 
-    whole_tables: int = 0  # sent to proxies
-    table_changes: int = 0  # sent to proxies
-    bytes: int = 0
     resynchronisations: int = 0  # of proxies that could not follow
     rejected: int = 0  # broken packets and payloads
     rate_limited: int = 0  # connections
@@ -62,13 +56,12 @@
         self.sessions = sessions
         self.delivery = delivery
         self.intake = intake
-        self.writer = Writer(context.epoch)
         self.connections: dict[int, MqttConnection] = {}  # by stream number
-        self.counts = MqttCounts()
+        self.sender = MqttSender(context, sessions, delivery, self.connections)
+        self.counts = ReceiveCounts()
         self.log = structlog.get_logger(front="mqtt")
         sessions.closing_listeners.append(self.forget)
         sessions.replacing_listeners.append(self.announce_takeover)
-        delivery.has_send_quota = self.has_send_quota
 
     # Connections
 
@@ -95,7 +88,7 @@
             stream.write(bytes(connection.end.out) + over.data)
             self.sessions.close(stream, over.why)
         else:
-            self.send(connection)
+            self.sender.send(connection)
 
     def handle(
         self, connection: MqttConnection, step: Joined | Wants | Unwants | Said | Acked | Over | None
@@ -243,84 +236,6 @@
             if feed.packet == acknowledgement.number:
                 feed.packet = 0
 
-    # What they are sent
-
-    def push(self, session: ProxySession, write: Write) -> None:
-        """Send a proxy one message with what the engine has for it."""
-        connection = self.connections[session.stream.number]
-        topic, data = self.push_payload(session, write)
-        if len(data) + len(topic) + PACKET_OVERHEAD > connection.end.send_most:
-            self.sessions.disconnect(session, "its largest packet is smaller than what it is to be sent")
-            return
-        packet = connection.end.publish(topic, data, 1)
-        connection.unacknowledged[packet] = write.number
-        if connection.unacknowledged_since_us is None:
-            connection.unacknowledged_since_us = self.context.clock()
-        if not connection.end.room:
-            self.delivery.set_blocked(session, True)
-        self.send(connection)
-
-    def push_payload(self, session: ProxySession, write: Write) -> tuple[str, bytes]:
-        """Topic and payload: the part of its table alone, or its commands with that part if there is one."""
-        proxy = self.context.started_engine.tables.proxies[session.number]
-        table = proxy.table
-        part: Whole | Change | None = None
-        if table is not None and (write.way.shut or write.way.rest or write.orders):
-            part, data = self.writer.part(table, write.before, write.after)
-            if isinstance(part, Whole):
-                self.counts.whole_tables += 1
-            else:
-                self.counts.table_changes += 1
-            if write.orders is None:
-                return payloads.table_topic(table), data
-        commands = write.orders or proxy.told
-        if commands is None:
-            raise RuntimeError(f"{session.uid} has no commands, though it speaks MQTT")
-        changed, removed = self.writer.loose(write.way) if table is None else ((), ())
-        routes = self.settings.routes
-        levels = tuple(
-            [Level(routes[route].name, rate, payloads.RETRIES[retry]) for route, rate, retry in commands[1]]
-        )
-        data = payloads.encode(Orders(self.context.epoch, table, levels, part, changed, removed))
-        return payloads.orders_topic(session.uid), data
-
-    def send(self, connection: MqttConnection) -> None:
-        """Hand the socket what the protocol end has collected."""
-        out = connection.end.out
-        if not out:
-            return
-        stream = connection.stream
-        session = self.sessions.by_stream.get(stream.number)
-        self.counts.bytes += len(out)
-        data = bytes(out)
-        out.clear()
-        within_backlog = stream.write(data)
-        if session is not None:
-            if not within_backlog:
-                self.sessions.disconnect(session, "more waits for it than is held")
-            elif stream.rest and self.context.engine is not None and session.joined:
-                self.delivery.mark_stalled(session)
-        elif not within_backlog:
-            self.sessions.close(stream, "it does not read")
-
-    def has_send_quota(self, stream: Stream) -> bool:
-        """Whether the client of a stream allows one more unacknowledged message; always so over SASP."""
-        connection = self.connections.get(stream.number)
-        return connection is None or connection.end.room
-
-    def update_observers(self) -> None:
-        """Send observers the newest versions of the tables that they follow."""
-        engine = self.context.engine
-        if engine is None:
-            return
-        for connection in list(self.connections.values()):
-            if not connection.end.accepted or connection.stream.number in self.sessions.by_stream:
-                continue
-            if connection.stream.rest or not is_observer(connection, is_proxy=False):
-                continue
-            queue_newest_tables(connection, engine, self.writer)
-            self.send(connection)
-
     # Slow clients
 
     def check_connections(self, now: int) -> None:
@@ -356,13 +271,13 @@
 
     def status(self) -> dict[str, Any]:
         """What ``/status`` shows under ``subscribers``."""
-        counts = self.counts
+        counts, sent = self.counts, self.sender.counts
         return {
             "connections": len(self.connections),
             "observers": sum(map(self.observes, self.connections.values())),
-            "wholes": counts.whole_tables,
-            "changes": counts.table_changes,
-            "bytes": counts.bytes,
+            "wholes": sent.whole_tables,
+            "changes": sent.table_changes,
+            "bytes": sent.bytes,
             "healed": counts.resynchronisations,
             "refused": counts.rejected,
             "floods": counts.rate_limited,
--- a/rainpick/director/report_intake.py
+++ b/rainpick/director/report_intake.py
@@ -5,9 +5,10 @@
 import time
 
 from rainpick.director.context import Context
+from rainpick.director.evidence import Evidence, Reporter
 from rainpick.director.messages import LoadReportReceived
 from rainpick.director.proxies import Proxies
-from rainpick.director.reports import FRESH, Evidence, Point
+from rainpick.director.reports import Point, Verdict
 from rainpick.director.sessions import ProxySession, Sessions
 
 MAX_REPORTERS_LOGGED = 3
@@ -27,24 +28,24 @@
         """Handle an OTLP export; it may carry points of several reporters."""
         points = query.batch.points
         sessions = (self.sessions.by_uid.get(point.reporter) for point in points)
-        reporters = dict(self.number_and_zone(session) for session in sessions if session)
+        reporters = {session.uid: self.reporter(session) for session in sessions if session}
         query.reply(self.add(points, query.wall_ns, reporters))
 
     def receive_mqtt(self, session: ProxySession, points: list[Point]) -> None:
         """Handle a report that a proxy published on its own topic."""
-        self.add(points, time.time_ns(), dict([self.number_and_zone(session)]))
+        self.add(points, time.time_ns(), {session.uid: self.reporter(session)})
 
-    def number_and_zone(self, session: ProxySession) -> tuple[str, tuple[int, int]]:
-        """A proxy's UID; its number and its zone."""
-        return session.uid, (session.number, self.proxies.place(session.uid)[0])
+    def reporter(self, session: ProxySession) -> Reporter:
+        """A proxy as its reports are summed."""
+        return Reporter(session.number, self.proxies.place(session.uid).zone)
 
-    def add(self, points: list[Point], wall_ns: int, reporters: dict[str, tuple[int, int]]) -> dict[str, int]:
+    def add(self, points: list[Point], wall_ns: int, reporters: dict[str, Reporter]) -> dict[str, int]:
         """Judge the points of a report and add the fresh ones; how many there were by verdict."""
         engine = self.context.engine
         known_servers = engine.listed if engine is not None else {}
-        verdicts = self.evidence.take(points, wall_ns, reporters, known_servers)
+        verdicts = self.evidence.add_report(points, wall_ns, reporters, known_servers)
         self.reports += 1
-        if set(verdicts) - {FRESH, "unknown"}:
+        if set(verdicts) - {Verdict.FRESH, Verdict.UNKNOWN}:
             names = sorted({point.reporter for point in points})[:MAX_REPORTERS_LOGGED]
             self.context.log.info("report not fresh", reporters=names, **verdicts)
         return verdicts
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -11,7 +11,8 @@
 from rainpick.director.context import Context
 from rainpick.director.delivery import Delivery
 from rainpick.director.engine import Write
-from rainpick.director.membership import Membership, RefusedMemberError
+from rainpick.director.member_labels import RejectedMemberError
+from rainpick.director.membership import Membership
 from rainpick.director.sessions import REQUEST_TIMES, ProxySession, Sessions
 from rainpick.director.weight_entries import WeightEntryEncoder
 from rainpick.net import Ended
@@ -83,22 +84,21 @@
         try:
             self.change_membership(stream.number, message)
             code = codec.SUCCESS
-        except RefusedMemberError as error:
+        except RejectedMemberError as error:
             self.sessions.counts.rejected += 1
             self.log.warning("request rejected", peer=stream.peer, why=str(error), code=error.code)
             code = error.code
         stream.write(reply(REQUEST_TYPES[type(message)], number, code))
 
     def change_membership(self, stream: int, message: MemberRequest) -> None:
-        """Apply each group of a request; ``RefusedMemberError`` at the first one that can't be."""
+        """Apply each group of a request; ``RejectedMemberError`` at the first one that can't be."""
         if isinstance(message, Registration):
             now = self.context.clock()
             for members in message.groups:
                 self.membership.register(stream, members.group, members.members, now)
         elif isinstance(message, Deregistration):
-            now = self.context.clock()
             for members in message.groups:
-                self.membership.deregister(stream, members.group, members.members, now)
+                self.membership.deregister(stream, members.group, members.members)
         else:
             for states in message.groups:
                 self.membership.set_state(stream, states.group, states.states)
@@ -123,7 +123,7 @@
         session.flags = message.flags
         if self.context.engine is not None and session.joined:
             blocked = not session.accepts_push or session.blocked_since_us is not None
-            self.context.engine.blocked(session.number, blocked)
+            self.context.engine.set_blocked(session.number, blocked)
         return codec.SUCCESS
 
     def register_group(self, session: ProxySession, number: int, message: Registration) -> None:
@@ -177,23 +177,23 @@
         if not session.accepts_push and session.last_message:
             # It polls again, so it has read the last answer.
             engine.delivered(session.number, session.last_message)
-        pulled, delta = engine.pull(session.number)
+        answered, delta = engine.poll(session.number)
         only_changes = not session.accepts_push and session.flags & codec.NO_CHANGE and session.last_message
         lines = delta.lines if only_changes else engine.tables.all_lines(session.number)
         fixed = codec.BYTE.pack(codec.SUCCESS) + codec.SHORT.pack(interval) + codec.SHORT.pack(1)
         rows = codec.group_of_weights(session.encoded_group, len(lines), self.encoder.encode(lines))
         data = codec.frame(number, codec.GET_WEIGHTS_REPLY, fixed, rows)
         if session.accepts_push:
-            self.delivery.send(session, data, pulled)
+            self.delivery.send(session, data, answered)
         else:
-            session.last_message = pulled
+            session.last_message = answered
             session.stream.write(data)
 
     def push(self, session: ProxySession, write: Write, now: int) -> None:
         """Send a proxy what the engine has for it, without waiting."""
         withdrawn, others = write.way
         if not session.flags & codec.NO_CHANGE:  # it wants all lines each time
-            snapshot = self.context.started_engine.tables.proxies[write.proxy].holds
+            snapshot = self.context.started_engine.tables.proxies[write.proxy].snapshot
             withdrawn = tuple([line for line in withdrawn if line.server not in snapshot.lines])
             others = snapshot.whole()
         if session.unconfirmed_since_us is None:
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -11,11 +11,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from rainpick.director.addresses import Key
 from rainpick.director.context import Context
-from rainpick.director.membership import Key, Membership
+from rainpick.director.evidence import Evidence
+from rainpick.director.membership import Membership
 from rainpick.director.proxies import Proxies
-from rainpick.director.reports import Evidence
-from rainpick.director.tables import Snapshot
+from rainpick.director.snapshots import Snapshot
 from rainpick.net.streams import Stream
 from rainpick.sasp import codec
 from rainpick.sasp.codec import Group
@@ -172,12 +173,12 @@
     def join(self, session: ProxySession) -> None:
         """A proxy's group is registered: the decisions know of it from here on."""
         engine, now = self.context.started_engine, self.context.clock()
-        if session.number in engine.unread:
-            engine.holds_more(session.number, session.initial_servers)
+        if session.number in engine.sent:
+            engine.add_initial_servers(session.number, session.initial_servers)
             return
         session.joined = True
         zone, rate = self.proxies.place(session.uid)
-        rate = self.evidence.rates.get(session.uid, rate)
+        rate = self.evidence.rates.per_s.get(session.uid, rate)
         engine.now = max(engine.now, now)
         engine.joined(
             session.number,
@@ -188,7 +189,7 @@
             session.over_mqtt,
             session.resumed_snapshot,
         )
-        engine.blocked(session.number, not session.accepts_push)
+        engine.set_blocked(session.number, not session.accepts_push)
         self.context.log.info(
             "proxy joined",
             proxy=session.uid,
--- a/rainpick/director/status.py
+++ b/rainpick/director/status.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
+from rainpick.director.addresses import Key, format_address
 from rainpick.director.context import Context
 from rainpick.director.engine import Engine
 from rainpick.director.inbox import Inbox
 from rainpick.director.list_follower import STATE_NAMES, ListFollower
-from rainpick.director.membership import format_address
 from rainpick.director.messages import StatusQuery
 from rainpick.director.mqtt_frontend import MqttFrontend
 from rainpick.director.report_intake import ReportIntake
 from rainpick.director.sessions import ProxySession, Sessions
 from rainpick.director.table_actions import table_row
-from rainpick.director.tables import Key, Tables
+from rainpick.director.tables import Tables
 
 
 @dataclass(slots=True)
@@ -80,14 +80,14 @@
                 "sum_us": times.sum_us,
                 "most_us": times.max_us,
             },
-            "reports": {**evidence.counts, "unknown": evidence.unknown, "told": evidence.told},
+            "reports": {**evidence.verdicts, "told": evidence.handed_on},
         }
 
     def servers(self, engine: Engine) -> list[dict[str, Any]]:
         """A row for each listed server."""
         names, now = self.context.settings, self.context.clock()
         weights = weights_by_server(engine.tables)
-        listed = [(cast(Key, entry.address), entry) for entry in self.follower.membership.whole()]
+        listed = [(cast(Key, entry.address), entry) for entry in self.follower.membership.published()]
         return [
             {
                 "address": format_address(server),
@@ -114,7 +114,7 @@
             "push": session.accepts_push,
             "blocked": session.blocked_since_us is not None,
             "peer": session.stream.peer,
-            "rate": round(self.intake.evidence.rates.get(session.uid, 0.0), 2),
+            "rate": round(self.intake.evidence.rates.per_s.get(session.uid, 0.0), 2),
         }
 
 
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -1,47 +1,90 @@
-"""One ``Director`` and its timers, stepped by a clock that is handed in. Free of I/O, knows no front."""
+"""One ``Director`` and its timers, stepped by a clock that is handed in. Free of I/O, knows no frontend."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
+from typing import Any, NamedTuple
 
 from rainpick import model
 from rainpick.decisions.director import Director
 
+Event = (
+    model.Acknowledged
+    | model.EndpointUpdate
+    | model.KeyRangeAssigned
+    | model.KeyRangeLoadReport
+    | model.KeyRangeWeight
+    | model.PeerMessageReceived
+    | model.ProbeCompleted
+    | model.ProxyJoined
+    | model.ProxyLeft
+    | model.Retransmitted
+    | model.RouteLoadReport
+    | model.ServerLoadReport
+    | model.Started
+    | model.TimerFired
+)
+Command = (
+    model.BindProxy
+    | model.ClearTable
+    | model.FetchEndpoints
+    | model.LogMessage
+    | model.ProbeServer
+    | model.RequestAcknowledgement
+    | model.SendPeerMessage
+    | model.SetAdmission
+    | model.SetTimer
+    | model.SetWeight
+    | model.SetWithdrawn
+    | model.Subscribe
+)
+
+
+class Timer(NamedTuple):
+    """A timer that the decisions have set; timers are ordered by their time."""
+
+    due_us: int
+    token: int
+
 
 class Stepper:
-    """What waits in ``events`` is handed to the module in one step; its timers are kept here.
+    """Hands the decisions what waits in ``events`` in one step, and keeps their timers.
 
-    ``module`` is the decision module's class: tests put a double there. ``settings`` is the module's map.
+    ``module`` is the class of the decisions: tests put a double there. ``settings`` is the decisions' map.
     """
 
-    def __init__(self, seed: int, settings: dict, module: Callable[[], Director] = Director):
+    def __init__(self, seed: int, settings: dict[str, Any], module: Callable[[], Director] = Director):
         self.director = module()
-        self.events: list = [model.Started(seed, settings)]
-        self.timers: list[tuple[int, int]] = []  # (when, token), a heap
-        self.steps = self.heard = self.ordered = 0  # steps taken, events in them, orders from them
-        # Told of each step: its clock, the events, the orders.
-        self.watch: Callable[[int, list, list], None] | None = None
+        self.events: list[Event] = [model.Started(seed, settings)]
+        self.timers: list[Timer] = []  # a heap
+        self.steps = 0
+        self.heard = 0  # events handed to the decisions
+        self.ordered = 0  # commands from them, timers included
+        # Called after each step with its time, the events and the commands: the recorder is.
+        self.watch: Callable[[int, list[Event], list[Command]], None] | None = None
 
     def due_us(self) -> int | None:
         """When the next timer is due."""
-        return self.timers[0][0] if self.timers else None
+        return self.timers[0].due_us if self.timers else None
 
     def ring(self, now: int) -> None:
         """Turn the timers that are due into events."""
-        while self.timers and self.timers[0][0] <= now:
-            self.events.append(model.TimerFired(heappop(self.timers)[1]))
+        while self.timers and self.timers[0].due_us <= now:
+            self.events.append(model.TimerFired(heappop(self.timers).token))
 
-    def step(self, now: int, more: Iterable = ()) -> list:
-        """Let the module take what waits, and ``more`` after it; all that it orders but timers."""
-        events, self.events = [*self.events, *more], []
-        orders = self.director.step(now, events)
+    def step(self, now: int, more: Iterable[Event] = ()) -> list[Command]:
+        """Let the decisions take what waits, and ``more`` after it; all their commands but timers."""
+        events = [*self.events, *more]
+        self.events = []
+        step: Callable[[int, list[Event]], list[Command]] = self.director.step
+        commands = step(now, events)
         self.steps += 1
         self.heard += len(events)
-        self.ordered += len(orders)
+        self.ordered += len(commands)
         if self.watch is not None:
-            self.watch(now, events, orders)
-        for order in orders:
-            if type(order) is model.SetTimer:
-                heappush(self.timers, (now + max(1, order.delay_us), order.token))
-        return [order for order in orders if type(order) is not model.SetTimer]
+            self.watch(now, events, commands)
+        for command in commands:
+            if type(command) is model.SetTimer:
+                heappush(self.timers, Timer(now + max(1, command.delay_us), command.token))
+        return [command for command in commands if type(command) is not model.SetTimer]
--- a/rainpick/director/table_actions.py
+++ b/rainpick/director/table_actions.py
@@ -75,7 +75,7 @@
             newest = engine.tables.current(number).version
             version = int(parameters.get("version") or (newest if action == "pin" else newest - 1))
             pin = pins.pin(number, engine.tables.version(number, version), who, why, self.context.clock())
-        engine.reordered(number)
+        engine.table_changed(number)
         self.context.log.warning(LOG_EVENTS[action], table=number, version=pin.version, who=who, why=why)
         return table_row(engine, pins, number)
 
--- a/rainpick/director/weight_entries.py
+++ b/rainpick/director/weight_entries.py
@@ -4,7 +4,8 @@
 
 from collections import OrderedDict
 
-from rainpick.director.tables import Key, Line
+from rainpick.director.addresses import Key
+from rainpick.director.snapshots import Line
 from rainpick.sasp import codec
 
 MAX_ENCODED = 256  # line tuples whose bytes are cached
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -8,7 +8,7 @@
 
 from rainpick import model
 from rainpick.decisions.director import Director
-from rainpick.director.channel import GRAIN_US
+from rainpick.director.channel import PACE_TOLERANCE_US
 from tests.director.drive import Drive, server
 
 
@@ -28,7 +28,7 @@
     for place, (first, _) in enumerate(moments):
         for last in range(place + 1, len(moments)):
             lines = sum(lines for _, lines in moments[place:last])
-            assert moments[last][0] - first >= lines * 5_000 - 2 * GRAIN_US
+            assert moments[last][0] - first >= lines * 5_000 - 2 * PACE_TOLERANCE_US
 
 
 def test_a_proxy_that_takes_nothing_holds_up_nobody():
@@ -36,13 +36,13 @@
     for number in range(3):
         drive.join(number)
     drive.run(1)
-    drive.engine.blocked(1, True)
+    drive.engine.set_blocked(1, True)
     drive.listed(server(2, model.EndpointState.DRAINING))
     drive.run(1)
     assert 2 not in drive.open_lines(0) and 2 not in drive.open_lines(2) and 2 in drive.open_lines(1)
     drive.listed(server(3, model.EndpointState.DRAINING))
     drive.run(1)
-    drive.engine.blocked(1, False)
+    drive.engine.set_blocked(1, False)
     begin = len(drive.writes)
     drive.run(0.1)
     # What waited is one message with the newest state, not the story of it.
@@ -109,11 +109,11 @@
     drive = Drive()
     drive.join(1)
     drive.join(2)
-    drive.engine.blocked(2, True)  # it asks by itself
+    drive.engine.set_blocked(2, True)  # it asks by itself
     drive.run(1)
     drive.listed(server(1, model.EndpointState.DRAINING))
     drive.run(1)
-    number, news = drive.engine.pull(2)
+    number, news = drive.engine.poll(2)
     assert {line.server: (line.weight, line.flags) for line in news.lines} == drive.held[1]
     drive.engine.delivered(2, number)
     drive.run(0.1)
@@ -146,19 +146,19 @@
             drive.left(which)
             blocked.discard(which)
         elif joined and action in ("block", "unblock"):
-            drive.engine.blocked(which, action == "block")
+            drive.engine.set_blocked(which, action == "block")
             (blocked.add if action == "block" else blocked.discard)(which)
         elif joined and action == "deaf":
             drive.reads[which] = not drive.reads[which]
         elif joined and action == "poll":
-            _, news = drive.engine.pull(which)
+            _, news = drive.engine.poll(which)
             for line in news.lines:
                 drive.held[which].pop(line.server, None)
                 if line.weight or line.flags & 0x80:
                     drive.held[which][line.server] = line.weight, line.flags
         drive.until(drive.now + wait_ms * 1000)
     for number in drive.held:
-        drive.engine.blocked(number, False)
+        drive.engine.set_blocked(number, False)
         drive.reads[number] = True
         drive.engine.delivered(number, 1 << 40)
     drive.run(30)
--- a/tests/director/test_reports.py
+++ b/tests/director/test_reports.py
@@ -3,15 +3,15 @@
 import pytest
 
 from rainpick import model
-from rainpick.director import reports
+from rainpick.director.evidence import Evidence, Reporter
 from rainpick.director.proxies import Proxies
-from rainpick.director.reports import Evidence, Freshness, Point
+from rainpick.director.reports import Freshness, Point, Verdict
 from tests.director.drive import settings
 
 S = 1_000_000_000
 A, B = ("127.0.0.1", 1), ("127.0.0.1", 2)
 KNOWN = {A: None, B: None}
-PLACES = {"edge-1": (1, 0), "edge-2": (2, 1), "edge-3": (3, 0)}
+REPORTERS = {"edge-1": Reporter(1, 0), "edge-2": Reporter(2, 1), "edge-3": Reporter(3, 0)}
 WALL = 1_700_000_000 * S
 
 
@@ -34,115 +34,115 @@
     return Evidence(Freshness(3_000_000, 1_000_000, 1000), ["lookup", "commit"], 1_000_000, 1000.0)
 
 
-def take(evidence, wall, *points):
-    return evidence.take(list(points), WALL + wall, PLACES, KNOWN)
+def add(evidence, wall, *points):
+    return evidence.add_report(list(points), WALL + wall, REPORTERS, KNOWN)
 
 
-def lines(evidence, *times):
-    return [line for now in times for line in evidence.tell(now)]
+def collected(evidence, *times):
+    return [report for now in times for report in evidence.collect(now)]
 
 
-def test_proxies_of_a_zone_are_summed_and_told_once_a_period(evidence):
-    take(evidence, 2 * S, point(2 * S), point(2 * S, route="lookup"))
-    take(evidence, 2 * S, point(2 * S, "edge-3", answered=6, dropped=0))
-    take(evidence, 2 * S, point(2 * S, "edge-2"))
-    assert lines(evidence, 0, 500_000) == []
-    assert lines(evidence, 1_000_000) == [
+def test_proxies_of_a_zone_are_summed_and_handed_on_once_a_period(evidence):
+    add(evidence, 2 * S, point(2 * S), point(2 * S, route="lookup"))
+    add(evidence, 2 * S, point(2 * S, "edge-3", answered=6, dropped=0))
+    add(evidence, 2 * S, point(2 * S, "edge-2"))
+    assert collected(evidence, 0, 500_000) == []
+    assert collected(evidence, 1_000_000) == [
         model.ServerLoadReport(A, 0, 11, 1, 200_000, 1_000_000, ()),
         model.RouteLoadReport(1, 0, 5, 1, 1_000_000),
         model.ServerLoadReport(A, 1, 5, 1, 200_000, 1_000_000, ()),
     ]
-    assert lines(evidence, 2_000_000) == []
+    assert collected(evidence, 2_000_000) == []
 
 
 def test_the_same_period_twice_counts_once(evidence):
-    assert take(evidence, 2 * S, point(2 * S)) == {reports.FRESH: 1}
-    assert take(evidence, 3 * S, point(2 * S)) == {reports.DOUBLED: 1}
-    assert sum(line.attempts for line in lines(evidence, 0, 1_000_000)) == 5
+    assert add(evidence, 2 * S, point(2 * S)) == {Verdict.FRESH: 1}
+    assert add(evidence, 3 * S, point(2 * S)) == {Verdict.DOUBLED: 1}
+    assert sum(report.attempts for report in collected(evidence, 0, 1_000_000)) == 5
 
 
 def test_a_period_that_overlaps_another_is_not_counted(evidence):
-    take(evidence, 2 * S, point(2 * S))
-    assert take(evidence, 3 * S, point(5 * S // 2)) == {reports.OVERLAPPING: 1}
-    assert take(evidence, 3 * S, point(3 * S)) == {reports.FRESH: 1}
+    add(evidence, 2 * S, point(2 * S))
+    assert add(evidence, 3 * S, point(5 * S // 2)) == {Verdict.OVERLAPPING: 1}
+    assert add(evidence, 3 * S, point(3 * S)) == {Verdict.FRESH: 1}
 
 
 def test_out_of_order_but_recent_counts(evidence):
-    take(evidence, 3 * S, point(3 * S))
-    assert take(evidence, 3 * S, point(2 * S)) == {reports.FRESH: 1}
+    add(evidence, 3 * S, point(3 * S))
+    assert add(evidence, 3 * S, point(2 * S)) == {Verdict.FRESH: 1}
 
 
-def test_one_from_ten_seconds_ago_is_late_even_as_the_first(evidence):
-    assert take(evidence, 12 * S, point(2 * S)) == {reports.LATE: 1}
-    assert take(evidence, 12 * S, point(2 * S)) == {reports.DOUBLED: 1}
-    assert lines(evidence, 0, 1_000_000) == []
+def test_a_point_from_ten_seconds_ago_is_late_even_as_the_first(evidence):
+    assert add(evidence, 12 * S, point(2 * S)) == {Verdict.LATE: 1}
+    assert add(evidence, 12 * S, point(2 * S)) == {Verdict.DOUBLED: 1}
+    assert collected(evidence, 0, 1_000_000) == []
 
 
 def test_a_clock_that_is_off_a_little_is_allowed_for_and_no_more(evidence):
     for second in range(2, 8):
-        assert take(evidence, (second + 3) * S + 800_000_000, point(second * S)) == {reports.FRESH: 1}
-    assert take(evidence, 9 * S, point(11 * S)) == {reports.AHEAD: 1}
-    assert take(evidence, 9 * S, point(9 * S + S // 2)) == {reports.FRESH: 1}
+        assert add(evidence, (second + 3) * S + 800_000_000, point(second * S)) == {Verdict.FRESH: 1}
+    assert add(evidence, 9 * S, point(11 * S)) == {Verdict.AHEAD: 1}
+    assert add(evidence, 9 * S, point(9 * S + S // 2)) == {Verdict.FRESH: 1}
 
 
 def test_a_reporter_whose_clock_is_ahead_is_late_by_its_own_measure(evidence):
     """Its reports end 0.9 s in the director's future; one that comes 3 s after that is 3.9 s under way."""
     for second in range(2, 6):
-        take(evidence, second * S - 900_000_000, point(second * S))
-    assert take(evidence, 9 * S + 200_000_000, point(6 * S)) == {reports.LATE: 1}
+        add(evidence, second * S - 900_000_000, point(second * S))
+    assert add(evidence, 9 * S + 200_000_000, point(6 * S)) == {Verdict.LATE: 1}
 
 
-def test_backwards_and_unknown_are_told_apart(evidence):
-    assert take(evidence, 2 * S, point(2 * S, span=-S)) == {reports.BACKWARDS: 1}
-    assert take(
+def test_backwards_and_unknown_are_distinguished(evidence):
+    assert add(evidence, 2 * S, point(2 * S, span=-S)) == {Verdict.BACKWARDS: 1}
+    assert add(
         evidence, 2 * S, point(2 * S, "nobody"), point(2 * S, server=("x", 1)), point(2 * S, route="no such")
     ) == {"unknown": 3}
 
 
 def test_counts_of_different_outcomes_are_different_streams(evidence):
-    assert take(evidence, 2 * S, point(2 * S, outcomes="answered"), point(2 * S, outcomes="dropped")) == {
-        reports.FRESH: 2
+    assert add(evidence, 2 * S, point(2 * S, outcomes="answered"), point(2 * S, outcomes="dropped")) == {
+        Verdict.FRESH: 2
     }
 
 
-def test_lines_are_told_at_their_pace_the_oldest_first_and_add_up():
+def test_reports_are_handed_on_at_their_pace_the_oldest_first_and_add_up():
     evidence = Evidence(Freshness(3_000_000, 1_000_000, 1000), ["lookup"], 1_000_000, 2.0)
     for number in (1, 2, 3):
-        take(evidence, 2 * S, point(2 * S, f"edge-{number}", route="lookup"))
-    assert [line.proxy for line in lines(evidence, 0, 1_000_000)] == [1, 2]
-    take(evidence, 3 * S, point(3 * S, "edge-3", route="lookup"), point(3 * S, "edge-1", route="lookup"))
-    told = lines(evidence, 2_000_000)
-    found = [(line.proxy, line.requests, line.interval_us) for line in told]
-    assert found == [(3, 10, 2_000_000), (1, 5, 1_000_000)]
+        add(evidence, 2 * S, point(2 * S, f"edge-{number}", route="lookup"))
+    assert [report.proxy for report in collected(evidence, 0, 1_000_000)] == [1, 2]
+    add(evidence, 3 * S, point(3 * S, "edge-3", route="lookup"), point(3 * S, "edge-1", route="lookup"))
+    reports = collected(evidence, 2_000_000)
+    counts = [(report.proxy, report.requests, report.interval_us) for report in reports]
+    assert counts == [(3, 10, 2_000_000), (1, 5, 1_000_000)]
     assert evidence.due_us(2_000_000) is None
 
 
-def test_who_left_is_not_told_of(evidence):
-    take(evidence, 2 * S, point(2 * S, route="lookup"), point(2 * S, "edge-2", route="lookup"))
+def test_requests_of_a_proxy_that_left_are_not_handed_on(evidence):
+    add(evidence, 2 * S, point(2 * S, route="lookup"), point(2 * S, "edge-2", route="lookup"))
     evidence.forget(1)
-    assert [line.proxy for line in lines(evidence, 0, 1_000_000)] == [2]
+    assert [report.proxy for report in collected(evidence, 0, 1_000_000)] == [2]
 
 
 def test_memory_of_streams_is_bounded():
     freshness = Freshness(3_000_000, 1_000_000, 10)
     for port in range(100):
         freshness.judge(point(2 * S, server=("h", port)), WALL + 2 * S, 0)
-        freshness.arrived(f"edge-{port}", 0, 0)
+        freshness.clock_offset_ns(f"edge-{port}", 0, 0)
     assert len(freshness.periods) == len(freshness.clocks) == 10
 
 
 def test_rates_follow_what_is_reported(evidence):
     for second in range(2, 40):
-        take(evidence, second * S, point(second * S, route="lookup", answered=30, dropped=10))
-    assert 39 < evidence.rates["edge-1"] < 41
+        add(evidence, second * S, point(second * S, route="lookup", answered=30, dropped=10))
+    assert 39 < evidence.rates.per_s["edge-1"] < 41
 
 
-def test_proxies_have_the_same_numbers_at_every_director_and_room_for_twins():
-    one, two = Proxies(settings()), Proxies(settings())
+def test_proxies_have_the_same_numbers_at_every_director_and_distinct_ones():
+    first, second = Proxies(settings()), Proxies(settings())
     names = ["edge-7", "east", "edge-12", "other-7", "edge-99999"]
-    assert [one.number(name) for name in names] == [two.number(name) for name in names]
-    assert one.number("edge-7") == 7 and one.number("edge-12") == 12
-    assert len({one.number(name) for name in names}) == len(names)
+    assert [first.number(name) for name in names] == [second.number(name) for name in names]
+    assert first.number("edge-7") == 7 and first.number("edge-12") == 12
+    assert len({first.number(name) for name in names}) == len(names)
 
 
 def test_what_the_settings_know_of_a_proxy():
