--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -84,7 +84,7 @@
             for entry in update.endpoints[:MAX_CHANGES_LOGGED]:
                 state = STATE_NAMES[entry.state]
                 self.context.log.info(
-                    "endpoint list", server=format_address(cast(Key, entry.address)), state=state
+                    "list", server=format_address(cast(Key, entry.address)), state=state
                 )
             self.context.engine.list_changed(update)
             self.cache_list(now)
