--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -83,9 +83,7 @@
         if update is not None:
             for entry in update.endpoints[:MAX_CHANGES_LOGGED]:
                 state = STATE_NAMES[entry.state]
-                self.context.log.info(
-                    "list", server=format_address(cast(Key, entry.address)), state=state
-                )
+                self.context.log.info("list", server=format_address(cast(Key, entry.address)), state=state)
             self.context.engine.list_changed(update)
             self.cache_list(now)
 
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -31,7 +31,7 @@
             assert moments[last][0] - first >= lines * 5_000 - 2 * PACE_TOLERANCE_US
 
 
-def test_a_proxy_that_takes_nothing_holds_up_nobody():
+def test_a_blocked_proxy_delays_nobody_else():
     drive = Drive()
     for number in range(3):
         drive.join(number)
@@ -49,7 +49,7 @@
     assert [len(write.way.lines) for _, write in drive.writes[begin:]] == [2] and drive.exact(1)
 
 
-def test_applied_comes_when_delivered_and_covers_what_was_merged():
+def test_acknowledgements_come_on_delivery_and_cover_merged_messages():
     drive = Drive()
     drive.reads[1] = False
     drive.join(1)
@@ -64,9 +64,9 @@
     assert module.queue.waiting == 0
 
 
-def test_messages_to_a_proxy_stay_within_the_cap_whatever_is_ordered():
+def test_messages_to_a_proxy_stay_within_the_limit_whatever_is_ordered():
     class Talkative(Director):
-        """Changes a weight in every step: the channel must hold the cap by itself."""
+        """Changes a weight in every step: the channel must keep the limit by itself."""
 
         def step(self, now, events):
             orders = super().step(now, events)
@@ -92,7 +92,7 @@
     assert 9 not in drive.open_lines(1) and drive.exact(1)
 
 
-def test_a_cold_server_climbs_and_its_ratio_survives_sixteen_bits():
+def test_a_warming_up_server_gains_weight_and_its_ratio_survives_sixteen_bits():
     drive = Drive('rules: {warm_after: "12s", start_capacity: 0.16}, fleet: {weight_most: 64}')
     drive.join(1)
     drive.run(1)
@@ -105,7 +105,7 @@
     assert seen == sorted(seen) and 0 < seen[0] < 0.15 and seen[-1] == 0.5
 
 
-def test_a_poller_holds_the_same_as_one_that_is_pushed_to():
+def test_a_polling_proxy_holds_the_same_as_one_that_is_pushed_to():
     drive = Drive()
     drive.join(1)
     drive.join(2)
@@ -201,7 +201,7 @@
     assert order[1:5] == [0, 1, 2, 3] and sorted(order[5:]) == [5, 6, 7]
 
 
-def test_a_mark_whose_lines_an_earlier_message_carried_is_answered_with_that_one():
+def test_an_acknowledgement_whose_lines_an_earlier_message_carried_comes_with_that_one():
     drive = Drive(module=Scripted)
     module, server_ = drive.engine.stepper.director, ("127.0.0.1", 9000)
     drive.join(1)
--- a/tests/director/test_tables.py
+++ b/tests/director/test_tables.py
@@ -20,7 +20,7 @@
         assert abs(got / exact - 1) <= scale.bound(weight) * (1 + 1e-9)
 
 
-def test_the_steps_of_a_ramp_stay_apart_at_the_least_capacity_of_all():
+def test_the_steps_of_a_slow_start_stay_distinct_at_the_least_capacity():
     scale = Scale(16.0)
     steps = [scale(0.1 * (0.16 + 0.84 * part / 100)) for part in range(101)]
     assert len(set(steps)) == 101 and steps == sorted(steps)
@@ -34,7 +34,7 @@
     return made
 
 
-def test_a_bind_counts_its_table_and_shuts_out_what_was_held(tables):
+def test_a_bind_costs_its_table_and_removes_what_was_held(tables):
     tables.join(5, [A, C])
     assert tables.carry_out(model.BindProxy(0, 0, 5)) == {5: 3}
     lines = tables.advance(5).lines
@@ -43,7 +43,7 @@
     assert tables.advance(5).lines == ()
 
 
-def test_a_withdrawal_reaches_bound_and_loose_holders_only(tables):
+def test_a_withdrawal_concerns_bound_and_unbound_holders_only(tables):
     for number, standing in ((1, [A]), (2, [B]), (3, [])):
         tables.join(number, standing)
     tables.carry_out(model.BindProxy(0, 0, 3))
@@ -54,7 +54,7 @@
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(A, Scale(16.0)(2.0))]
 
 
-def test_what_a_proxy_is_written_follows_the_newest_state_only(tables):
+def test_a_proxy_is_sent_the_newest_state_only(tables):
     tables.join(1, [])
     tables.carry_out(model.BindProxy(0, 0, 1))
     tables.advance(1)
@@ -63,7 +63,7 @@
     assert tables.advance(1).lines == ()
 
 
-def test_proxies_of_a_table_share_one_way_from_state_to_state(tables):
+def test_proxies_of_a_table_share_one_delta(tables):
     for number in (1, 2):
         tables.join(number, [])
         tables.carry_out(model.BindProxy(0, 0, number))
@@ -72,7 +72,7 @@
     assert tables.advance(1) is tables.advance(2)
 
 
-def test_further_servers_that_a_bound_proxy_admits_to_are_shut_out(tables):
+def test_further_initial_servers_of_a_bound_proxy_are_removed(tables):
     tables.join(1, [])
     tables.carry_out(model.BindProxy(0, 0, 1))
     tables.advance(1)
@@ -80,7 +80,7 @@
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(C, 0)]
 
 
-def test_who_left_is_reached_by_nothing(tables):
+def test_a_proxy_that_left_is_concerned_by_no_order(tables):
     tables.join(1, [A])
     tables.carry_out(model.BindProxy(0, 0, 1))
     tables.leave(1)
