--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -178,12 +178,16 @@
     assert post(daemon, body())[0] == 200
 
 
+class Hold:
+    """A message that keeps the event loop from the next ones."""
+
+
 def test_a_busy_director_answers_429_with_retry_after():
     with running(director=", inbox: 100") as daemon:
         released = threading.Event()
-        daemon.core.on_hold = lambda: released.wait(10)
-        daemon.core.put("hold")
-        while daemon.core.put("hold", wait=False):
+        daemon.core.handlers[Hold] = lambda message: released.wait(10)
+        daemon.core.inbox.post(Hold())
+        while daemon.core.inbox.post(Hold(), wait=False):
             pass
         try:
             code, headers, _ = post(daemon, body())
