--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -4,16 +4,19 @@
 import sys
 import time
 
-from rainpick.sasp import codec
-from rainpick.sasp.codec import CONFIDENT, CONTACT, Framer, Group, Member, SendWeights, Weight, Weights
+from rainpick.sasp.constants import CONFIDENT, CONTACT
+from rainpick.sasp.encoding import encode_group, encode_message, encode_send_weights, encode_weight_entry
+from rainpick.sasp.framing import FrameReader
+from rainpick.sasp.messages import Group, Member, SendWeights, WeightEntry, WeightGroup
+from rainpick.sasp.wire import MESSAGE_HEADER
 
 MEMBER = struct.Struct(">HHHHBH16sBBBH")  # weight entry and its member without a label
 
 
 def message(lines: int) -> SendWeights:
     members = (Member.at("127.0.0.1", 9000 + port) for port in range(lines))
-    entries = tuple(Weight(member, 4096, CONTACT | CONFIDENT) for member in members)
-    return SendWeights((Weights(Group("edge-1", "servers"), entries),))
+    entries = tuple(WeightEntry(member, 4096, CONTACT | CONFIDENT) for member in members)
+    return SendWeights((WeightGroup(Group("edge-1", "servers"), entries),))
 
 
 def rate(work, seconds: float = 1.0) -> float:
@@ -30,32 +33,32 @@
     print("frames a second; `struct` packs or unpacks the same fields and checks nothing")
     for lines in (1, 12, 120):
         sent = message(lines)
-        data = codec.write(sent, 7)
-        rows = b"".join(codec.write_entry(entry) for entry in sent.groups[0].entries)
+        data = encode_message(sent, 7)
+        rows = b"".join(encode_weight_entry(entry) for entry in sent.groups[0].entries)
         at = data.index(rows)
 
         def read(data=data):
-            framer = Framer(1 << 20)
+            framer = FrameReader(1 << 20)
             framer.feed(data)
             return framer.next()
 
         def bare_read(data=data, at=at, lines=lines):
-            codec.HEAD.unpack_from(data)
+            MESSAGE_HEADER.unpack_from(data)
             return [MEMBER.unpack_from(data, at + MEMBER.size * line) for line in range(lines)]
 
         fields = [MEMBER.unpack_from(rows, MEMBER.size * line) for line in range(lines)]
 
         def bare_write(fields=fields, data=data):
             rows = b"".join(MEMBER.pack(*row) for row in fields)
-            return codec.HEAD.pack(0x2010, 13, 1, len(data), 7) + rows
+            return MESSAGE_HEADER.pack(0x2010, 13, 1, len(data), 7) + rows
 
-        group = codec.write_group(sent.groups[0].group)
+        group = encode_group(sent.groups[0].group)
 
         def shared(rows=rows, lines=lines, group=group):
-            return codec.send_weights_frame(7, group, lines, rows)
+            return encode_send_weights(7, group, lines, rows)
 
         assert bare_write()[13:] == rows and shared() == data
-        one, two, three = rate(read), rate(lambda: codec.write(sent, 7)), rate(shared)  # noqa: B023
+        one, two, three = rate(read), rate(lambda: encode_message(sent, 7)), rate(shared)  # noqa: B023
         four, five = rate(bare_read), rate(bare_write)
         print(
             f"{lines:4} lines: read {one:9.0f} (struct {four:9.0f}, {four / one:4.1f} times), "
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -5,22 +5,23 @@
 import time
 
 from benchmarks.peers import FLEET, Floor, Proxies, folder, member_stream, row, start_director, wait_for
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member, MemberState, SetMemberState, States
+from rainpick.sasp.constants import CONTACT, QUIESCE, SELF_REGISTERED
+from rainpick.sasp.encoding import encode_group, encode_send_weights, encode_weight_entry
+from rainpick.sasp.messages import Group, Member, MemberState, SetMemberState, StateGroup, WeightEntry
 
 MANY, SERVERS, ROUNDS = 300, 120, 40
 
 
 def said(port: int, on: bool) -> SetMemberState:
-    return SetMemberState((States(FLEET, (MemberState(Member.at("127.0.0.1", port), 0, on),)),))
+    return SetMemberState((StateGroup(FLEET, (MemberState(Member.at("127.0.0.1", port), 0, on),)),))
 
 
 def frames() -> list[bytes]:
     """What a director writes for a drain."""
-    flags = codec.CONTACT | codec.SELF_REGISTERED | codec.QUIESCE
-    entry = codec.write_entry(codec.Weight(Member.at("127.0.0.1", 9000), 0, flags))
-    groups = (codec.write_group(Group(f"edge-{number}", "servers")) for number in range(MANY))
-    return [codec.send_weights_frame(7, group, 1, entry) for group in groups]
+    flags = CONTACT | SELF_REGISTERED | QUIESCE
+    entry = encode_weight_entry(WeightEntry(Member.at("127.0.0.1", 9000), 0, flags))
+    groups = (encode_group(Group(f"edge-{number}", "servers")) for number in range(MANY))
+    return [encode_send_weights(7, group, 1, entry) for group in groups]
 
 
 def main() -> None:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -15,8 +15,10 @@
 import time
 from pathlib import Path
 
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member, Members, Registration, SetLbState
+from rainpick.sasp.constants import MessageType, ReturnCode
+from rainpick.sasp.encoding import encode_message
+from rainpick.sasp.framing import FrameReader
+from rainpick.sasp.messages import Group, Member, MemberGroup, Registration, SetLbState
 from rainpick.standins.day import free_ports
 from rainpick.standins.sasp_client import SaspClient
 
@@ -62,7 +64,7 @@
 
     def __init__(self, place: tuple[str, int], many: int, standing: int = 0):
         self.place, self.selector = place, selectors.DefaultSelector()
-        self.streams: dict[socket.socket, codec.Framer] = {}
+        self.streams: dict[socket.socket, FrameReader] = {}
         self.uids = [f"edge-{number}" for number in range(many)]
         self.held = tuple(Member.at("127.0.0.1", 9000 + port) for port in range(standing))
 
@@ -72,10 +74,10 @@
             sock = socket.create_connection(self.place, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.sendall(
-                codec.write(SetLbState(uid), 1)
-                + codec.write(Registration((Members(Group(uid, "servers"), self.held),), True), 2)
+                encode_message(SetLbState(uid), 1)
+                + encode_message(Registration((MemberGroup(Group(uid, "servers"), self.held),), True), 2)
             )
-            self.streams[sock] = codec.Framer(1 << 22)
+            self.streams[sock] = FrameReader(1 << 22)
             self.selector.register(sock, selectors.EVENT_READ)
 
     def pushed(self, limit_s: float = 30.0) -> list[int]:
@@ -97,17 +99,17 @@
         return found
 
     @staticmethod
-    def has_push(framer: codec.Framer, data: bytes) -> bool:
+    def has_push(framer: FrameReader, data: bytes) -> bool:
         """Looks at types and lengths only: both sides are timed with the same cheap reader."""
-        framer.held += data
+        framer.buffer += data
         seen = False
-        while len(framer.held) >= 15:
-            (length,) = struct.unpack_from(">I", framer.held, 5)
-            if len(framer.held) < length:
+        while len(framer.buffer) >= 15:
+            (length,) = struct.unpack_from(">I", framer.buffer, 5)
+            if len(framer.buffer) < length:
                 break
-            (kind,) = struct.unpack_from(">H", framer.held, 13)
-            seen = seen or kind == codec.SEND_WEIGHTS
-            del framer.held[:length]
+            (kind,) = struct.unpack_from(">H", framer.buffer, 13)
+            seen = seen or kind == MessageType.SEND_WEIGHTS
+            del framer.buffer[:length]
         return seen
 
     def drain_quiet(self, quiet_s: float = 0.3) -> None:
@@ -173,7 +175,7 @@
     client = SaspClient(place)
     for begin in range(ports.start, ports.stop, 500):
         members = tuple(Member.at("127.0.0.1", port, label) for port in ports[begin - ports.start :][:500])
-        assert client.ask(Registration((Members(FLEET, members),))).code == codec.SUCCESS
+        assert client.request(Registration((MemberGroup(FLEET, members),))).code == ReturnCode.SUCCESS
     return client
 
 
--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -18,15 +18,15 @@
 from rainpick.mqtt import codec as mqtt
 from rainpick.publish import payloads
 from rainpick.publish.payloads import Change, Line, Presence
-from rainpick.sasp.codec import (
+from rainpick.sasp.messages import (
     Deregistration,
     Group,
     Member,
-    Members,
+    MemberGroup,
     MemberState,
     Registration,
     SetMemberState,
-    States,
+    StateGroup,
 )
 from rainpick.standins.day import free_ports
 
@@ -102,11 +102,11 @@
     """A third of the servers, three at a time: drained, gone, back with a new start."""
     for first in range(0, SERVERS // 3, 3):
         group = [Member.at("127.0.0.1", 9000 + port) for port in range(first, first + 3)]
-        fleet.ask(SetMemberState((States(FLEET, tuple(MemberState(one, 0, True) for one in group)),)))
+        fleet.request(SetMemberState((StateGroup(FLEET, tuple(MemberState(one, 0, True) for one in group)),)))
         turn(0.3)
-        fleet.ask(Deregistration((Members(FLEET, tuple(group)),)))
+        fleet.request(Deregistration((MemberGroup(FLEET, tuple(group)),)))
         fresh = tuple(one._replace(label="boot=2;age=0") for one in group)
-        fleet.ask(Registration((Members(FLEET, fresh),)))
+        fleet.request(Registration((MemberGroup(FLEET, fresh),)))
         turn(0.1)
 
 
@@ -205,7 +205,9 @@
             proxies.turn(0.01)
         held = {sock: digest for sock, (digest, _) in proxies.digests.items()}
         start = time.monotonic_ns()
-        fleet.send(SetMemberState((States(FLEET, (MemberState(Member.at("127.0.0.1", port), 0, True),)),)))
+        fleet.send(
+            SetMemberState((StateGroup(FLEET, (MemberState(Member.at("127.0.0.1", port), 0, True),)),))
+        )
         while any(proxies.digests[sock][0] == digest for sock, digest in held.items()):
             proxies.turn(1.0)
         ours.append((max(moment for _, moment in proxies.digests.values()) - start) / 1e6)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -5,26 +5,27 @@
 import time
 
 from benchmarks.peers import Floor, Proxies, folder, launch, member_stream, row, start_director, wait_for
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member
+from rainpick.sasp.constants import CONFIDENT, CONTACT, SELF_REGISTERED
+from rainpick.sasp.encoding import encode_group, encode_message, encode_send_weights, encode_weight_entry
+from rainpick.sasp.messages import Group, Member, MemberGroup, Registration, SetLbState, WeightEntry
 
 MANY, SERVERS, ROUNDS = 300, 120, 7
 
 
 def frames() -> list[bytes]:
-    flags = codec.CONTACT | codec.SELF_REGISTERED | codec.CONFIDENT
+    flags = CONTACT | SELF_REGISTERED | CONFIDENT
     entries = b"".join(
-        codec.write_entry(codec.Weight(Member.at("127.0.0.1", 9000 + port), 4096, flags))
+        encode_weight_entry(WeightEntry(Member.at("127.0.0.1", 9000 + port), 4096, flags))
         for port in range(SERVERS)
     )
-    groups = (codec.write_group(Group(f"edge-{number}", "servers")) for number in range(MANY))
-    return [codec.send_weights_frame(7, group, SERVERS, entries) for group in groups]
+    groups = (encode_group(Group(f"edge-{number}", "servers")) for number in range(MANY))
+    return [encode_send_weights(7, group, SERVERS, entries) for group in groups]
 
 
 def hello() -> int:
     """Bytes of the two requests of the proxy with the shortest UID: all of them have come by then."""
-    return len(codec.write(codec.SetLbState("edge-0"))) + len(
-        codec.write(codec.Registration((codec.Members(Group("edge-0", "servers")),), True))
+    return len(encode_message(SetLbState("edge-0"))) + len(
+        encode_message(Registration((MemberGroup(Group("edge-0", "servers")),), True))
     )
 
 
--- a/rainpick/cli/verdict_output.py
+++ b/rainpick/cli/verdict_output.py
@@ -11,7 +11,7 @@
 
 from rainpick.cli.terminal import print_rich
 from rainpick.rules import Rule, Verdict, read_logs
-from rainpick.sasp import codec
+from rainpick.sasp.constants import CONTACT
 
 BARS = " ▁▂▃▄▅▆▇█"
 CHART_SERVERS = 6
@@ -116,7 +116,7 @@
             continue
         for server, weight, flags in event["m"]:
             weights = weights_by_proxy[server]
-            if weight or flags & codec.CONTACT:
+            if weight or flags & CONTACT:
                 weights[event["p"]] = weight
             else:
                 weights.pop(event["p"], None)
--- a/rainpick/cli/weights_output.py
+++ b/rainpick/cli/weights_output.py
@@ -7,18 +7,27 @@
 
 import click
 
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group
+from rainpick.sasp.constants import (
+    CONFIDENT,
+    CONTACT,
+    NO_CHANGE,
+    PUSH,
+    QUIESCE,
+    SELF_REGISTERED,
+    TRUST,
+    ReturnCode,
+)
+from rainpick.sasp.messages import GetWeights, Group, MemberGroup, Registration, SetLbState, WeightGroup
 from rainpick.standins.sasp_client import SaspClient
 
 FIRST_WEIGHTS_S = 2.0  # how long the first weights are waited for while there are none
 POLL_S = 0.05
 PUSH_WAIT_S = 3600.0
 FLAG_NAMES = {
-    codec.CONTACT: "contact",
-    codec.QUIESCE: "quiesce",
-    codec.CONFIDENT: "confident",
-    codec.SELF_REGISTERED: "self-registered",
+    CONTACT: "contact",
+    QUIESCE: "quiesce",
+    CONFIDENT: "confident",
+    SELF_REGISTERED: "self-registered",
 }
 
 
@@ -32,7 +41,7 @@
             _print_groups(_first_weights(client, group), as_json)
             return
         while True:
-            for message in client.weights(PUSH_WAIT_S):
+            for message in client.receive_weights(PUSH_WAIT_S):
                 _print_groups(message.groups, as_json)
     except KeyboardInterrupt:
         return
@@ -42,18 +51,18 @@
 
 def _join(client: SaspClient, group: Group, follow: bool) -> None:
     """Register as a load balancer. ``follow``: weights are pushed, and only those that changed."""
-    flags = codec.TRUST | (codec.PUSH | codec.NO_CHANGE if follow else 0)
-    requests: tuple[codec.SetLbState | codec.Registration, ...] = (
-        codec.SetLbState(group.uid, flags=flags),
-        codec.Registration((codec.Members(group),), True),
+    flags = TRUST | (PUSH | NO_CHANGE if follow else 0)
+    requests: tuple[SetLbState | Registration, ...] = (
+        SetLbState(group.uid, flags=flags),
+        Registration((MemberGroup(group),), True),
     )
     for request in requests:
-        reply = client.ask(request)
-        if reply.code != codec.SUCCESS:
+        reply = client.request(request)
+        if reply.code != ReturnCode.SUCCESS:
             raise ConnectionAbortedError(f"{type(request).__name__} is refused: {reply.code:#04x}")
 
 
-def _first_weights(client: SaspClient, group: Group) -> tuple[codec.Weights, ...]:
+def _first_weights(client: SaspClient, group: Group) -> tuple[WeightGroup, ...]:
     """Poll until there are weights: who has just joined has none before the next step of the decisions."""
     deadline = time.monotonic() + FIRST_WEIGHTS_S
     groups = _poll(client, group)
@@ -63,12 +72,12 @@
     return groups
 
 
-def _poll(client: SaspClient, group: Group) -> tuple[codec.Weights, ...]:
-    reply = client.ask(codec.GetWeights((group,)))
+def _poll(client: SaspClient, group: Group) -> tuple[WeightGroup, ...]:
+    reply = client.request(GetWeights((group,)))
     return reply.groups
 
 
-def _print_groups(groups: tuple[codec.Weights, ...], as_json: bool) -> None:
+def _print_groups(groups: tuple[WeightGroup, ...], as_json: bool) -> None:
     """Print the entries of one message: a line each, or all of them as one line of JSON."""
     rows = [(*entry.member.key(), entry.weight, entry.flags) for group in groups for entry in group.entries]
     if as_json:
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -38,15 +38,15 @@
 from rainpick.director.status import StatusReader
 from rainpick.director.table_actions import TableActions
 from rainpick.mqtt.session import PacketReader
-from rainpick.net import Ended
-from rainpick.otlp.metrics import Batch
-from rainpick.sasp.session import Asked, Refused
+from rainpick.net import StreamEnded
+from rainpick.otlp.decoding import Batch
+from rainpick.sasp.session import AcceptedRequest, RejectedRequest
 from rainpick.settings import Settings
 
 CHECK_INTERVAL_US = 250_000  # between searches for slow peers
 MAX_IDLE_US = 1_000_000  # the longest wait for a message
-SASP_REQUESTS = (Asked, Refused)
-SASP_EVENTS = (Asked, Refused, Ended)
+SASP_REQUESTS = (AcceptedRequest, RejectedRequest)
+SASP_EVENTS = (AcceptedRequest, RejectedRequest, StreamEnded)
 
 
 def make_evidence(settings: Settings) -> Evidence:
@@ -177,7 +177,7 @@
         stream = message.stream
         if not self.sessions.open(stream):
             return
-        if isinstance(stream.end, PacketReader):
+        if isinstance(stream.parser, PacketReader):
             self.mqtt.open(stream)
         stream.start()
 
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -30,8 +30,8 @@
 from rainpick.http1.server import Server
 from rainpick.mqtt.session import PacketReader
 from rainpick.net.streams import Listener, Stream
-from rainpick.otlp.receiver import receiver
-from rainpick.sasp.session import DirectorEnd
+from rainpick.otlp.receiver import metrics_handler
+from rainpick.sasp.session import DirectorSession
 from rainpick.settings import Settings, SettingsError
 
 Address = tuple[str, int]
@@ -93,19 +93,19 @@
         """The HTTP frontend of ``/status``."""
         handler = status_handler(self.core.inbox)
         address = self.settings.listen.status
-        return Server("status", address, handler, connections_most=MAX_STATUS_CONNECTIONS)
+        return Server("status", address, handler, max_connections=MAX_STATUS_CONNECTIONS)
 
     def listen_otlp(self) -> Server:
         """The HTTP frontend of load reports."""
         otlp = self.settings.otlp
-        handler = receiver(self.core.receive_report)
+        handler = metrics_handler(self.core.receive_report)
         address = self.settings.listen.otlp
         return Server("otlp", address, handler, otlp.body_most, otlp.connections_most, otlp.idle / 1e6)
 
     def listen_sasp(self) -> Listener:
         """The frontend of members and proxies over SASP."""
         frame_most = self.settings.sasp.frame_most
-        opener = self.stream_opener(lambda: DirectorEnd(frame_most))
+        opener = self.stream_opener(lambda: DirectorSession(frame_most))
         return Listener(self.settings.listen.sasp, self.backlog(), opener)
 
     def listen_mqtt(self) -> Listener | None:
@@ -121,7 +121,7 @@
         return min(MAX_BACKLOG, self.settings.sasp.streams_most)
 
     def stream_opener(
-        self, make_end: Callable[[], DirectorEnd | PacketReader]
+        self, make_end: Callable[[], DirectorSession | PacketReader]
     ) -> Callable[[socket.socket, str], None]:
         """What a listener does with an accepted socket: hand it to the event loop as a stream."""
         inbox = self.core.inbox
--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -42,7 +42,7 @@
         if not stream.write(data, message):
             self.sessions.disconnect(session, "more waits for it than is held")
             return
-        if stream.rest:
+        if stream.unsent:
             self.mark_stalled(session)
         self.undelivered.add(stream.number)
 
@@ -66,8 +66,8 @@
     def retry_write(self, number: int, now: int) -> None:
         """Write what is left to a socket that took too little; disconnect after ``sasp.write_stall``."""
         stream, session = self.sessions.streams[number], self.sessions.by_stream[number]
-        stream.pump()
-        if not stream.rest:
+        stream.flush()
+        if not stream.unsent:
             self.stalled.discard(number)
             self.set_blocked(session, not self.has_send_quota(stream))
             return
@@ -83,9 +83,9 @@
         if stream is None:
             self.undelivered.discard(number)
             return
-        newest = stream.delivered()
+        newest = stream.newest_delivered()
         session = self.sessions.by_stream.get(number)
         if newest is not None and session is not None:
             self.context.started_engine.delivered(session.number, newest)
-        if not stream.marks:
+        if not stream.pending:
             self.undelivered.discard(number)
--- a/rainpick/director/member_labels.py
+++ b/rainpick/director/member_labels.py
@@ -8,8 +8,8 @@
 
 from typing import NamedTuple
 
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Member
+from rainpick.sasp.constants import ReturnCode
+from rainpick.sasp.messages import Member
 from rainpick.settings.fleet import Match
 from rainpick.settings.model import Settings
 
@@ -43,7 +43,8 @@
         key, equals, value = assignment.partition("=")
         if not equals or key not in LABEL_KEYS or key in values:
             raise RejectedMemberError(
-                codec.NOT_UNDERSTOOD, f"label {assignment!r}: known once each are {', '.join(LABEL_KEYS)}"
+                ReturnCode.NOT_UNDERSTOOD,
+                f"label {assignment!r}: known once each are {', '.join(LABEL_KEYS)}",
             )
         values[key] = value
     return values
@@ -71,15 +72,17 @@
         try:
             description = self.combine(member, values)
         except (ValueError, OverflowError) as error:
-            raise RejectedMemberError(codec.NOT_ACCEPTED, f"label {member.label!r}: {error}") from None
+            raise RejectedMemberError(ReturnCode.NOT_ACCEPTED, f"label {member.label!r}: {error}") from None
         weight, max_weight = description.weight, self.settings.fleet.weight_most
         if not 0 < weight <= max_weight:
             raise RejectedMemberError(
-                codec.NOT_ACCEPTED, f"weight {weight} is not over 0 and at most {max_weight}"
+                ReturnCode.NOT_ACCEPTED, f"weight {weight} is not over 0 and at most {max_weight}"
             )
         negative_age = description.age_us is not None and description.age_us < 0
         if not 0 <= description.pod <= MAX_POD or negative_age:
-            raise RejectedMemberError(codec.NOT_ACCEPTED, f"label {member.label!r}: pod or age out of range")
+            raise RejectedMemberError(
+                ReturnCode.NOT_ACCEPTED, f"label {member.label!r}: pod or age out of range"
+            )
         return description
 
     def combine(self, member: Member, values: dict[str, str]) -> Description:
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -11,8 +11,8 @@
 from rainpick import model
 from rainpick.director.addresses import Key, format_address
 from rainpick.director.member_labels import Description, MemberDescriber, RejectedMemberError
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member
+from rainpick.sasp.constants import ReturnCode
+from rainpick.sasp.messages import Group, Member, MemberState
 from rainpick.settings.model import Settings
 
 MAX_SETTLES = 10  # settle times after which a fleet that keeps growing is not waited for any longer
@@ -70,9 +70,9 @@
     def check_group(self, group: Group) -> None:
         """``RejectedMemberError`` for any group but the fleet's."""
         if group.uid != self.group.uid:
-            raise RejectedMemberError(codec.UNKNOWN_LB, f"members register under {self.group.uid!r}")
+            raise RejectedMemberError(ReturnCode.UNKNOWN_LB, f"members register under {self.group.uid!r}")
         if group.name != self.group.name:
-            raise RejectedMemberError(codec.INVALID_GROUP, f"the group is {self.group.name!r}")
+            raise RejectedMemberError(ReturnCode.INVALID_GROUP, f"the group is {self.group.name!r}")
 
     def register(self, stream: int, group: Group, members: tuple[Member, ...], now: int) -> None:
         """Register all of the members or, when one is rejected, none."""
@@ -81,11 +81,11 @@
         new_servers = sum(key not in self.servers for key, _ in described)
         max_members = self.settings.fleet.members_most
         if len(self.servers) + new_servers > max_members:
-            raise RejectedMemberError(codec.NOT_ACCEPTED, f"{max_members} members are the most")
+            raise RejectedMemberError(ReturnCode.NOT_ACCEPTED, f"{max_members} members are the most")
         for key, _ in described:
             if key in self.servers and self.servers[key].owner == stream:
                 raise RejectedMemberError(
-                    codec.ALREADY_REGISTERED, f"{format_address(key)} is registered on this stream"
+                    ReturnCode.ALREADY_REGISTERED, f"{format_address(key)} is registered on this stream"
                 )
         for key, description in described:
             self.register_server(stream, key, description, now)
@@ -122,7 +122,9 @@
         """The server that a stream registered; ``RejectedMemberError`` if it did not."""
         server = self.servers.get(key)
         if server is None or server.owner != stream:
-            raise RejectedMemberError(codec.NOT_REGISTERED, f"{format_address(key)} is not of this stream")
+            raise RejectedMemberError(
+                ReturnCode.NOT_REGISTERED, f"{format_address(key)} is not of this stream"
+            )
         return server
 
     def deregister(self, stream: int, group: Group, members: tuple[Member, ...]) -> None:
@@ -135,7 +137,7 @@
         for server in leaving:
             self.remove_registration(server)
 
-    def set_state(self, stream: int, group: Group, states: tuple[codec.MemberState, ...]) -> None:
+    def set_state(self, stream: int, group: Group, states: tuple[MemberState, ...]) -> None:
         """Quiesce or resume servers of a stream: all of them or, when one is rejected, none."""
         self.check_group(group)
         changes = [(self.owned(stream, state.member.key()), state) for state in states]
--- a/rainpick/director/messages.py
+++ b/rainpick/director/messages.py
@@ -12,13 +12,13 @@
 
 from rainpick.director.membership import FileEntry
 from rainpick.mqtt.codec import MqttError, Packet
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.net.streams import Stream
-from rainpick.otlp.metrics import Batch
-from rainpick.sasp.session import Asked, Refused
+from rainpick.otlp.decoding import Batch
+from rainpick.sasp.session import AcceptedRequest, RejectedRequest
 
 AnswerT = TypeVar("AnswerT")
-StreamEvent = Asked | Refused | Ended | Packet | MqttError
+StreamEvent = AcceptedRequest | RejectedRequest | StreamEnded | Packet | MqttError
 TableAction = Literal["show", "pin", "rollback", "release"]
 
 
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -23,11 +23,11 @@
 from rainpick.mqtt import codec
 from rainpick.mqtt.codec import MqttError, Packet
 from rainpick.mqtt.session import Acked, Joined, Over, Said, Unwants, Wants
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.net.streams import Stream
 from rainpick.publish import payloads
 from rainpick.publish.payloads import Met, PayloadError, Presence, Trouble
-from rainpick.sasp.codec import NO_CHANGE, PUSH, TRUST
+from rainpick.sasp.constants import NO_CHANGE, PUSH, TRUST
 
 CLIENT_IDENTIFIER = re.compile(r"[^/+#\x00]{1,64}")
 PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # what a proxy over MQTT would set over SASP
@@ -74,12 +74,12 @@
         """A stream ends."""
         self.connections.pop(stream.number, None)
 
-    def receive(self, stream: Stream, event: Packet | MqttError | Ended) -> None:
+    def receive(self, stream: Stream, event: Packet | MqttError | StreamEnded) -> None:
         """Handle what the reader of a stream delivers."""
         connection = self.connections[stream.number]
         connection.received_us = self.context.clock()
-        if isinstance(event, Ended):
-            self.sessions.close(stream, event.why)
+        if isinstance(event, StreamEnded):
+            self.sessions.close(stream, event.reason)
             return
         if isinstance(event, MqttError):
             self.counts.rejected += 1
@@ -250,7 +250,7 @@
             overdue = since_us is not None and now - since_us > self.settings.mqtt.ack_within
             if session is not None and overdue:
                 self.sessions.disconnect(session, "it acknowledges nothing")
-            elif session is None and connection.stream.rest:
+            elif session is None and connection.stream.unsent:
                 self.retry_observer(connection, now)
 
     @staticmethod
@@ -263,8 +263,8 @@
     def retry_observer(self, connection: MqttConnection, now: int) -> None:
         """Write to an observer whose socket took too little; close it after ``sasp.write_stall``."""
         stream = connection.stream
-        stream.pump()
-        connection.stalled_since_us = (connection.stalled_since_us or now) if stream.rest else None
+        stream.flush()
+        connection.stalled_since_us = (connection.stalled_since_us or now) if stream.unsent else None
         since_us = connection.stalled_since_us
         if since_us is not None and now - since_us > self.settings.sasp.write_stall:
             self.sessions.close(stream, "it does not read")
--- a/rainpick/director/mqtt_sender.py
+++ b/rainpick/director/mqtt_sender.py
@@ -101,7 +101,7 @@
         if session is not None:
             if not within_backlog:
                 self.sessions.disconnect(session, "more waits for it than is held")
-            elif stream.rest and self.context.engine is not None and session.joined:
+            elif stream.unsent and self.context.engine is not None and session.joined:
                 self.delivery.mark_stalled(session)
         elif not within_backlog:
             self.sessions.close(stream, "it does not read")
@@ -119,7 +119,7 @@
         for connection in list(self.connections.values()):
             if not connection.end.accepted or connection.stream.number in self.sessions.by_stream:
                 continue
-            if connection.stream.rest or not is_observer(connection, is_proxy=False):
+            if connection.stream.unsent or not is_observer(connection, is_proxy=False):
                 continue
             queue_newest_tables(connection, engine, self.writer)
             self.send(connection)
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -15,17 +15,33 @@
 from rainpick.director.membership import Membership
 from rainpick.director.sessions import REQUEST_TIMES, ProxySession, Sessions
 from rainpick.director.weight_entries import WeightEntryEncoder
-from rainpick.net import Ended
+from rainpick.net import StreamEnded
 from rainpick.net.streams import Stream
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Deregistration, GetWeights, Group, Registration, SetLbState, SetMemberState
-from rainpick.sasp.session import Asked, Refused, reply
+from rainpick.sasp.constants import NO_CHANGE, TRUST, MessageType, ReturnCode
+from rainpick.sasp.encoding import (
+    encode_frame,
+    encode_message,
+    encode_reply,
+    encode_send_weights,
+    encode_weight_group,
+)
+from rainpick.sasp.messages import (
+    Deregistration,
+    GetWeights,
+    GetWeightsReply,
+    Group,
+    Registration,
+    SetLbState,
+    SetMemberState,
+)
+from rainpick.sasp.session import AcceptedRequest, RejectedRequest
+from rainpick.sasp.wire import UINT8, UINT16
 
 MemberRequest = Registration | Deregistration | SetMemberState
 REQUEST_TYPES: dict[type, int] = {
-    Registration: codec.REGISTRATION,
-    Deregistration: codec.DEREGISTRATION,
-    SetMemberState: codec.SET_MEMBER_STATE,
+    Registration: MessageType.REGISTRATION,
+    Deregistration: MessageType.DEREGISTRATION,
+    SetMemberState: MessageType.SET_MEMBER_STATE,
 }
 MAX_MESSAGE = 0x7FFFFFFF  # message ids of pushes stay positive
 MIN_REQUEST_TIMES = REQUEST_TIMES - 1  # a proxy with fewer has not shown that it polls
@@ -45,21 +61,21 @@
 
     # Requests
 
-    def receive(self, stream: Stream, event: Asked | Refused | Ended) -> None:
+    def receive(self, stream: Stream, event: AcceptedRequest | RejectedRequest | StreamEnded) -> None:
         """Handle what the reader of a stream delivers."""
-        if isinstance(event, Asked):
+        if isinstance(event, AcceptedRequest):
             self.sessions.identified(stream)
             self.carry_out(stream, event)
-        elif isinstance(event, Refused):
+        elif isinstance(event, RejectedRequest):
             self.sessions.counts.rejected += 1
-            self.log.warning("request rejected", peer=stream.peer, why=event.why, code=event.code)
-            stream.write(event.data)
+            self.log.warning("request rejected", peer=stream.peer, why=event.reason, code=event.code)
+            stream.write(event.reply)
         else:
             if event.data:
                 stream.write(event.data)
-            self.sessions.close(stream, event.why)
+            self.sessions.close(stream, event.reason)
 
-    def carry_out(self, stream: Stream, request: Asked) -> None:
+    def carry_out(self, stream: Stream, request: AcceptedRequest) -> None:
         """Carry out a request and answer it."""
         session = self.sessions.by_stream.get(stream.number)
         if session is not None:
@@ -67,15 +83,15 @@
         message = request.message
         if isinstance(message, SetLbState):
             code = self.set_lb_state(stream, message)
-            stream.write(reply(codec.SET_LB_STATE, request.number, code))
+            stream.write(encode_reply(MessageType.SET_LB_STATE, request.message_id, code))
         elif isinstance(message, GetWeights):
-            self.get_weights(self.sessions.by_stream[stream.number], request.number, message)
+            self.get_weights(self.sessions.by_stream[stream.number], request.message_id, message)
         elif isinstance(message, Registration) and message.from_lb:
-            self.register_group(self.sessions.by_stream[stream.number], request.number, message)
+            self.register_group(self.sessions.by_stream[stream.number], request.message_id, message)
         elif isinstance(message, Deregistration) and message.from_lb:
-            self.deregister_group(self.sessions.by_stream[stream.number], request.number, message)
+            self.deregister_group(self.sessions.by_stream[stream.number], request.message_id, message)
         elif isinstance(message, MemberRequest):
-            self.carry_out_member_request(stream, request.number, message)
+            self.carry_out_member_request(stream, request.message_id, message)
         if session is not None:
             session.replied_since_push = True
 
@@ -83,12 +99,12 @@
         """Change the endpoint list as a member asks, and answer with success or the code of the rejection."""
         try:
             self.change_membership(stream.number, message)
-            code = codec.SUCCESS
+            code: int = ReturnCode.SUCCESS
         except RejectedMemberError as error:
             self.sessions.counts.rejected += 1
             self.log.warning("request rejected", peer=stream.peer, why=str(error), code=error.code)
             code = error.code
-        stream.write(reply(REQUEST_TYPES[type(message)], number, code))
+        stream.write(encode_reply(REQUEST_TYPES[type(message)], number, code))
 
     def change_membership(self, stream: int, message: MemberRequest) -> None:
         """Apply each group of a request; ``RejectedMemberError`` at the first one that can't be."""
@@ -107,16 +123,16 @@
 
     def set_lb_state(self, stream: Stream, message: SetLbState) -> int:
         """Open a proxy's session or change its flags; the return code."""
-        if not message.flags & codec.TRUST:
+        if not message.flags & TRUST:
             self.log.warning(
                 "request rejected",
                 peer=stream.peer,
                 proxy=message.uid,
                 why="without the trust flag no server that registered itself may be named to it",
             )
-            return codec.NOT_ACCEPTED
+            return ReturnCode.NOT_ACCEPTED
         if message.uid == self.settings.fleet.uid:
-            return codec.NOT_ACCEPTED
+            return ReturnCode.NOT_ACCEPTED
         session = self.sessions.by_stream.get(stream.number)
         if session is None:
             session = self.sessions.open_session(stream, message.uid, message.flags, over_mqtt=False)
@@ -124,43 +140,43 @@
         if self.context.engine is not None and session.joined:
             blocked = not session.accepts_push or session.blocked_since_us is not None
             self.context.engine.set_blocked(session.number, blocked)
-        return codec.SUCCESS
+        return ReturnCode.SUCCESS
 
     def register_group(self, session: ProxySession, number: int, message: Registration) -> None:
         """A proxy registers its group and names the servers that it holds already."""
         code = self.registration_code(session, message)
-        session.stream.write(reply(codec.REGISTRATION, number, code))
-        if code == codec.SUCCESS and self.context.engine is not None:
+        session.stream.write(encode_reply(MessageType.REGISTRATION, number, code))
+        if code == ReturnCode.SUCCESS and self.context.engine is not None:
             self.sessions.join(session)
 
     def registration_code(self, session: ProxySession, message: Registration) -> int:
         """Note the group and the servers of a registration; the return code."""
         if any(members.group.name != self.settings.fleet.group for members in message.groups):
-            return codec.INVALID_GROUP
+            return ReturnCode.INVALID_GROUP
         servers = [member.key() for members in message.groups for member in members.members]
         if session.registered and session.initial_servers.issuperset(servers):
-            return codec.ALREADY_REGISTERED
+            return ReturnCode.ALREADY_REGISTERED
         session.registered = True
         session.initial_servers |= frozenset(servers)
-        return codec.SUCCESS
+        return ReturnCode.SUCCESS
 
     def deregister_group(self, session: ProxySession, number: int, message: Deregistration) -> None:
         """A proxy deregisters its group, or some servers of it: those it goes on being sent."""
         code = self.deregistration_code(session, message)
-        session.stream.write(reply(codec.DEREGISTRATION, number, code))
+        session.stream.write(encode_reply(MessageType.DEREGISTRATION, number, code))
 
     def deregistration_code(self, session: ProxySession, message: Deregistration) -> int:
         """Remove the group of a proxy if the request names no servers; the return code."""
         if any(members.group.name != self.settings.fleet.group for members in message.groups):
-            return codec.UNKNOWN_GROUP
+            return ReturnCode.UNKNOWN_GROUP
         if not session.registered:
-            return codec.UNKNOWN_GROUP
+            return ReturnCode.UNKNOWN_GROUP
         if not any(members.members for members in message.groups):
             session.registered = session.joined = False
             session.initial_servers = frozenset()
             if self.context.engine is not None:
                 self.context.engine.left(session.number)
-        return codec.SUCCESS
+        return ReturnCode.SUCCESS
 
     def get_weights(self, session: ProxySession, number: int, message: GetWeights) -> None:
         """Answer a poll: what has changed if the proxy only polls and wants only that, else everything."""
@@ -168,21 +184,21 @@
         engine = self.context.engine
         group = Group(session.uid, self.settings.fleet.group)
         if any(requested != group for requested in message.groups) or not session.registered:
-            answer = codec.GetWeightsReply(codec.UNKNOWN_GROUP, interval)
-            session.stream.write(codec.write(answer, number))
+            answer = GetWeightsReply(ReturnCode.UNKNOWN_GROUP, interval)
+            session.stream.write(encode_message(answer, number))
             return
         if engine is None:
-            session.stream.write(codec.write(codec.GetWeightsReply(codec.SUCCESS, interval), number))
+            session.stream.write(encode_message(GetWeightsReply(ReturnCode.SUCCESS, interval), number))
             return
         if not session.accepts_push and session.last_message:
             # It polls again, so it has read the last answer.
             engine.delivered(session.number, session.last_message)
         answered, delta = engine.poll(session.number)
-        only_changes = not session.accepts_push and session.flags & codec.NO_CHANGE and session.last_message
+        only_changes = not session.accepts_push and session.flags & NO_CHANGE and session.last_message
         lines = delta.lines if only_changes else engine.tables.all_lines(session.number)
-        fixed = codec.BYTE.pack(codec.SUCCESS) + codec.SHORT.pack(interval) + codec.SHORT.pack(1)
-        rows = codec.group_of_weights(session.encoded_group, len(lines), self.encoder.encode(lines))
-        data = codec.frame(number, codec.GET_WEIGHTS_REPLY, fixed, rows)
+        fixed = UINT8.pack(ReturnCode.SUCCESS) + UINT16.pack(interval) + UINT16.pack(1)
+        rows = encode_weight_group(session.encoded_group, len(lines), self.encoder.encode(lines))
+        data = encode_frame(number, MessageType.GET_WEIGHTS_REPLY, fixed, rows)
         if session.accepts_push:
             self.delivery.send(session, data, answered)
         else:
@@ -192,7 +208,7 @@
     def push(self, session: ProxySession, write: Write, now: int) -> None:
         """Send a proxy what the engine has for it, without waiting."""
         withdrawn, others = write.way
-        if not session.flags & codec.NO_CHANGE:  # it wants all lines each time
+        if not session.flags & NO_CHANGE:  # it wants all lines each time
             snapshot = self.context.started_engine.tables.proxies[write.proxy].snapshot
             withdrawn = tuple([line for line in withdrawn if line.server not in snapshot.lines])
             others = snapshot.whole()
@@ -200,7 +216,7 @@
             session.unconfirmed_since_us, session.replied_since_push = now, False
         session.last_message = (session.last_message + 1) & MAX_MESSAGE
         rows = self.encoder.encode(withdrawn) + self.encoder.encode(others)
-        frame = codec.send_weights_frame(
+        frame = encode_send_weights(
             session.last_message, session.encoded_group, len(withdrawn) + len(others), rows
         )
         self.delivery.send(session, frame, write.number)
@@ -208,7 +224,7 @@
     # Proxies that do not read
 
     def confirm_reading(self, session: ProxySession) -> None:
-        """A proxy that polls has read the previous reply, and all that was written before that."""
+        """A proxy that polls has read the previous encode_reply, and all that was written before that."""
         session.request_times_us.append(self.context.clock())
         if session.replied_since_push:
             session.unconfirmed_since_us = None
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -18,9 +18,10 @@
 from rainpick.director.proxies import Proxies
 from rainpick.director.snapshots import Snapshot
 from rainpick.net.streams import Stream
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group
-from rainpick.sasp.session import DirectorEnd
+from rainpick.sasp.constants import PUSH
+from rainpick.sasp.encoding import encode_group
+from rainpick.sasp.messages import Group
+from rainpick.sasp.session import DirectorSession
 
 REQUEST_TIMES = 4  # of a session that are remembered, to know at which interval it polls
 
@@ -48,7 +49,7 @@
     @property
     def accepts_push(self) -> bool:
         """Whether it wants weights pushed; otherwise it polls."""
-        return bool(self.flags & codec.PUSH)
+        return bool(self.flags & PUSH)
 
 
 @dataclass(slots=True)
@@ -122,7 +123,7 @@
         if session is not None:
             self.leave(session)
             log.info("proxy left", proxy=session.uid, why=why)
-        elif isinstance(stream.end, DirectorEnd) and stream.end.is_member:
+        elif isinstance(stream.parser, DirectorSession) and stream.parser.is_member:
             self.membership.stream_broke(stream.number, now)
             log.info("member stream ended", peer=stream.peer, why=why)
         else:
@@ -144,7 +145,7 @@
             for listener in self.replacing_listeners:
                 listener(older.stream)
             self.close(older.stream, "another stream has the same LB UID")
-        group = codec.write_group(Group(uid, self.context.settings.fleet.group))
+        group = encode_group(Group(uid, self.context.settings.fleet.group))
         session = ProxySession(uid, self.proxies.number(uid), stream, flags, group, over_mqtt)
         self.by_stream[stream.number] = self.by_uid[uid] = self.by_number[session.number] = session
         return session
--- a/rainpick/director/snapshots.py
+++ b/rainpick/director/snapshots.py
@@ -11,14 +11,14 @@
 from xxhash import xxh3_64_hexdigest
 
 from rainpick.director.addresses import Key
-from rainpick.sasp import codec
+from rainpick.sasp.constants import CONFIDENT, CONTACT, MAX_WEIGHT, QUIESCE, SELF_REGISTERED
 
 WeightAndFlags = tuple[int, int]
 Lines = dict[Key, WeightAndFlags]
 
-OPEN = codec.CONTACT | codec.CONFIDENT | codec.SELF_REGISTERED  # may be sent requests
-SHUT = codec.CONTACT | codec.SELF_REGISTERED | codec.QUIESCE  # withdrawn, though it stands in the table
-OUT = codec.SELF_REGISTERED  # not in the table any more, and nobody vouches for it
+OPEN = CONTACT | CONFIDENT | SELF_REGISTERED  # may be sent requests
+SHUT = CONTACT | SELF_REGISTERED | QUIESCE  # withdrawn, though it stands in the table
+OUT = SELF_REGISTERED  # not in the table any more, and nobody vouches for it
 
 MAX_DELTAS = 8  # from one snapshot that are cached; proxies that lag behind come from few snapshots
 
@@ -44,13 +44,13 @@
     """
 
     def __init__(self, most: float):
-        self.factor: float = codec.WEIGHT_MOST / most
+        self.factor: float = MAX_WEIGHT / most
 
     def __call__(self, weight: float) -> int:
         """A weight as 16 bits; 0 for a server that is not to be sent anything."""
         if weight <= 0:
             return 0
-        return min(codec.WEIGHT_MOST, max(1, round(weight * self.factor)))
+        return min(MAX_WEIGHT, max(1, round(weight * self.factor)))
 
     def bound(self, weight: float) -> float:
         """The largest relative error of this weight."""
--- a/rainpick/director/status_frontend.py
+++ b/rainpick/director/status_frontend.py
@@ -8,14 +8,14 @@
 
 from rainpick.director.inbox import Inbox
 from rainpick.director.messages import StatusQuery, TableAction, TableActionRequest
-from rainpick.http1.server import Answer, Asked
+from rainpick.http1.messages import Request, Response
 
 TABLE_ACTIONS: frozenset[str] = frozenset(get_args(TableAction))
 
 
-def error_answer(status: int, why: str) -> Answer:
+def error_answer(status: int, why: str) -> Response:
     """An error as a JSON object."""
-    return Answer(status, json.dumps({"error": why}).encode())
+    return Response(status, json.dumps({"error": why}).encode())
 
 
 def is_table_action(name: str) -> TypeGuard[TableAction]:
@@ -23,7 +23,7 @@
     return name in TABLE_ACTIONS
 
 
-def answer_table_request(inbox: Inbox, action: str, request: Asked) -> Answer:
+def answer_table_request(inbox: Inbox, action: str, request: Request) -> Response:
     """POST /tables/ACTION with the parameters as a JSON object."""
     if not is_table_action(action):
         return error_answer(404, "show, pin, rollback and release can be done")
@@ -38,23 +38,23 @@
     result = inbox.query(TableActionRequest(action, parameters))
     if result is None:
         return error_answer(503, "the director is busy")
-    return Answer(result.status, json.dumps(result.document).encode())
+    return Response(result.status, json.dumps(result.document).encode())
 
 
-def answer_status_request(inbox: Inbox, request: Asked) -> Answer:
+def answer_status_request(inbox: Inbox, request: Request) -> Response:
     """GET /status."""
     if request.method != "GET":
         return error_answer(405, "GET is wanted")
     document = inbox.query(StatusQuery())
     if document is None:
         return error_answer(503, "the director is busy")
-    return Answer(200, json.dumps(document).encode())
+    return Response(200, json.dumps(document).encode())
 
 
-def status_handler(inbox: Inbox) -> Callable[[Asked], Answer]:
+def status_handler(inbox: Inbox) -> Callable[[Request], Response]:
     """The handler of the HTTP server of this front."""
 
-    def handle(request: Asked) -> Answer:
+    def handle(request: Request) -> Response:
         path = request.path.partition("?")[0]
         if path.startswith("/tables/"):
             return answer_table_request(inbox, path.removeprefix("/tables/"), request)
--- a/rainpick/director/weight_entries.py
+++ b/rainpick/director/weight_entries.py
@@ -6,7 +6,10 @@
 
 from rainpick.director.addresses import Key
 from rainpick.director.snapshots import Line
-from rainpick.sasp import codec
+from rainpick.sasp.constants import WEIGHT_ENTRY_TYPE
+from rainpick.sasp.encoding import encode_member
+from rainpick.sasp.messages import Member
+from rainpick.sasp.wire import COMPONENT_HEADER, WEIGHT_ENTRY_TAIL
 
 MAX_ENCODED = 256  # line tuples whose bytes are cached
 MAX_SERVERS = 65_536  # whose first bytes are cached
@@ -31,7 +34,7 @@
             head = self.heads.get(server)
             if head is None:
                 head = self.encode_head(server)
-            pieces += (head, codec.ENTRY_TAIL.pack(0, flags, weight))
+            pieces += (head, WEIGHT_ENTRY_TAIL.pack(0, flags, weight))
         data = b"".join(pieces)
         self.encoded[id(lines)] = lines, data
         if len(self.encoded) > MAX_ENCODED:
@@ -40,9 +43,9 @@
 
     def encode_head(self, server: Key) -> bytes:
         """The bytes of an entry that are the same whatever the weight."""
-        member = codec.write_member(codec.Member.at(*server))
-        length = codec.PIECE.size + codec.ENTRY_TAIL.size
-        head: bytes = codec.PIECE.pack(codec.WEIGHT_ENTRY, length) + member
+        member = encode_member(Member.at(*server))
+        length = COMPONENT_HEADER.size + WEIGHT_ENTRY_TAIL.size
+        head: bytes = COMPONENT_HEADER.pack(WEIGHT_ENTRY_TYPE, length) + member
         if len(self.heads) > MAX_SERVERS:
             self.heads.clear()
         self.heads[server] = head
--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -70,11 +70,6 @@
         """Whether the next call can use the connection of the last one."""
         return self._connection is not None
 
-    @property
-    def sock(self) -> socket.socket | None:
-        """The open socket, if any. Old name, until its users ask ``connected``."""
-        return self._connection.sock if self._connection is not None else None
-
     def call(
         self,
         method: str,
--- a/rainpick/http1/server.py
+++ b/rainpick/http1/server.py
@@ -19,15 +19,11 @@
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
 )
 
-# The old names, until their users are renamed
-Asked = Request
-Answer = Response
-
 
 class Server:
     """Listens from its construction on and answers with ``handler`` until ``close``.
 
-    ``address`` is where it really listens. At most ``connections_most`` connections are open at a time;
+    ``address`` is where it really listens. At most ``max_connections`` connections are open at a time;
     another one is answered with 503. A connection on which nothing arrives for ``idle_timeout_s`` is closed.
     """
 
@@ -37,7 +33,7 @@
         address: tuple[str, int],
         handler: Handler,
         max_body_bytes: int = 65_536,
-        connections_most: int = 256,
+        max_connections: int = 256,
         idle_timeout_s: float = 60.0,
     ):
         self.name = name
@@ -46,10 +42,10 @@
         self.idle_timeout_s = idle_timeout_s
         self.log = structlog.get_logger(front=name)
         self.closing = False
-        self._slots = threading.BoundedSemaphore(connections_most)
+        self._slots = threading.BoundedSemaphore(max_connections)
         self._lock = threading.Lock()
         self._open_sockets: set[socket.socket] = set()  # guarded by the lock
-        self.socket = socket.create_server(address, backlog=min(MAX_BACKLOG, connections_most))
+        self.socket = socket.create_server(address, backlog=min(MAX_BACKLOG, max_connections))
         self.address: tuple[str, int] = self.socket.getsockname()[:2]
         self.thread = threading.Thread(target=self._accept, name=f"{name}-accept", daemon=True)
         self.thread.start()
--- a/rainpick/net/__init__.py
+++ b/rainpick/net/__init__.py
@@ -14,11 +14,3 @@
 
     data: bytes
     reason: str
-
-    @property
-    def why(self) -> str:
-        """Old name of ``reason``, until its users are renamed."""
-        return self.reason
-
-
-Ended = StreamEnded  # the old name, until its users are renamed
--- a/rainpick/net/streams.py
+++ b/rainpick/net/streams.py
@@ -178,26 +178,6 @@
             if not self.reading:
                 self.sock.close()
 
-    # The old names, until their users are renamed
-
-    pump = flush
-    delivered = newest_delivered
-
-    @property
-    def end(self) -> StreamParser:
-        """Old name of ``parser``."""
-        return self.parser
-
-    @property
-    def rest(self) -> bytearray:
-        """Old name of ``unsent``."""
-        return self.unsent
-
-    @property
-    def marks(self) -> deque[PendingDelivery]:
-        """Old name of ``pending``."""
-        return self.pending
-
 
 class Listener:
     """Accepts connections in the thread ``thread``, once the owner has started it, until ``close``.
--- a/rainpick/otlp/receiver.py
+++ b/rainpick/otlp/receiver.py
@@ -80,6 +80,3 @@
             rejected += count
             reasons.append(f"{count} {verdict}")
     return Response(HTTPStatus.OK, encode_response(rejected, "; ".join(reasons)), PROTOBUF_TYPE)
-
-
-receiver = metrics_handler  # the old name, until its users are renamed
--- a/rainpick/sasp/client.py
+++ b/rainpick/sasp/client.py
@@ -53,6 +53,3 @@
         if reply_type != REPLY_TYPES[REQUEST_TYPES[type(request)]]:
             raise SaspError(f"a reply {reply_type:#06x} does not answer {type(request).__name__}")
         return request
-
-    # The old name, until its users are renamed
-    ask = encode_request
--- a/rainpick/sasp/framing.py
+++ b/rainpick/sasp/framing.py
@@ -70,13 +70,3 @@
                 message_id=message_id,
             )
         return length, message_id
-
-    @property
-    def held(self) -> bytearray:
-        """Old name of ``buffer``, until its users are renamed."""
-        return self.buffer
-
-    @held.setter
-    def held(self, buffer: bytearray) -> None:
-        """Replace ``buffer`` under its old name."""
-        self.buffer = buffer
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -10,7 +10,6 @@
 from typing import NamedTuple
 
 from rainpick.net import StreamEnded
-from rainpick.sasp.client import ClientSession
 from rainpick.sasp.constants import MessageType
 from rainpick.sasp.encoding import encode_reply
 from rainpick.sasp.errors import FramingError, SaspError
@@ -35,11 +34,6 @@
     message_id: int
     message: Request
 
-    @property
-    def number(self) -> int:
-        """Old name of ``message_id``, until its users are renamed."""
-        return self.message_id
-
 
 class RejectedRequest(NamedTuple):
     """A request that is not legal, or malformed; the caller writes ``reply`` and logs the reason and code."""
@@ -48,16 +42,6 @@
     reason: str
     code: int
 
-    @property
-    def data(self) -> bytes:
-        """Old name of ``reply``, until its users are renamed."""
-        return self.reply
-
-    @property
-    def why(self) -> str:
-        """Old name of ``reason``, until its users are renamed."""
-        return self.reason
-
 
 DirectorEvent = AcceptedRequest | RejectedRequest | StreamEnded
 
@@ -137,12 +121,3 @@
     def _rejected(message_id: int, message: Request, rejection: Rejection) -> RejectedRequest:
         reply = encode_reply(REQUEST_TYPES[type(message)], message_id, rejection.code)
         return RejectedRequest(reply, rejection.reason, rejection.code)
-
-
-# The old names, until their users are renamed
-
-Asked = AcceptedRequest
-Refused = RejectedRequest
-DirectorEnd = DirectorSession
-ClientEnd = ClientSession
-reply = encode_reply
--- a/rainpick/standins/director_link.py
+++ b/rainpick/standins/director_link.py
@@ -8,8 +8,8 @@
 
 from rainpick.publish.follow import Follower
 from rainpick.publish.payloads import key
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member
+from rainpick.sasp.constants import ReturnCode
+from rainpick.sasp.messages import Group, Member, MemberGroup, Registration, Reply, SetLbState
 from rainpick.standins.event_log import EventLog
 from rainpick.standins.mqtt_client import MqttProxy
 from rainpick.standins.peer_settings import PeerSettings, SocketAddress
@@ -56,19 +56,19 @@
     def follow_sasp(self, director: int) -> None:
         """Join a director over SASP and apply what it pushes, until the stream breaks."""
         self.stream = stream = SaspClient(self.settings.sasp[director])
-        self.require_success(stream.ask(codec.SetLbState(self.uid)))
+        self.require_success(stream.request(SetLbState(self.uid)))
         members = tuple(Member.at(*server) for server in self.table.copy())
-        registration = codec.Registration((codec.Members(self.group, members),), True)
-        self.require_success(stream.ask(registration))
+        registration = Registration((MemberGroup(self.group, members),), True)
+        self.require_success(stream.request(registration))
         self.log.write("joined", p=self.uid, d=director)
         heartbeat_due_s = time.monotonic() + HEARTBEAT_S
         while True:
-            for message in stream.weights(READ_TIMEOUT_S):
+            for message in stream.receive_weights(READ_TIMEOUT_S):
                 self.log.write("weights", p=self.uid, m=self.table.update(message))
             self.reading.wait()
             if time.monotonic() >= heartbeat_due_s:
                 heartbeat_due_s += HEARTBEAT_S
-                stream.send(codec.SetLbState(self.uid))
+                stream.send(SetLbState(self.uid))
 
     def follow_mqtt(self, director: int) -> None:
         """Join a director over MQTT and follow the table that it publishes, until the connection breaks."""
@@ -91,9 +91,9 @@
         self.log.write("weights", p=self.uid, m=self.table.replace(weights))
 
     @staticmethod
-    def require_success(reply: codec.Reply) -> None:
+    def require_success(reply: Reply) -> None:
         """Raise ``ConnectionAbortedError`` if a director refused a request."""
-        if reply.code != codec.SUCCESS:
+        if reply.code != ReturnCode.SUCCESS:
             raise ConnectionAbortedError(f"refused: {reply.code:#04x}")
 
     def close(self) -> None:
--- a/rainpick/standins/load_reporter.py
+++ b/rainpick/standins/load_reporter.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from rainpick.http1.client import Client, ClientError
-from rainpick.otlp import metrics
+from rainpick.otlp.encoding import RouteOutcome, ServerOutcome, encode_report
 from rainpick.standins.actions import ReportMode
 from rainpick.standins.event_log import EventLog, now_us
 from rainpick.standins.peer_settings import SocketAddress
@@ -72,15 +72,15 @@
         with self.lock:
             attempts, self.attempts = self.attempts, defaultdict(AttemptTotals)
             requests, self.requests = self.requests, defaultdict(int)
-        return metrics.write(
+        return encode_report(
             self.proxy,
             begin_ns,
             self.interval_begin_ns,
             [
-                (*server, outcome, totals.count, totals.seconds)
+                ServerOutcome(*server, outcome, totals.count, totals.seconds)
                 for (server, outcome), totals in attempts.items()
             ],
-            [(route, outcome, count) for (route, outcome), count in requests.items()],
+            [RouteOutcome(route, outcome, count) for (route, outcome), count in requests.items()],
         )
 
     def due_reports(self, body: bytes) -> list[bytes]:
--- a/rainpick/standins/membership.py
+++ b/rainpick/standins/membership.py
@@ -7,8 +7,17 @@
 import time
 from collections.abc import Callable
 
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member
+from rainpick.sasp.constants import PURPOSEFUL, ReturnCode
+from rainpick.sasp.messages import (
+    Deregistration,
+    Group,
+    Member,
+    MemberGroup,
+    MemberState,
+    Registration,
+    SetMemberState,
+    StateGroup,
+)
 from rainpick.standins.event_log import EventLog, now_us
 from rainpick.standins.peer_settings import SocketAddress
 from rainpick.standins.sasp_client import SaspClient
@@ -66,8 +75,8 @@
         """Register over a new stream, and repeat there that the server drains if it does."""
         age_s = (now_us() - self.started_us) / 1e6
         member = Member.at(*self.address, f"{self.label};boot={run};age={age_s:.3f}")
-        reply = stream.ask(codec.Registration((codec.Members(self.group, (member,)),)))
-        if reply.code != codec.SUCCESS:
+        reply = stream.request(Registration((MemberGroup(self.group, (member,)),)))
+        if reply.code != ReturnCode.SUCCESS:
             raise ConnectionAbortedError(f"registration refused: {reply.code:#04x}")
         self.log.write("said", s=self.name, d=director, what="ready")
         if self.draining:
@@ -75,8 +84,8 @@
 
     def send_drain(self, director: int, stream: SaspClient) -> None:
         """Tell a director that the server drains."""
-        state = codec.MemberState(Member.at(*self.address), 0, True)
-        stream.send(codec.SetMemberState((codec.States(self.group, (state,)),)))
+        state = MemberState(Member.at(*self.address), 0, True)
+        stream.send(SetMemberState((StateGroup(self.group, (state,)),)))
         self.log.write("said", s=self.name, d=director, what="draining")
 
     def drain(self) -> None:
@@ -88,10 +97,10 @@
 
     def deregister(self) -> None:
         """Tell all directors that the server goes."""
-        members = codec.Members(self.group, (Member.at(*self.address),))
+        members = MemberGroup(self.group, (Member.at(*self.address),))
         for director, stream in list(self.streams.items()):
             with contextlib.suppress(OSError):
-                stream.send(codec.Deregistration((members,), reason=codec.PURPOSEFUL))
+                stream.send(Deregistration((members,), reason=PURPOSEFUL))
                 self.log.write("said", s=self.name, d=director, what="gone")
 
     def break_streams(self) -> None:
--- a/rainpick/standins/proxy_table.py
+++ b/rainpick/standins/proxy_table.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from rainpick.http1.client import Client
-from rainpick.sasp import codec
+from rainpick.sasp.messages import SendWeights
 from rainpick.standins.peer_settings import SocketAddress
 
 MAX_IDLE_CONNECTIONS = 8  # to each server
@@ -41,7 +41,7 @@
         with self.lock:
             return dict(self.weights)
 
-    def update(self, message: codec.SendWeights) -> list[Entry]:
+    def update(self, message: SendWeights) -> list[Entry]:
         """Apply pushed weights; give their entries."""
         entries = [entry for group in message.groups for entry in group.entries]
         with self.lock:
@@ -103,5 +103,5 @@
     def release(self, server: SocketAddress, client: Client, idle: list[Client]) -> None:
         """Give a connection back after an attempt. The lock is held."""
         self.in_flight[server] -= 1
-        if client.sock is not None and len(idle) < MAX_IDLE_CONNECTIONS:
+        if client.connected and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(client)
--- a/rainpick/standins/sasp_client.py
+++ b/rainpick/standins/sasp_client.py
@@ -5,12 +5,23 @@
 import socket
 from typing import Any, TypeAlias, overload
 
-from rainpick.sasp import codec
 from rainpick.sasp.client import ClientSession, ReceivedMessage
+from rainpick.sasp.errors import SaspError
+from rainpick.sasp.messages import (
+    Deregistration,
+    GetWeights,
+    GetWeightsReply,
+    Message,
+    Registration,
+    Reply,
+    SendWeights,
+    SetLbState,
+    SetMemberState,
+)
 from rainpick.standins import blocking_socket
 
 # The requests that are answered by a status alone.
-StatusRequest: TypeAlias = codec.Registration | codec.Deregistration | codec.SetLbState | codec.SetMemberState
+StatusRequest: TypeAlias = Registration | Deregistration | SetLbState | SetMemberState
 
 
 class SaspClient:
@@ -27,20 +38,20 @@
         self.sock.connect(address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.end = ClientSession()
-        self.pushed: list[codec.SendWeights] = []
+        self.pushed: list[SendWeights] = []
         self.timeout_s = timeout_s
 
     def receive(self, timeout_s: float | None) -> list[ReceivedMessage]:
         """Receive what comes within a time; nothing if it runs out."""
-        return blocking_socket.receive(self.sock, timeout_s, self.end.receive, codec.SaspError)
+        return blocking_socket.receive(self.sock, timeout_s, self.end.receive, SaspError)
 
     @overload
-    def ask(self, message: codec.GetWeights) -> codec.GetWeightsReply: ...
+    def request(self, message: GetWeights) -> GetWeightsReply: ...
 
     @overload
-    def ask(self, message: StatusRequest) -> codec.Reply: ...
+    def request(self, message: StatusRequest) -> Reply: ...
 
-    def ask(self, message: codec.Message) -> Any:
+    def request(self, message: Message) -> Any:
         """Send a request and wait for its reply; weights pushed before it are kept."""
         self.send(message)
         while True:
@@ -52,12 +63,12 @@
             if replies:
                 return replies[0]
 
-    def send(self, message: codec.Message) -> None:
+    def send(self, message: Message) -> None:
         """Send a request without waiting for its reply."""
         self.sock.settimeout(self.timeout_s)
         self.sock.sendall(self.end.encode_request(message))
 
-    def weights(self, timeout_s: float) -> list[codec.SendWeights]:
+    def receive_weights(self, timeout_s: float) -> list[SendWeights]:
         """Give the weights pushed so far, else those that come within a time."""
         if not self.pushed:
             self.keep_pushed(self.receive(timeout_s))
@@ -68,7 +79,7 @@
         """Keep the messages that answer no request."""
         for request, message in received:
             if request is None:
-                assert isinstance(message, codec.SendWeights)  # the session lets nothing else through
+                assert isinstance(message, SendWeights)  # the session lets nothing else through
                 self.pushed.append(message)
 
     def close(self) -> None:
--- a/rainpick/standins/servers.py
+++ b/rainpick/standins/servers.py
@@ -6,8 +6,9 @@
 import threading
 import time
 
-from rainpick.http1.server import Answer, Asked, Server
-from rainpick.sasp.codec import Group
+from rainpick.http1.messages import Request, Response
+from rainpick.http1.server import Server
+from rainpick.sasp.messages import Group
 from rainpick.standins.event_log import EventLog, now_us
 from rainpick.standins.membership import Membership
 from rainpick.standins.peer_settings import PeerSettings, RouteLoad, SocketAddress
@@ -76,7 +77,7 @@
 
     # Requests
 
-    def serve(self, asked: Asked) -> Answer:
+    def serve(self, asked: Request) -> Response:
         """Handle a request: the route is its path, its identity the header ``call``.
 
         ``ConnectionResetError`` ends the connection without an answer.
@@ -92,25 +93,25 @@
             self.stop("fell")
             raise ConnectionResetError
         if self.random.random() < self.failure_share:
-            return Answer(500, b"broken", "text/plain")
+            return Response(500, b"broken", "text/plain")
         if route.effect == "keyed" and self.pod.is_duplicate(request, route.retry_window_us):
             self.log.write("repeat", s=self.name, id=request)
-            return Answer(200, b"dropped: it runs already", "text/plain")
+            return Response(200, b"dropped: it runs already", "text/plain")
         return self.work(route, request, now)
 
-    def work(self, route: RouteLoad, request: str, now: int) -> Answer:
+    def work(self, route: RouteLoad, request: str, now: int) -> Response:
         """Do the work of a request; it takes effect at the end."""
         work_us = self.random.expovariate(1 / route.work_us) / 2 + route.work_us / 2
         duration_us = work_us * self.capacity.slots / self.capacity.rate(now) * self.slowdown
         end_us = self.capacity.reserve(now, duration_us)
         if end_us is None:
-            return Answer(503, b"full", "text/plain")
+            return Response(503, b"full", "text/plain")
         time.sleep(max(0.0, (end_us - now_us()) / 1e6))
         if not self.running.is_set():
             raise ConnectionResetError
         if route.effect != "repeatable":
             self.log.write("effect", s=self.name, id=request, r=route.name)
-        return Answer(200, b"ok", "text/plain")
+        return Response(200, b"ok", "text/plain")
 
     # Life
 
@@ -120,7 +121,7 @@
         started_us = now_us() - (0 if cold else self.warm_up_us)
         self.capacity.reset(started_us)
         self.hung, self.membership.draining = False, False
-        self.front = Server("server", self.address, self.serve, connections_most=MAX_CONNECTIONS)
+        self.front = Server("server", self.address, self.serve, max_connections=MAX_CONNECTIONS)
         self.address = self.front.address
         self.running.set()
         self.log.write(
--- a/tests/director/test_membership.py
+++ b/tests/director/test_membership.py
@@ -5,8 +5,8 @@
 from rainpick import model
 from rainpick.director.member_labels import RejectedMemberError
 from rainpick.director.membership import FileEntry, Membership
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member, MemberState
+from rainpick.sasp.constants import ReturnCode
+from rainpick.sasp.messages import Group, Member, MemberState
 from tests.director.drive import settings
 
 FLEET = Group("rainpick", "servers")
@@ -50,15 +50,15 @@
 @pytest.mark.parametrize(
     "label, code",
     [
-        ("weight=17", codec.NOT_ACCEPTED),
-        ("weight=0", codec.NOT_ACCEPTED),
-        ("weight=nan", codec.NOT_ACCEPTED),
-        ("zone=q", codec.NOT_ACCEPTED),
-        ("pod=70000", codec.NOT_ACCEPTED),
-        ("age=-1", codec.NOT_ACCEPTED),
-        ("age=1e400", codec.NOT_ACCEPTED),
-        ("colour=red", codec.NOT_UNDERSTOOD),
-        ("pod=1;pod=2", codec.NOT_UNDERSTOOD),
+        ("weight=17", ReturnCode.NOT_ACCEPTED),
+        ("weight=0", ReturnCode.NOT_ACCEPTED),
+        ("weight=nan", ReturnCode.NOT_ACCEPTED),
+        ("zone=q", ReturnCode.NOT_ACCEPTED),
+        ("pod=70000", ReturnCode.NOT_ACCEPTED),
+        ("age=-1", ReturnCode.NOT_ACCEPTED),
+        ("age=1e400", ReturnCode.NOT_ACCEPTED),
+        ("colour=red", ReturnCode.NOT_UNDERSTOOD),
+        ("pod=1;pod=2", ReturnCode.NOT_UNDERSTOOD),
     ],
 )
 def test_a_label_that_makes_no_sense_is_rejected_with_all_of_its_registration(membership, label, code):
@@ -68,7 +68,7 @@
 
 
 def test_the_wrong_group_or_uid_is_rejected(membership):
-    wrong = (Group("x", "servers"), codec.UNKNOWN_LB), (Group("rainpick", "x"), codec.INVALID_GROUP)
+    wrong = (Group("x", "servers"), ReturnCode.UNKNOWN_LB), (Group("rainpick", "x"), ReturnCode.INVALID_GROUP)
     for group, code in wrong:
         with pytest.raises(RejectedMemberError) as error:
             membership.register(1, group, (member(9001),), 5)
@@ -79,7 +79,7 @@
     membership.register(1, FLEET, (member(9001, "boot=1"),), S)
     with pytest.raises(RejectedMemberError) as error:
         membership.register(1, FLEET, (member(9001, "boot=1"),), S)
-    assert error.value.code == codec.ALREADY_REGISTERED
+    assert error.value.code == ReturnCode.ALREADY_REGISTERED
     assert changes(membership) == {9001: model.EndpointState.READY}
     membership.register(2, FLEET, (member(9001, "boot=1"),), 9 * S)
     assert changes(membership) == {}, "the same start of the same server: nothing changed"
--- a/tests/loopback/help.py
+++ b/tests/loopback/help.py
@@ -6,8 +6,19 @@
 
 from rainpick.director.daemon import Daemon
 from rainpick.http1.client import Client
-from rainpick.sasp import codec
-from rainpick.sasp.codec import Group, Member, Members, MemberState, Registration, States
+from rainpick.sasp.constants import NO_CHANGE, PUSH, TRUST, ReturnCode
+from rainpick.sasp.messages import (
+    Deregistration,
+    GetWeights,
+    Group,
+    Member,
+    MemberGroup,
+    MemberState,
+    Registration,
+    SetLbState,
+    SetMemberState,
+    StateGroup,
+)
 from rainpick.settings import parse
 from rainpick.standins.sasp_client import SaspClient
 from tests.waiting import WAIT_S
@@ -57,36 +68,34 @@
         super().__init__(daemon.sasp)
         KEPT.append(self)
         if ports:
-            assert self.register(*ports, label=label) == codec.SUCCESS
+            assert self.register(*ports, label=label) == ReturnCode.SUCCESS
 
     def register(self, *ports, label=""):
-        return self.ask(Registration((Members(FLEET, members(*ports, label=label)),))).code
+        return self.request(Registration((MemberGroup(FLEET, members(*ports, label=label)),))).code
 
     def quiesce(self, *ports, on=True):
         states = tuple(MemberState(one, 0, on) for one in members(*ports))
-        return self.ask(codec.SetMemberState((States(FLEET, states),))).code
+        return self.request(SetMemberState((StateGroup(FLEET, states),))).code
 
     def deregister(self, *ports):
-        return self.ask(codec.Deregistration((Members(FLEET, members(*ports)),))).code
+        return self.request(Deregistration((MemberGroup(FLEET, members(*ports)),))).code
 
 
 class ProxyEnd(SaspClient):
     """A proxy's stream and what it holds."""
 
-    def __init__(
-        self, daemon, uid, *standing, flags=codec.PUSH | codec.TRUST | codec.NO_CHANGE, held=None, buffer=None
-    ):
+    def __init__(self, daemon, uid, *standing, flags=PUSH | TRUST | NO_CHANGE, held=None, buffer=None):
         super().__init__(daemon.sasp, buffer=buffer)
         KEPT.append(self)
         self.uid, self.group = uid, Group(uid, "servers")
         self.held = dict.fromkeys(standing, 1) if held is None else held
         self.messages = []
-        assert self.ask(codec.SetLbState(uid, 0x7F, flags)).code == codec.SUCCESS
+        assert self.request(SetLbState(uid, 0x7F, flags)).code == ReturnCode.SUCCESS
         there = members(*self.held)
-        assert self.ask(Registration((Members(self.group, there),), True)).code == codec.SUCCESS
+        assert self.request(Registration((MemberGroup(self.group, there),), True)).code == ReturnCode.SUCCESS
 
     def read(self, timeout_s=WAIT_S):
-        for message in self.weights(timeout_s):
+        for message in self.receive_weights(timeout_s):
             self.messages.append(message)
             self.take(message.groups)
         return self.held
@@ -108,6 +117,6 @@
         return self.held
 
     def ask_weights(self):
-        reply = self.ask(codec.GetWeights((self.group,)))
+        reply = self.request(GetWeights((self.group,)))
         self.take(reply.groups)
         return reply
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -11,7 +11,28 @@
 
 import pytest
 
-from rainpick.sasp import codec
+from rainpick.sasp.constants import (
+    CONTACT,
+    HEADER_TYPE,
+    NO_CHANGE,
+    PUSH,
+    QUIESCE,
+    TRUST,
+    MessageType,
+    ReturnCode,
+)
+from rainpick.sasp.encoding import encode_message
+from rainpick.sasp.messages import (
+    Deregistration,
+    MemberGroup,
+    MemberState,
+    Registration,
+    SendWeights,
+    SetLbState,
+    SetMemberState,
+    StateGroup,
+)
+from rainpick.sasp.wire import MESSAGE_HEADER
 from rainpick.settings import SettingsError
 from rainpick.standins.day import free_ports
 from rainpick.standins.sasp_client import SaspClient
@@ -27,19 +48,19 @@
         proxies = [ProxyEnd(daemon, f"edge-{number}", 9001) for number in range(5)]
         for proxy in proxies:
             proxy.until(lambda held: held == {9001: FULL, 9002: FULL, 9003: FULL})
-        assert fleet.quiesce(9002) == codec.SUCCESS
+        assert fleet.quiesce(9002) == ReturnCode.SUCCESS
         for proxy in proxies:
             proxy.until(lambda held: set(held) == {9001, 9003})
             (entry,) = proxy.messages[-1].groups[0].entries
-            assert entry.flags & codec.QUIESCE and entry.flags & codec.CONTACT
-        assert fleet.quiesce(9002, on=False) == codec.SUCCESS
+            assert entry.flags & QUIESCE and entry.flags & CONTACT
+        assert fleet.quiesce(9002, on=False) == ReturnCode.SUCCESS
         proxies[0].until(lambda held: held.get(9002) == FULL // 4, "the first step of the ramp")
 
 
 def test_without_the_no_change_flag_all_members_are_sent_each_time():
     with running() as daemon:
         fleet = MemberEnd(daemon, 9001, 9002)
-        proxy = ProxyEnd(daemon, "edge-1", flags=codec.PUSH | codec.TRUST)
+        proxy = ProxyEnd(daemon, "edge-1", flags=PUSH | TRUST)
         proxy.until(lambda held: len(held) == 2)
         fleet.quiesce(9001)
         proxy.until(lambda held: len(held) == 1)
@@ -49,7 +70,7 @@
 def test_a_proxy_that_asks_by_itself_is_told_the_interval_and_only_what_changed():
     with running("sasp: {poll_interval_s: 2}") as daemon:
         fleet = MemberEnd(daemon, 9001, 9002)
-        proxy = ProxyEnd(daemon, "edge-1", flags=codec.TRUST | codec.NO_CHANGE)
+        proxy = ProxyEnd(daemon, "edge-1", flags=TRUST | NO_CHANGE)
         until(lambda: proxy.ask_weights() and proxy.held == {9001: FULL, 9002: FULL})
         fleet.quiesce(9002)
         reply = until(lambda: (found := proxy.ask_weights()).groups[0].entries and found)
@@ -61,7 +82,7 @@
 def test_without_trust_a_load_balancer_is_refused():
     with running() as daemon:
         client = SaspClient(daemon.sasp)
-        assert client.ask(codec.SetLbState("edge-1", 0x7F, codec.PUSH)).code == codec.NOT_ACCEPTED
+        assert client.request(SetLbState("edge-1", 0x7F, PUSH)).code == ReturnCode.NOT_ACCEPTED
 
 
 def cut_within_a_push(daemon, proxy, fleet):
@@ -69,7 +90,7 @@
     fleet.quiesce(9002)
     proxy.sock.settimeout(10)
     part = proxy.sock.recv(20)
-    assert len(part) == 20 and struct.unpack(">H", part[13:15]) == (codec.SEND_WEIGHTS,)
+    assert len(part) == 20 and struct.unpack(">H", part[13:15]) == (MessageType.SEND_WEIGHTS,)
     proxy.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     proxy.sock.close()
 
@@ -159,7 +180,7 @@
         others = [ProxyEnd(daemon, f"edge-{number}") for number in range(3)]
         for proxy in others:
             proxy.until(lambda held: len(held) == 1500)
-        stuck = ProxyEnd(daemon, "edge-9", flags=codec.PUSH | codec.TRUST, buffer=4096)
+        stuck = ProxyEnd(daemon, "edge-9", flags=PUSH | TRUST, buffer=4096)
         worst = 0.0
         for port in range(7000, 7040):
             begin = time.monotonic()
@@ -180,7 +201,7 @@
         fleet = MemberEnd(daemon, 9001, 9002)
         proxy = ProxyEnd(daemon, "edge-1")
         for _ in range(3):
-            proxy.ask(codec.SetLbState("edge-1"))
+            proxy.request(SetLbState("edge-1"))
         proxy.until(lambda held: len(held) == 2)
         fleet.quiesce(9001)
         until(lambda: status(daemon)["streams"]["let_go"] == 1)
@@ -202,12 +223,12 @@
 def test_the_same_member_twice_is_told_on_one_stream_and_moves_to_another():
     with running('fleet: {member_grace: "150ms"}') as daemon:
         one = MemberEnd(daemon, 9001, label="boot=1")
-        assert one.register(9001, label="boot=1") == codec.ALREADY_REGISTERED
+        assert one.register(9001, label="boot=1") == ReturnCode.ALREADY_REGISTERED
         two = MemberEnd(daemon, 9001, label="boot=1")
-        assert one.quiesce(9001) == codec.NOT_REGISTERED
+        assert one.quiesce(9001) == ReturnCode.NOT_REGISTERED
         one.close()
         until(lambda: status(daemon)["streams"]["open"] == 1)
-        assert two.quiesce(9001, on=False) == codec.SUCCESS
+        assert two.quiesce(9001, on=False) == ReturnCode.SUCCESS
         until(lambda: [server["state"] for server in status(daemon)["servers"]] == ["ready"])
 
 
@@ -219,9 +240,9 @@
         brief = SaspClient(daemon.sasp)
         end, one = brief.end, members(9005)
         brief.sock.sendall(
-            end.ask(codec.Registration((codec.Members(FLEET, one),)))
-            + end.ask(codec.SetMemberState((codec.States(FLEET, (codec.MemberState(one[0], 0, True),)),)))
-            + end.ask(codec.Deregistration((codec.Members(FLEET, one),)))
+            end.encode_request(Registration((MemberGroup(FLEET, one),)))
+            + end.encode_request(SetMemberState((StateGroup(FLEET, (MemberState(one[0], 0, True),)),)))
+            + end.encode_request(Deregistration((MemberGroup(FLEET, one),)))
         )
         MemberEnd(daemon, 9006)
         proxy.until(lambda held: 9006 in held)
@@ -251,9 +272,9 @@
     "data, reply",
     [
         (b"GET / HTTP/1.1\r\n\r\n", b""),
-        (codec.HEAD.pack(codec.HEADER, 13, 2, 20, 7) + bytes(7), b"\x10"),
-        (codec.HEAD.pack(codec.HEADER, 13, 1, 1 << 30, 7), b"\x10"),
-        (codec.write(codec.SendWeights(()), 7), b""),
+        (MESSAGE_HEADER.pack(HEADER_TYPE, 13, 2, 20, 7) + bytes(7), b"\x10"),
+        (MESSAGE_HEADER.pack(HEADER_TYPE, 13, 1, 1 << 30, 7), b"\x10"),
+        (encode_message(SendWeights(()), 7), b""),
     ],
     ids=["not SASP", "version", "oversized", "not for it"],
 )
@@ -267,7 +288,7 @@
         while piece := sock.recv(4096):
             said += piece
         assert said[-1:] == reply
-        assert fleet.quiesce(9001) == codec.SUCCESS
+        assert fleet.quiesce(9001) == ReturnCode.SUCCESS
 
 
 def test_who_never_says_what_it_is_is_closed_and_streams_are_bounded():
--- a/tests/node/platform_stubs.py
+++ b/tests/node/platform_stubs.py
@@ -5,7 +5,8 @@
 import socket
 import threading
 
-from rainpick.http1.server import Answer, Server
+from rainpick.http1.messages import Response
+from rainpick.http1.server import Server
 from rainpick.node.configuration import Vocabulary
 from rainpick.node.discovery_watch import DiscoveryWatch
 from rainpick.node.frame_codec import encode_frame
@@ -123,7 +124,7 @@
             self.changed.notify_all()
 
     def handle(self, request):
-        """Answer a request for the full list or for changes."""
+        """Response a request for the full list or for changes."""
         self.requests.append(request.path)
         path, _, query = request.path.partition("?")
         assert path == "/catalog/members"
@@ -143,7 +144,7 @@
         if full:
             newest = {name: entry for name, entry in newest.items() if entry["lifecycle"] != "Gone"}
         tree = {"generation": len(self.versions) - 1, "reset": full, "instances": list(newest.values())}
-        return Answer(200, json.dumps(tree).encode())
+        return Response(200, json.dumps(tree).encode())
 
     def close(self):
         """Accept no more, and end all connections."""
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rainpick import model
-from rainpick.http1.server import Answer
+from rainpick.http1.messages import Response
 from rainpick.node import discovery_watch
 from tests.node.platform_stubs import StubDiscovery, endpoint_states, entry, start_watch
 from tests.waiting import until
@@ -38,11 +38,11 @@
 @pytest.mark.parametrize(
     "unusable",
     [
-        Answer(503, b""),
-        Answer(200, b"{"),
-        Answer(200, b"[]"),
-        Answer(200, b'{"generation":"x"}'),
-        Answer(200, b'{"generation":1,"reset":true,"instances":' + b"[" * 50_000),
+        Response(503, b""),
+        Response(200, b"{"),
+        Response(200, b"[]"),
+        Response(200, b'{"generation":"x"}'),
+        Response(200, b'{"generation":1,"reset":true,"instances":' + b"[" * 50_000),
     ],
 )
 def test_an_unusable_answer_is_requested_again(discovery, unusable):
