--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -16,8 +16,8 @@
 from benchmarks.peers import Floor, Proxies, folder, launch, member_stream, row, start_director, wait_for
 from rainpick.http1.client import Client
 from rainpick.mqtt import codec as mqtt
-from rainpick.publish import payloads
-from rainpick.publish.payloads import Change, Line, Presence
+from rainpick.publish import payloads, topics
+from rainpick.publish.payloads import Presence, ServerWeight, TableDelta
 from rainpick.sasp.messages import (
     Deregistration,
     Group,
@@ -43,15 +43,15 @@
             uid = f"edge-{number}"
             sock = socket.create_connection(place, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            topics = (payloads.orders_topic(uid), 1), (f"{payloads.ROOT}/table/+", 1)
+            filters = (topics.assignment_topic(uid), 1), (f"{topics.TOPIC_ROOT}/table/+", 1)
             sock.sendall(
-                mqtt.write(mqtt.Connect(uid))
-                + mqtt.write(mqtt.Subscribe(1, topics))
-                + mqtt.write(
-                    mqtt.Publish(payloads.up_topic(uid, "presence"), payloads.encode(Presence("here")), 1, 2)
+                mqtt.encode_packet(mqtt.Connect(uid))
+                + mqtt.encode_packet(mqtt.Subscribe(1, filters))
+                + mqtt.encode_packet(
+                    mqtt.Publish(topics.proxy_topic(uid, "presence"), payloads.encode(Presence("here")), 1, 2)
                 )
             )
-            self.framers[sock] = mqtt.Framer(1 << 24)
+            self.framers[sock] = mqtt.PacketFramer(1 << 24)
             self.selector.register(sock, selectors.EVENT_READ)
 
     def turn(self, timeout_s: float, mute: frozenset = frozenset()) -> None:
@@ -67,7 +67,7 @@
             while (one := framer.next()) is not None:
                 if isinstance(one, mqtt.Publish):
                     self.messages += 1
-                    answers += mqtt.write(mqtt.Puback(one.number))
+                    answers += mqtt.encode_packet(mqtt.Puback(one.packet_id))
                     found = DIGEST.findall(one.payload)
                     if found:
                         self.digests[sock] = found[-1].decode(), time.monotonic_ns()
@@ -163,12 +163,12 @@
         after = status(places["status"])["subscribers"]
         whole = len(
             payloads.encode(
-                payloads.Whole(
+                payloads.TableSnapshot(
                     "0-0000000000000",
                     0,
                     99,
                     "0" * 16,
-                    tuple(Line(f"127.0.0.1:{9000 + port}", 4096) for port in range(SERVERS)),
+                    tuple(ServerWeight(f"127.0.0.1:{9000 + port}", 4096) for port in range(SERVERS)),
                 )
             )
         )
@@ -193,9 +193,13 @@
 
 def drains(places, fleet, proxies, many):
     """One server drained at a time, until the last proxy has read it; the same bytes from the floor."""
-    change = payloads.encode(Change("0-0000000000000", 0, 98, 99, "0" * 16, (Line("127.0.0.1:9040", 0),)))
-    topic = payloads.table_topic(0)
-    frames = [mqtt.publish_head(topic, 1, False, len(change)) + b"\0\1\0" + change for _ in range(many)]
+    change = payloads.encode(
+        TableDelta("0-0000000000000", 0, 98, 99, "0" * 16, (ServerWeight("127.0.0.1:9040", 0),))
+    )
+    topic = topics.table_topic(0)
+    frames = [
+        mqtt.encode_publish_header(topic, 1, False, len(change)) + b"\0\1\0" + change for _ in range(many)
+    ]
     floor = Floor(frames)
     side = Raw(floor.place, many)
     ours, theirs = [], []
@@ -226,7 +230,7 @@
         for _ in range(many):
             sock = socket.create_connection(place, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.framers[sock] = mqtt.Framer(1 << 24)
+            self.framers[sock] = mqtt.PacketFramer(1 << 24)
             self.selector.register(sock, selectors.EVENT_READ)
 
     def all_read(self) -> int:
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -37,7 +37,7 @@
 from rainpick.director.sessions import Sessions
 from rainpick.director.status import StatusReader
 from rainpick.director.table_actions import TableActions
-from rainpick.mqtt.session import PacketReader
+from rainpick.mqtt.server import PacketReader
 from rainpick.net import StreamEnded
 from rainpick.otlp.decoding import Batch
 from rainpick.sasp.session import AcceptedRequest, RejectedRequest
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -28,7 +28,7 @@
 )
 from rainpick.director.status_frontend import status_handler
 from rainpick.http1.server import Server
-from rainpick.mqtt.session import PacketReader
+from rainpick.mqtt.server import PacketReader
 from rainpick.net.streams import Listener, Stream
 from rainpick.otlp.receiver import metrics_handler
 from rainpick.sasp.session import DirectorSession
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -14,7 +14,7 @@
 from rainpick.director.listing import ListCache
 from rainpick.director.membership import FileEntry, Membership
 from rainpick.director.sessions import Sessions
-from rainpick.publish.pins import Pins
+from rainpick.publish.pins import TablePins
 from rainpick.record.digest import decisions_digest
 from rainpick.record.recorder import Recorder
 from rainpick.record.steps import Incarnation
@@ -46,7 +46,7 @@
         self.module = module
         path = self.settings.director.list_cache
         self.cache = ListCache(path, self.settings) if path else None
-        self.pins: Pins | None = None
+        self.pins: TablePins | None = None
         self.recorder: Recorder | None = None
 
     # Lists from files
@@ -94,7 +94,7 @@
         if self.settings.record.folder is not None:
             self.recorder = self.start_recorder(self.settings.record.folder, now)
             engine.stepper.watch = self.recorder.step
-        self.pins = Pins(self.is_listed, engine.tables.withdrawn.__contains__, self.is_warm)
+        self.pins = TablePins(self.is_listed, engine.tables.withdrawn.__contains__, self.is_warm)
         engine.tables.overlay = self.pins.overlay
         update = self.membership.initial_update()
         engine.list_changed(update)
--- a/rainpick/director/mqtt_connection.py
+++ b/rainpick/director/mqtt_connection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from rainpick.director.snapshots import Snapshot
-from rainpick.mqtt.session import ServerEnd
+from rainpick.mqtt.server import ServerConnection
 from rainpick.net.streams import Stream
 
 BURST_S = 2  # a client may publish as many messages at once as its rate allows in this time
@@ -45,7 +45,7 @@
 
     def __init__(self, stream: Stream, now: int, publishes_per_s: float):
         self.stream = stream
-        self.end = ServerEnd()
+        self.protocol = ServerConnection()
         self.client = ""  # its client identifier; a proxy's is its UID
         self.received_us = now  # when anything last came
         self.unacknowledged: dict[int, int] = {}  # packet to the engine's number of the message
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -22,19 +22,26 @@
 from rainpick.director.sessions import ProxySession, Sessions
 from rainpick.mqtt import codec
 from rainpick.mqtt.codec import MqttError, Packet
-from rainpick.mqtt.session import Acked, Joined, Over, Said, Unwants, Wants
+from rainpick.mqtt.events import (
+    ConnectionClosed,
+    ConnectRequested,
+    MessageAcknowledged,
+    MessageReceived,
+    Subscribed,
+    Unsubscribed,
+)
 from rainpick.net import StreamEnded
 from rainpick.net.streams import Stream
-from rainpick.publish import payloads
-from rainpick.publish.payloads import Met, PayloadError, Presence, Trouble
+from rainpick.publish import payloads, topics
+from rainpick.publish.payloads import LoadReport, PayloadError, Presence, SyncFault
 from rainpick.sasp.constants import NO_CHANGE, PUSH, TRUST
 
 CLIENT_IDENTIFIER = re.compile(r"[^/+#\x00]{1,64}")
 PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # what a proxy over MQTT would set over SASP
-PROXY_PAYLOADS: dict[str, type[Presence | Met | Trouble]] = {  # by the last level of the topic
+PROXY_PAYLOADS: dict[str, type[Presence | LoadReport | SyncFault]] = {  # by the last level of the topic
     "presence": Presence,
-    "report": Met,
-    "trouble": Trouble,
+    "report": LoadReport,
+    "trouble": SyncFault,
 }
 
 
@@ -83,43 +90,51 @@
             return
         if isinstance(event, MqttError):
             self.counts.rejected += 1
-        over = self.handle(connection, connection.end.receive(event))
+        over = self.handle(connection, connection.protocol.receive(event))
         if over is not None:
-            stream.write(bytes(connection.end.out) + over.data)
-            self.sessions.close(stream, over.why)
+            stream.write(bytes(connection.protocol.outgoing) + over.data)
+            self.sessions.close(stream, over.reason)
         else:
             self.sender.send(connection)
 
     def handle(
-        self, connection: MqttConnection, step: Joined | Wants | Unwants | Said | Acked | Over | None
-    ) -> Over | None:
-        """Act on what a packet means; ``Over`` if it ends the connection."""
-        if isinstance(step, Joined):
+        self,
+        connection: MqttConnection,
+        step: ConnectRequested
+        | Subscribed
+        | Unsubscribed
+        | MessageReceived
+        | MessageAcknowledged
+        | ConnectionClosed
+        | None,
+    ) -> ConnectionClosed | None:
+        """Act on what a packet means; ``ConnectionClosed`` if it ends the connection."""
+        if isinstance(step, ConnectRequested):
             return self.connect(connection, step.connect)
-        if isinstance(step, Wants):
+        if isinstance(step, Subscribed):
             self.subscribed(connection)
-        elif isinstance(step, Unwants):
-            wanted = connection.end.wanted
+        elif isinstance(step, Unsubscribed):
+            granted_qos = connection.protocol.granted_qos
             keep_feeds(
-                connection, [n for n in connection.feeds if wanted(payloads.table_topic(n)) is not None]
+                connection, [n for n in connection.feeds if granted_qos(topics.table_topic(n)) is not None]
             )
-        elif isinstance(step, Said):
+        elif isinstance(step, MessageReceived):
             return self.published(connection, step.publish)
-        elif isinstance(step, Acked):
+        elif isinstance(step, MessageAcknowledged):
             self.acknowledged(connection, step)
-        return step if isinstance(step, Over) else None
+        return step if isinstance(step, ConnectionClosed) else None
 
-    def connect(self, connection: MqttConnection, connect: codec.Connect) -> Over | None:
+    def connect(self, connection: MqttConnection, connect: codec.Connect) -> ConnectionClosed | None:
         """Accept a client; of two with the same identifier the newer counts."""
-        if not CLIENT_IDENTIFIER.fullmatch(connect.client):
+        if not CLIENT_IDENTIFIER.fullmatch(connect.client_id):
             why = "a client identifier of 1 to 64 characters but / + #"
-            return connection.end.end(codec.BAD_CLIENT_ID, why)
+            return connection.protocol.disconnect(codec.ReasonCode.CLIENT_IDENTIFIER_NOT_VALID, why)
         for other in list(self.connections.values()):
-            if other is not connection and other.client == connect.client:
+            if other is not connection and other.client == connect.client_id:
                 self.announce_takeover(other.stream)
                 self.sessions.close(other.stream, "another client has the same identifier")
-        connection.client = connect.client
-        connection.end.accept(
+        connection.client = connect.client_id
+        connection.protocol.accept(
             {
                 "receive_maximum": self.settings.mqtt.receive_most,
                 "maximum_qos": 1,
@@ -137,7 +152,7 @@
     def announce_takeover(self, stream: Stream) -> None:
         """Tell a client that a newer connection replaces its own; does nothing for a SASP stream."""
         if stream.number in self.connections:
-            stream.write(codec.write(codec.Disconnect(codec.TAKEN_OVER)))
+            stream.write(codec.encode_packet(codec.Disconnect(codec.ReasonCode.SESSION_TAKEN_OVER)))
 
     def subscribed(self, connection: MqttConnection) -> None:
         """Close a connection that is one observer too many."""
@@ -151,45 +166,47 @@
 
     # What clients publish
 
-    def published(self, connection: MqttConnection, publish: codec.Publish) -> Over | None:
-        """Handle a PUBLISH and acknowledge it; ``Over`` for a client beyond its rate."""
+    def published(self, connection: MqttConnection, publish: codec.Publish) -> ConnectionClosed | None:
+        """Handle a PUBLISH and acknowledge it; ``ConnectionClosed`` for a client beyond its rate."""
         if not connection.rate_limit.allows(self.context.clock()):
             self.counts.rate_limited += 1
             per_s = connection.rate_limit.per_s
-            return connection.end.end(codec.QUOTA, f"over {per_s:g} messages a second")
-        kind = publish.topic.removeprefix(payloads.up_topic(connection.client, ""))
+            return connection.protocol.disconnect(
+                codec.ReasonCode.QUOTA_EXCEEDED, f"over {per_s:g} messages a second"
+            )
+        kind = publish.topic.removeprefix(topics.proxy_topic(connection.client, ""))
         if kind == publish.topic or kind not in PROXY_PAYLOADS:
-            connection.end.acknowledge(publish, codec.NOT_AUTHORIZED)
+            connection.protocol.acknowledge(publish, codec.ReasonCode.NOT_AUTHORIZED)
             return None
         try:
-            payload = payloads.read_up(publish.payload)
+            payload = payloads.decode_proxy_message(publish.payload)
             if not isinstance(payload, PROXY_PAYLOADS[kind]):
                 raise PayloadError(f"{type(payload).__name__} on {kind}")
             code = self.handle_payload(connection, payload)
         except PayloadError as error:
             self.counts.rejected += 1
             self.log.warning("payload rejected", proxy=connection.client, topic=publish.topic, why=str(error))
-            code = codec.BAD_PAYLOAD
-        connection.end.acknowledge(publish, code)
+            code = codec.ReasonCode.PAYLOAD_FORMAT_INVALID
+        connection.protocol.acknowledge(publish, code)
         return None
 
-    def handle_payload(self, connection: MqttConnection, payload: Presence | Met | Trouble) -> int:
+    def handle_payload(self, connection: MqttConnection, payload: Presence | LoadReport | SyncFault) -> int:
         """Handle what a proxy publishes; the reason code of the acknowledgement."""
         session = self.sessions.by_stream.get(connection.stream.number)
         if isinstance(payload, Presence):
             return self.handle_presence(connection, session, payload)
         if session is None:
-            return codec.NOT_AUTHORIZED
-        if isinstance(payload, Trouble):
+            return codec.ReasonCode.NOT_AUTHORIZED
+        if isinstance(payload, SyncFault):
             self.resynchronise(session, payload)
         else:
             self.intake.receive_mqtt(session, points_of(session.uid, payload))
-        return codec.SUCCESS
+        return codec.ReasonCode.SUCCESS
 
-    def resynchronise(self, session: ProxySession, trouble: Trouble) -> None:
+    def resynchronise(self, session: ProxySession, fault: SyncFault) -> None:
         """A proxy can't follow its table: it is sent the whole."""
         self.counts.resynchronisations += 1
-        self.log.warning("proxy can't follow", proxy=session.uid, why=trouble.why, table=trouble.table)
+        self.log.warning("proxy can't follow", proxy=session.uid, why=fault.cause, table=fault.table)
         if self.context.engine is not None and session.joined:
             self.context.engine.distrust(session.number)
 
@@ -200,14 +217,14 @@
         if presence.state == "gone":
             if session is not None:
                 self.sessions.end_session(session)
-            return codec.SUCCESS
-        if connection.end.filters.get(payloads.orders_topic(connection.client)) != 1:
-            return codec.NOT_AUTHORIZED  # it would not receive its orders, or not acknowledge them
+            return codec.ReasonCode.SUCCESS
+        if connection.protocol.subscriptions.get(topics.assignment_topic(connection.client)) != 1:
+            return codec.ReasonCode.NOT_AUTHORIZED  # it would not receive its orders, or not acknowledge them
         if session is not None:
-            return codec.SUCCESS
+            return codec.ReasonCode.SUCCESS
         if connection.client == self.settings.fleet.uid:
-            return codec.NOT_AUTHORIZED
-        initial_servers = frozenset(payloads.key(server) for server in presence.holds)
+            return codec.ReasonCode.NOT_AUTHORIZED
+        initial_servers = frozenset(payloads.parse_address(server) for server in presence.servers)
         session = self.sessions.open_session(
             connection.stream, connection.client, PROXY_FLAGS, over_mqtt=True
         )
@@ -219,11 +236,11 @@
                 matches = snapshot is not None and snapshot.digest == presence.digest
                 session.resumed_snapshot = snapshot if matches else None
             self.sessions.join(session)
-        return codec.SUCCESS
+        return codec.ReasonCode.SUCCESS
 
-    def acknowledged(self, connection: MqttConnection, acknowledgement: Acked) -> None:
+    def acknowledged(self, connection: MqttConnection, acknowledgement: MessageAcknowledged) -> None:
         """A client has acknowledged a packet."""
-        message = connection.unacknowledged.pop(acknowledgement.number, None)
+        message = connection.unacknowledged.pop(acknowledgement.packet_id, None)
         session = self.sessions.by_stream.get(connection.stream.number)
         connection.unacknowledged_since_us = self.context.clock() if connection.unacknowledged else None
         engine = self.context.engine
@@ -233,7 +250,7 @@
             if session.blocked_since_us is not None and not stalled:
                 self.delivery.set_blocked(session, False)
         for feed in connection.feeds.values():
-            if feed.packet == acknowledgement.number:
+            if feed.packet == acknowledgement.packet_id:
                 feed.packet = 0
 
     # Slow clients
@@ -242,7 +259,9 @@
         """Close who is silent past its keep-alive, acknowledges nothing, or whose socket takes nothing."""
         for connection in list(self.connections.values()):
             if self.keep_alive_passed(connection, now):
-                connection.stream.write(codec.write(codec.Disconnect(codec.KEEP_ALIVE)))
+                connection.stream.write(
+                    codec.encode_packet(codec.Disconnect(codec.ReasonCode.KEEP_ALIVE_TIMEOUT))
+                )
                 self.sessions.close(connection.stream, "silent past its keep-alive")
                 continue
             session = self.sessions.by_stream.get(connection.stream.number)
@@ -256,8 +275,8 @@
     @staticmethod
     def keep_alive_passed(connection: MqttConnection, now: int) -> bool:
         """Whether a client has been silent for one and a half times its keep-alive (MQTT 5, 3.1.2.10)."""
-        connect = connection.end.connect
-        keep_alive_us = connect.keep_alive * 1_500_000 if connect is not None else 0
+        connect = connection.protocol.connect
+        keep_alive_us = connect.keep_alive_s * 1_500_000 if connect is not None else 0
         return bool(keep_alive_us) and now - connection.received_us > keep_alive_us
 
     def retry_observer(self, connection: MqttConnection, now: int) -> None:
--- a/rainpick/director/mqtt_sender.py
+++ b/rainpick/director/mqtt_sender.py
@@ -10,10 +10,11 @@
 from rainpick.director.mqtt_connection import MqttConnection
 from rainpick.director.observers import is_observer, queue_newest_tables
 from rainpick.director.sessions import ProxySession, Sessions
+from rainpick.mqtt.server import ConnectionState
 from rainpick.net.streams import Stream
-from rainpick.publish import payloads
-from rainpick.publish.follow import Writer
-from rainpick.publish.payloads import Change, Level, Orders, Whole
+from rainpick.publish import payloads, topics
+from rainpick.publish.payloads import ProxyAssignment, RouteAdmission, TableDelta, TableSnapshot
+from rainpick.publish.table_updates import TableUpdateEncoder
 
 PACKET_OVERHEAD = 16  # most bytes of a PUBLISH beside topic and payload
 
@@ -41,7 +42,7 @@
         self.sessions = sessions
         self.delivery = delivery
         self.connections = connections
-        self.writer = Writer(context.epoch)
+        self.writer = TableUpdateEncoder(context.epoch)
         self.counts = SendCounts()
         delivery.has_send_quota = self.has_send_quota
 
@@ -49,14 +50,14 @@
         """Send a proxy one message: a change or the whole of its table, and its commands if they are new."""
         connection = self.connections[session.stream.number]
         topic, data = self.push_payload(session, write)
-        if len(data) + len(topic) + PACKET_OVERHEAD > connection.end.send_most:
+        if len(data) + len(topic) + PACKET_OVERHEAD > connection.protocol.max_packet_length:
             self.sessions.disconnect(session, "its largest packet is smaller than what it is to be sent")
             return
-        packet = connection.end.publish(topic, data, 1)
+        packet = connection.protocol.publish(topic, data, 1)
         connection.unacknowledged[packet] = write.number
         if connection.unacknowledged_since_us is None:
             connection.unacknowledged_since_us = self.context.clock()
-        if not connection.end.room:
+        if not connection.protocol.has_send_quota:
             self.delivery.set_blocked(session, True)
         self.send(connection)
 
@@ -64,32 +65,32 @@
         """Topic and payload: the part of its table alone, or its commands with that part if there is one."""
         proxy = self.context.started_engine.tables.proxies[session.number]
         table = proxy.table
-        part: Whole | Change | None = None
+        part: TableSnapshot | TableDelta | None = None
         if table is not None and (write.way.shut or write.way.rest or write.commands):
-            part, data = self.writer.part(table, write.before, write.after)
-            if isinstance(part, Whole):
+            part, data = self.writer.update(table, write.before, write.after)
+            if isinstance(part, TableSnapshot):
                 self.counts.whole_tables += 1
             else:
                 self.counts.table_changes += 1
             if write.commands is None:
-                return payloads.table_topic(table), data
+                return topics.table_topic(table), data
         commands = write.commands or proxy.commands
         if commands is None:
             raise RuntimeError(f"{session.uid} has no commands, though it speaks MQTT")
-        changed, removed = self.writer.loose(write.way) if table is None else ((), ())
+        updated = self.writer.unbound_weights(write.way) if table is None else ()
         routes = self.context.settings.routes
         levels = tuple(
             [
-                Level(routes[route].name, rate, payloads.RETRIES[retry])
+                RouteAdmission(routes[route].name, rate, payloads.RETRY_POLICIES[retry])
                 for route, rate, retry in commands.admissions
             ]
         )
-        data = payloads.encode(Orders(self.context.epoch, table, levels, part, changed, removed))
-        return payloads.orders_topic(session.uid), data
+        data = payloads.encode(ProxyAssignment(self.context.epoch, table, levels, part, updated))
+        return topics.assignment_topic(session.uid), data
 
     def send(self, connection: MqttConnection) -> None:
         """Hand the socket what the protocol end has collected."""
-        out = connection.end.out
+        out = connection.protocol.outgoing
         if not out:
             return
         stream = connection.stream
@@ -109,7 +110,7 @@
     def has_send_quota(self, stream: Stream) -> bool:
         """Whether the client of a stream allows one more unacknowledged message; always so over SASP."""
         connection = self.connections.get(stream.number)
-        return connection is None or connection.end.room
+        return connection is None or connection.protocol.has_send_quota
 
     def update_observers(self) -> None:
         """Send observers the newest versions of the tables that they follow."""
@@ -117,7 +118,10 @@
         if engine is None:
             return
         for connection in list(self.connections.values()):
-            if not connection.end.accepted or connection.stream.number in self.sessions.by_stream:
+            if (
+                connection.protocol.state is not ConnectionState.CONNECTED
+                or connection.stream.number in self.sessions.by_stream
+            ):
                 continue
             if connection.stream.unsent or not is_observer(connection, is_proxy=False):
                 continue
--- a/rainpick/director/table_actions.py
+++ b/rainpick/director/table_actions.py
@@ -10,7 +10,7 @@
 from rainpick.director.list_follower import ListFollower
 from rainpick.director.messages import TableAction, TableActionRequest, TableActionResult
 from rainpick.director.tables import Tables
-from rainpick.publish.pins import PinError, PinnedVersion, Pins
+from rainpick.publish.pins import PinError, PinnedVersion, TablePins
 
 LOG_EVENTS: Mapping[TableAction, str] = {
     "pin": "table pinned",
@@ -19,9 +19,9 @@
 }
 
 
-def table_row(engine: Engine, pins: Pins, number: int) -> dict[str, Any]:
+def table_row(engine: Engine, pins: TablePins, number: int) -> dict[str, Any]:
     """A table and its pin, as ``/status`` and the actions show them."""
-    tables, pin = engine.tables, pins.pins.get(number)
+    tables, pin = engine.tables, pins.by_table.get(number)
     newest = tables.current(number)
     return {
         "table": number,
@@ -31,13 +31,13 @@
         "open": sum(weight > 0 for weight, _ in newest.lines.values()),
         "proxies": len(tables.bound.get(number, ())),
         "kept": [snapshot.version for snapshot in tables.history.get(number, ())],
-        "pinned": pin_row(pin, number in pins.idle) if pin is not None else None,
+        "pinned": pin_row(pin, number in pins.idle_tables) if pin is not None else None,
     }
 
 
 def pin_row(pin: PinnedVersion, idle: bool) -> dict[str, Any]:
     """A pin; ``idle``: nothing open is left of its version, so the ordinary table is published."""
-    return {"version": pin.version, "who": pin.who, "why": pin.why, "idle": idle}
+    return {"version": pin.version, "who": pin.operator, "why": pin.reason, "idle": idle}
 
 
 class TableActions:
--- a/rainpick/mqtt/client.py
+++ b/rainpick/mqtt/client.py
@@ -27,6 +27,3 @@
         while (packet := self.framer.next()) is not None:
             packets.append(packet)
         return packets
-
-    # Former name, for callers that have not been renamed
-    number = next_packet_id
--- a/rainpick/mqtt/codec.py
+++ b/rainpick/mqtt/codec.py
@@ -41,17 +41,3 @@
     "encode_properties",
     "encode_publish_header",
 ]
-
-# Former names, for callers that have not been renamed
-Framer = PacketFramer
-write = encode_packet
-write_properties = encode_properties
-publish_head = encode_publish_header
-SUCCESS = ReasonCode.SUCCESS
-PROTOCOL_ERROR = ReasonCode.PROTOCOL_ERROR
-BAD_CLIENT_ID = ReasonCode.CLIENT_IDENTIFIER_NOT_VALID
-NOT_AUTHORIZED = ReasonCode.NOT_AUTHORIZED
-KEEP_ALIVE = ReasonCode.KEEP_ALIVE_TIMEOUT
-TAKEN_OVER = ReasonCode.SESSION_TAKEN_OVER
-QUOTA = ReasonCode.QUOTA_EXCEEDED
-BAD_PAYLOAD = ReasonCode.PAYLOAD_FORMAT_INVALID
--- a/rainpick/mqtt/encoder.py
+++ b/rainpick/mqtt/encoder.py
@@ -71,13 +71,13 @@
         flag_bits |= flags.CONNECT_PASSWORD
         payload += encode_binary(packet.password)
     protocol = encode_string(flags.PROTOCOL_NAME) + bytes((flags.PROTOCOL_VERSION, flag_bits))
-    header = protocol + encode_uint16(packet.keep_alive_s) + encode_properties(packet.props)
+    header = protocol + encode_uint16(packet.keep_alive_s) + encode_properties(packet.properties)
     return _frame(PacketType.CONNECT, 0, header + payload)
 
 
 def _encode_connack(packet: Connack) -> bytes:
     header = bytes((packet.session_present, packet.reason_code))
-    return _frame(PacketType.CONNACK, 0, header + encode_properties(packet.props))
+    return _frame(PacketType.CONNACK, 0, header + encode_properties(packet.properties))
 
 
 def _encode_publish(packet: Publish) -> bytes:
@@ -85,7 +85,7 @@
     if packet.duplicate:
         flag_bits |= flags.PUBLISH_DUPLICATE
     packet_id = encode_uint16(packet.packet_id) if packet.qos else b""
-    header = encode_string(packet.topic) + packet_id + encode_properties(packet.props)
+    header = encode_string(packet.topic) + packet_id + encode_properties(packet.properties)
     return _frame(PacketType.PUBLISH, flag_bits, header + packet.payload)
 
 
@@ -125,9 +125,9 @@
 
 
 def _encode_disconnect(packet: Disconnect) -> bytes:
-    if not packet.reason_code and not packet.props:  # both may be left out (section 3.14.2.1)
+    if not packet.reason_code and not packet.properties:  # both may be left out (section 3.14.2.1)
         return _frame(PacketType.DISCONNECT, 0, b"")
-    body = bytes((packet.reason_code,)) + encode_properties(packet.props)
+    body = bytes((packet.reason_code,)) + encode_properties(packet.properties)
     return _frame(PacketType.DISCONNECT, 0, body)
 
 
--- a/rainpick/mqtt/events.py
+++ b/rainpick/mqtt/events.py
@@ -37,11 +37,6 @@
     packet_id: int
     reason_code: int
 
-    @property
-    def number(self) -> int:
-        """Former name of ``packet_id``."""
-        return self.packet_id
-
 
 class ConnectionClosed(NamedTuple):
     """The connection is at its end: send ``data``, then close it.
@@ -54,11 +49,6 @@
     reason: str
     discards_will: bool = False
 
-    @property
-    def why(self) -> str:
-        """Former name of ``reason``."""
-        return self.reason
-
 
 ServerEvent = (
     ConnectRequested | Subscribed | Unsubscribed | MessageReceived | MessageAcknowledged | ConnectionClosed
--- a/rainpick/mqtt/packets.py
+++ b/rainpick/mqtt/packets.py
@@ -43,33 +43,18 @@
     client_id: str
     clean_start: bool = True
     keep_alive_s: int = 0
-    props: Properties = {}
+    properties: Properties = {}
     will: Will | None = None
     username: str | None = None
     password: bytes | None = None
 
-    @property
-    def client(self) -> str:
-        """Former name of ``client_id``."""
-        return self.client_id
-
-    @property
-    def keep_alive(self) -> int:
-        """Former name of ``keep_alive_s``."""
-        return self.keep_alive_s
-
 
 class Connack(NamedTuple):
     """The server's answer to CONNECT."""
 
     reason_code: int
     session_present: bool = False
-    props: Properties = {}
-
-    @property
-    def code(self) -> int:
-        """Former name of ``reason_code``."""
-        return self.reason_code
+    properties: Properties = {}
 
 
 class Publish(NamedTuple):
@@ -81,12 +66,7 @@
     packet_id: int = 0
     retain: bool = False
     duplicate: bool = False
-    props: Properties = {}
-
-    @property
-    def number(self) -> int:
-        """Former name of ``packet_id``."""
-        return self.packet_id
+    properties: Properties = {}
 
 
 class Puback(NamedTuple):
@@ -95,16 +75,6 @@
     packet_id: int
     reason_code: int = ReasonCode.SUCCESS
 
-    @property
-    def number(self) -> int:
-        """Former name of ``packet_id``."""
-        return self.packet_id
-
-    @property
-    def code(self) -> int:
-        """Former name of ``reason_code``."""
-        return self.reason_code
-
 
 class Subscribe(NamedTuple):
     """``filters`` are topic filters with their options; the two lowest bits are the requested QoS."""
@@ -119,11 +89,6 @@
     packet_id: int
     reason_codes: tuple[int, ...]
 
-    @property
-    def codes(self) -> tuple[int, ...]:
-        """Former name of ``reason_codes``."""
-        return self.reason_codes
-
 
 class Unsubscribe(NamedTuple):
     """Topic filters that a client gives up."""
@@ -149,12 +114,7 @@
     """The last packet that either side sends; DISCONNECT without a failure suppresses the will."""
 
     reason_code: int = ReasonCode.SUCCESS
-    props: Properties = {}
-
-    @property
-    def code(self) -> int:
-        """Former name of ``reason_code``."""
-        return self.reason_code
+    properties: Properties = {}
 
 
 Packet = (
--- a/rainpick/mqtt/server.py
+++ b/rainpick/mqtt/server.py
@@ -167,14 +167,14 @@
     def _handle_connect(self, connect: Connect) -> ConnectRequested:
         self.state = ConnectionState.AWAITING_DECISION
         self.connect = connect
-        self.receive_maximum = connect.props.get("receive_maximum", DEFAULT_RECEIVE_MAXIMUM)
-        self.max_packet_length = connect.props.get("maximum_packet", MAX_VARIABLE_BYTE_INTEGER)
+        self.receive_maximum = connect.properties.get("receive_maximum", DEFAULT_RECEIVE_MAXIMUM)
+        self.max_packet_length = connect.properties.get("maximum_packet", MAX_VARIABLE_BYTE_INTEGER)
         return ConnectRequested(connect)
 
     def _handle_publish(self, publish: Publish) -> MessageReceived:
         if publish.qos > MAX_GRANTED_QOS:
             raise MqttError("QoS 2 is not spoken here", ReasonCode.QOS_NOT_SUPPORTED)
-        if "topic_alias" in publish.props:
+        if "topic_alias" in publish.properties:
             raise MqttError("no topic aliases were allowed", ReasonCode.PROTOCOL_ERROR)
         return MessageReceived(publish)
 
@@ -222,15 +222,6 @@
         in_order = disconnect.reason_code == ReasonCode.SUCCESS
         return ConnectionClosed(b"", "disconnected by the client", discards_will=in_order)
 
-    # Former names, for callers that have not been renamed
-    end = disconnect
-    wanted = granted_qos
-    room = has_send_quota
-    out = property(lambda self: self.outgoing)
-    filters = property(lambda self: self.subscriptions)
-    send_most = property(lambda self: self.max_packet_length)
-    accepted = property(lambda self: self.state is ConnectionState.CONNECTED)
-
 
 def _not_for_a_server(packet: Packet) -> MqttError:
     return MqttError(f"{type(packet).__name__} is not for a server", ReasonCode.PROTOCOL_ERROR)
--- a/rainpick/publish/follower.py
+++ b/rainpick/publish/follower.py
@@ -5,14 +5,14 @@
 from xxhash import xxh3_64_hexdigest
 
 from rainpick.publish.payloads import (
-    Change,
     DirectorMessage,
     FaultCause,
     ProxyAssignment,
     RouteAdmission,
     ServerWeight,
     SyncFault,
-    Whole,
+    TableDelta,
+    TableSnapshot,
 )
 
 
@@ -25,13 +25,13 @@
 class TableFollower:
     """What a proxy holds of its table, brought up to date message by message.
 
-    ``lines`` is the weight by server address, 0 for a withdrawn server. A follower is in sync until a delta
+    ``weights`` is the weight by server address, 0 for a withdrawn server. A follower is in sync until a delta
     does not fit or a digest differs. It reports that once and keeps its entries until the next snapshot;
     meanwhile it applies only the withdrawals of deltas.
     """
 
-    def __init__(self, lines: dict[str, int] | None = None):
-        self.lines: dict[str, int] = dict(lines or {})
+    def __init__(self, weights: dict[str, int] | None = None):
+        self.weights: dict[str, int] = dict(weights or {})
         self.epoch = ""
         self.table: int | None = None
         self.version = 0
@@ -45,7 +45,7 @@
             return self._apply_assignment(message)
         if message.table != self.table or message.epoch != self.epoch:
             return None  # of a table that it is not assigned to
-        if isinstance(message, Whole):
+        if isinstance(message, TableSnapshot):
             return self._apply_snapshot(message)
         return self._apply_delta(message)
 
@@ -58,7 +58,7 @@
 
     def available_servers(self) -> dict[str, int]:
         """Return the weights of the servers that may be picked."""
-        return {server: weight for server, weight in self.lines.items() if weight}
+        return {server: weight for server, weight in self.weights.items() if weight}
 
     def _apply_assignment(self, assignment: ProxyAssignment) -> SyncFault | None:
         self.admissions = assignment.admissions
@@ -68,14 +68,14 @@
             self.version = 0
             self.awaiting_snapshot = False
         if assignment.table is None:
-            held = [entry for entry in assignment.updated if entry.server in self.lines]
-            self.lines.update(_by_server(held))
+            held = [entry for entry in assignment.updated if entry.server in self.weights]
+            self.weights.update(_by_server(held))
             return None
         if assignment.table_update is None:
             return None
         return self.apply(assignment.table_update)
 
-    def _apply_snapshot(self, snapshot: Whole) -> SyncFault | None:
+    def _apply_snapshot(self, snapshot: TableSnapshot) -> SyncFault | None:
         if snapshot.version < self.version and not self.awaiting_snapshot:
             return None  # older than what it holds
         weights = _by_server(snapshot.lines)
@@ -85,7 +85,7 @@
         self.awaiting_snapshot = False
         return None
 
-    def _apply_delta(self, delta: Change) -> SyncFault | None:
+    def _apply_delta(self, delta: TableDelta) -> SyncFault | None:
         if self.awaiting_snapshot:
             self._apply_withdrawals(delta)
             return None
@@ -95,7 +95,7 @@
             self._apply_withdrawals(delta)
             return self.report_fault("gap")
         removed = frozenset(delta.removed)
-        weights = {server: weight for server, weight in self.lines.items() if server not in removed}
+        weights = {server: weight for server, weight in self.weights.items() if server not in removed}
         weights |= _by_server(delta.updated)
         if canonical_digest(weights) != delta.digest:
             self._apply_withdrawals(delta)
@@ -103,23 +103,18 @@
         self._replace_entries(weights, delta)
         return None
 
-    def _replace_entries(self, weights: dict[str, int], update: Whole | Change) -> None:
-        self.lines = weights
+    def _replace_entries(self, weights: dict[str, int], update: TableSnapshot | TableDelta) -> None:
+        self.weights = weights
         self.version = update.version
         self.digest = update.digest
 
-    def _apply_withdrawals(self, delta: Change) -> None:
+    def _apply_withdrawals(self, delta: TableDelta) -> None:
         """Withdraw servers even if the delta does not fit, since a newer version does not use them."""
         for server in delta.removed:
-            self.lines.pop(server, None)
+            self.weights.pop(server, None)
         for entry in delta.updated:
-            if not entry.weight and entry.server in self.lines:
-                self.lines[entry.server] = 0
-
-    # Former names, for callers that have not been renamed
-    take = apply
-    trouble = report_fault
-    open_lines = available_servers
+            if not entry.weight and entry.server in self.weights:
+                self.weights[entry.server] = 0
 
 
 def _by_server(entries: list[ServerWeight] | tuple[ServerWeight, ...]) -> dict[str, int]:
--- a/rainpick/publish/payloads.py
+++ b/rainpick/publish/payloads.py
@@ -11,9 +11,6 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from rainpick.publish.topics import TOPIC_ROOT, assignment_topic, proxy_topic
-from rainpick.publish.topics import table_topic as table_topic  # its former place
-
 RouteName = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[^/+#\x00]+$")]
 Address = Annotated[str, Meta(min_length=3, max_length=261)]  # HOST:PORT
 UInt16 = Annotated[int, Meta(ge=0, le=65_535)]
@@ -38,7 +35,7 @@
     weight: UInt16
 
 
-class Whole(Struct, tag="whole", tag_field="kind", frozen=True):
+class TableSnapshot(Struct, tag="whole", tag_field="kind", frozen=True):
     """Snapshot of one version of a table; ``digest`` is that of its canonical form."""
 
     epoch: str
@@ -48,7 +45,7 @@
     lines: tuple[ServerWeight, ...]
 
 
-class Change(Struct, tag="change", tag_field="kind", frozen=True):
+class TableDelta(Struct, tag="change", tag_field="kind", frozen=True):
     """Delta between two versions of a table: new or changed entries, and servers that are removed."""
 
     epoch: str
@@ -59,11 +56,6 @@
     updated: tuple[ServerWeight, ...] = field(default=(), name="set")
     removed: tuple[Address, ...] = field(default=(), name="out")
 
-    # Former names, for callers that have not been renamed
-    base = property(lambda self: self.base_version)
-    set = property(lambda self: self.updated)
-    out = property(lambda self: self.removed)
-
 
 class RouteAdmission(Struct, frozen=True):
     """The admitted share of a route's requests (by ``proxies.admit``), and when another server is tried."""
@@ -72,10 +64,6 @@
     rate: float = field(name="level")
     retry_policy: RetryPolicy = field(name="retry")
 
-    # Former names, for callers that have not been renamed
-    level = property(lambda self: self.rate)
-    retry = property(lambda self: self.retry_policy)
-
 
 class ProxyAssignment(Struct, tag="orders", tag_field="kind", frozen=True):
     """For one proxy alone: its table (null: it keeps what it has), its admission rates, its table's update.
@@ -87,16 +75,10 @@
     epoch: str
     table: UInt16 | None
     admissions: tuple[RouteAdmission, ...] = field(default=(), name="levels")
-    table_update: Whole | Change | None = field(default=None, name="part")
+    table_update: TableSnapshot | TableDelta | None = field(default=None, name="part")
     updated: tuple[ServerWeight, ...] = field(default=(), name="set")
     removed: tuple[Address, ...] = field(default=(), name="out")
 
-    # Former names, for callers that have not been renamed
-    levels = property(lambda self: self.admissions)
-    part = property(lambda self: self.table_update)
-    set = property(lambda self: self.updated)
-    out = property(lambda self: self.removed)
-
 
 class Presence(Struct, tag="presence", tag_field="kind", frozen=True):
     """A proxy joins or leaves, and what it holds: a version of a table, or servers of unknown weight."""
@@ -108,9 +90,6 @@
     digest: str = ""
     servers: Annotated[tuple[Address, ...], Meta(max_length=10_000)] = field(default=(), name="holds")
 
-    # Former name, for callers that have not been renamed
-    holds = property(lambda self: self.servers)
-
 
 class SyncFault(Struct, tag="trouble", tag_field="kind", frozen=True):
     """A proxy can't follow its table: a version is missing, or the digests differ. It needs a snapshot."""
@@ -120,9 +99,6 @@
     table: UInt16 | None = None
     version: Counter = 0
 
-    # Former name, for callers that have not been renamed
-    why = property(lambda self: self.cause)
-
 
 class ServerAttempts(Struct, array_like=True, frozen=True):
     """Attempts at one server with the same outcome, and how many seconds they took together."""
@@ -132,9 +108,6 @@
     count: Counter
     total_s: Annotated[float, Meta(ge=0, le=1e12)]
 
-    # Former name, for callers that have not been renamed
-    seconds = property(lambda self: self.total_s)
-
 
 class RouteRequests(Struct, array_like=True, frozen=True):
     """Requests of clients to one route with the same outcome."""
@@ -149,12 +122,12 @@
 
     start_ns: TimestampNs
     end_ns: TimestampNs
-    tries: Annotated[tuple[ServerAttempts, ...], Meta(max_length=10_000)] = ()
-    calls: Annotated[tuple[RouteRequests, ...], Meta(max_length=1_000)] = ()
+    attempts: Annotated[tuple[ServerAttempts, ...], Meta(max_length=10_000)] = field(default=(), name="tries")
+    requests: Annotated[tuple[RouteRequests, ...], Meta(max_length=1_000)] = field(default=(), name="calls")
 
 
-TableUpdate = Whole | Change
-DirectorMessage = Whole | Change | ProxyAssignment
+TableUpdate = TableSnapshot | TableDelta
+DirectorMessage = TableSnapshot | TableDelta | ProxyAssignment
 ProxyMessage = Presence | SyncFault | LoadReport
 
 encode = msgspec.json.Encoder().encode
@@ -202,6 +175,8 @@
 _REFERENCE_PREFIX = "#/$defs/"
 # Names of types in the published schema. Authors of proxies may refer to them, so they stay.
 _SCHEMA_NAMES = {
+    "TableSnapshot": "Whole",
+    "TableDelta": "Change",
     "ServerWeight": "Line",
     "RouteAdmission": "Level",
     "ProxyAssignment": "Orders",
@@ -237,22 +212,3 @@
     prefix = _REFERENCE_PREFIX if text.startswith(_REFERENCE_PREFIX) else ""
     name = text.removeprefix(prefix)
     return prefix + _SCHEMA_NAMES.get(name, name)
-
-
-# Former names, for callers that have not been renamed
-Line = ServerWeight
-Level = RouteAdmission
-Orders = ProxyAssignment
-Trouble = SyncFault
-Tries = ServerAttempts
-Came = RouteRequests
-Met = LoadReport
-Up = ProxyMessage
-RETRIES = RETRY_POLICIES
-ROOT = TOPIC_ROOT
-read_up = decode_proxy_message
-read_down = decode_director_message
-place = format_address
-key = parse_address
-orders_topic = assignment_topic
-up_topic = proxy_topic
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -26,16 +26,6 @@
     reason: str
     since_us: int
 
-    @property
-    def who(self) -> str:
-        """Former name of ``operator``."""
-        return self.operator
-
-    @property
-    def why(self) -> str:
-        """Former name of ``reason``."""
-        return self.reason
-
 
 class PinError(Exception):
     """A table can't be pinned or released; the message says why."""
@@ -106,10 +96,6 @@
                 lines[server] = _limited_entry(pinned, ordinary_lines[server])
         return lines
 
-    # Former names, for callers that have not been renamed
-    pins = property(lambda self: self.by_table)
-    idle = property(lambda self: self.idle_tables)
-
 
 def _limited_entry(pinned: Entry, ordinary: Entry) -> Entry:
     """Return the entry of a server that is not warmed up, or that was withdrawn in the pinned version."""
@@ -122,7 +108,3 @@
 
 def _has_available_server(lines: Lines) -> bool:
     return any(weight for weight, _ in lines.values())
-
-
-# Former name, for callers that have not been renamed
-Pins = TablePins
--- a/rainpick/publish/table_updates.py
+++ b/rainpick/publish/table_updates.py
@@ -10,7 +10,14 @@
 from typing import NamedTuple
 
 from rainpick.director.tables import Line, Snapshot, Way
-from rainpick.publish.payloads import Change, ServerWeight, TableUpdate, Whole, encode, format_address
+from rainpick.publish.payloads import (
+    ServerWeight,
+    TableDelta,
+    TableSnapshot,
+    TableUpdate,
+    encode,
+    format_address,
+)
 
 MAX_SHARED_UPDATES = 256
 
@@ -45,16 +52,18 @@
             self._shared.popitem(last=False)
         return encoded
 
-    def snapshot(self, table: int, newest: Snapshot) -> Whole:
+    def snapshot(self, table: int, newest: Snapshot) -> TableSnapshot:
         """Return a version of a table with all its entries, those of weight 0 first."""
-        return Whole(self.epoch, table, newest.version, newest.digest, _server_weights(newest.whole()))
+        return TableSnapshot(
+            self.epoch, table, newest.version, newest.digest, _server_weights(newest.whole())
+        )
 
-    def delta(self, table: int, base: Snapshot, newest: Snapshot) -> Change:
+    def delta(self, table: int, base: Snapshot, newest: Snapshot) -> TableDelta:
         """Return the difference between two versions of a table, withdrawals first."""
         way = base.to(newest)
         updated = _server_weights([line for line in way.lines if line.server in newest.lines])
         removed = tuple([format_address(line.server) for line in way.shut if line.server not in newest.lines])
-        return Change(self.epoch, table, base.version, newest.version, newest.digest, updated, removed)
+        return TableDelta(self.epoch, table, base.version, newest.version, newest.digest, updated, removed)
 
     def unbound_weights(self, way: Way) -> tuple[ServerWeight, ...]:
         """Return withdrawals and returns for a proxy without a table."""
@@ -67,13 +76,6 @@
                 return delta
         return self.snapshot(table, newest)
 
-    # Former names, for callers that have not been renamed
-    part = update
-
-    def loose(self, way: Way) -> tuple[tuple[ServerWeight, ...], tuple[str, ...]]:
-        """Return ``unbound_weights`` in their former shape."""
-        return self.unbound_weights(way), ()
-
 
 def _server_weights(lines: list[Line] | tuple[Line, ...]) -> tuple[ServerWeight, ...]:
     return tuple([ServerWeight(format_address(line.server), line.weight) for line in lines])
--- a/rainpick/standins/director_link.py
+++ b/rainpick/standins/director_link.py
@@ -6,8 +6,8 @@
 import threading
 import time
 
-from rainpick.publish.follow import Follower
-from rainpick.publish.payloads import key
+from rainpick.publish.follower import TableFollower
+from rainpick.publish.payloads import parse_address
 from rainpick.sasp.constants import ReturnCode
 from rainpick.sasp.messages import Group, Member, MemberGroup, Registration, Reply, SetLbState
 from rainpick.standins.event_log import EventLog
@@ -37,7 +37,7 @@
         self.stream: SaspClient | MqttProxy | None = None
         self.reading = threading.Event()  # cleared to stop reading
         self.reading.set()
-        self.follower: Follower | None = None  # the table over MQTT, kept over reconnections
+        self.follower: TableFollower | None = None  # the table over MQTT, kept over reconnections
 
     def run(self, ended: threading.Event) -> None:
         """Keep joined until the proxy ends."""
@@ -83,10 +83,10 @@
                 self.hold(self.follower)
             self.reading.wait()
 
-    def hold(self, follower: Follower) -> None:
+    def hold(self, follower: TableFollower) -> None:
         """Take over the open entries of a checked table."""
         weights: dict[SocketAddress, int] = {
-            key(server): weight for server, weight in follower.open_lines().items()
+            parse_address(server): weight for server, weight in follower.available_servers().items()
         }
         self.log.write("weights", p=self.uid, m=self.table.replace(weights))
 
--- a/rainpick/standins/mqtt_client.py
+++ b/rainpick/standins/mqtt_client.py
@@ -6,10 +6,10 @@
 from typing import TypeVar
 
 from rainpick.mqtt import codec
-from rainpick.mqtt.session import ClientEnd
-from rainpick.publish import payloads
-from rainpick.publish.follow import Follower
-from rainpick.publish.payloads import Presence, Trouble
+from rainpick.mqtt.client import ClientConnection
+from rainpick.publish import payloads, topics
+from rainpick.publish.follower import TableFollower
+from rainpick.publish.payloads import Presence, SyncFault
 from rainpick.standins import blocking_socket
 
 AnyPacket = TypeVar("AnyPacket", bound=codec.Packet)
@@ -22,21 +22,21 @@
     """
 
     def __init__(self, address: tuple[str, int], uid: str, timeout_s: float = 3.0, receive_most: int = 100):
-        self.uid, self.end, self.timeout_s = uid, ClientEnd(), timeout_s
+        self.uid, self.end, self.timeout_s = uid, ClientConnection(), timeout_s
         self.acknowledges = True
         self.told: list[codec.Publish] = []
         self.codes: dict[int, int] = {}  # reason codes by packet identifier, until ``say`` takes them
-        self.follower = Follower()
+        self.follower = TableFollower()
         self.sock = socket.create_connection(address, timeout_s)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.write(codec.Connect(uid, props={"receive_maximum": receive_most}))
+        self.write(codec.Connect(uid, properties={"receive_maximum": receive_most}))
         reply = self.wait_for(codec.Connack)
-        if reply.code != codec.SUCCESS:
-            raise ConnectionAbortedError(f"CONNACK {reply.code:#04x}")
+        if reply.reason_code != codec.ReasonCode.SUCCESS:
+            raise ConnectionAbortedError(f"CONNACK {reply.reason_code:#04x}")
 
     def write(self, *packets: codec.Packet) -> None:
         """Send packets."""
-        self.sock.sendall(b"".join(codec.write(packet) for packet in packets))
+        self.sock.sendall(b"".join(codec.encode_packet(packet) for packet in packets))
 
     def packets(self, timeout_s: float) -> list[codec.Packet]:
         """Receive the packets that come within a time, without handling them."""
@@ -55,14 +55,14 @@
 
     def subscribe(self, *filters: str, qos: int = 1) -> tuple[int, ...]:
         """Subscribe to topic filters; give the reason codes."""
-        self.write(codec.Subscribe(self.end.number(), tuple((name, qos) for name in filters)))
-        return self.wait_for(codec.Suback).codes
+        self.write(codec.Subscribe(self.end.next_packet_id(), tuple((name, qos) for name in filters)))
+        return self.wait_for(codec.Suback).reason_codes
 
-    def say(self, what: str, payload: payloads.Up | bytes) -> int:
+    def say(self, what: str, payload: payloads.ProxyMessage | bytes) -> int:
         """Publish to one of the proxy's topics; give the reason code of the acknowledgement."""
-        number = self.end.number()
+        number = self.end.next_packet_id()
         data = payload if isinstance(payload, bytes) else payloads.encode(payload)
-        self.write(codec.Publish(payloads.up_topic(self.uid, what), data, 1, number))
+        self.write(codec.Publish(topics.proxy_topic(self.uid, what), data, 1, number))
         while number not in self.codes:
             packets = self.packets(self.timeout_s)
             if not packets:
@@ -70,14 +70,14 @@
             self.handle(packets)
         return self.codes.pop(number)
 
-    def join(self, before: Follower | None, weights: dict[str, int]) -> Follower:
+    def join(self, before: TableFollower | None, weights: dict[str, int]) -> TableFollower:
         """Join with the table of an earlier connection, or with servers of a default table."""
-        self.follower = before or Follower(weights)
-        self.subscribe(payloads.orders_topic(self.uid), f"{payloads.ROOT}/table/+")
+        self.follower = before or TableFollower(weights)
+        self.subscribe(topics.assignment_topic(self.uid), f"{topics.TOPIC_ROOT}/table/+")
         old = self.follower
-        presence = Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.lines))
+        presence = Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.weights))
         code = self.say("presence", presence)
-        if code != codec.SUCCESS:
+        if code != codec.ReasonCode.SUCCESS:
             raise ConnectionAbortedError(f"presence refused: {code:#04x}")
         return self.follower
 
@@ -86,29 +86,29 @@
         published = False
         for packet in packets:
             if isinstance(packet, codec.Puback):
-                self.codes[packet.number] = packet.code
+                self.codes[packet.packet_id] = packet.reason_code
             elif isinstance(packet, codec.Disconnect):
-                raise ConnectionResetError(f"DISCONNECT {packet.code:#04x}")
+                raise ConnectionResetError(f"DISCONNECT {packet.reason_code:#04x}")
             elif isinstance(packet, codec.Publish):
                 published = True
                 self.told.append(packet)
                 if packet.qos and self.acknowledges:
-                    self.write(codec.Puback(packet.number))
+                    self.write(codec.Puback(packet.packet_id))
                 self.follow(packet.payload)
         return published
 
     def follow(self, data: bytes) -> None:
         """Apply a payload to the table, and report it if it does not fit or was damaged on its way."""
         try:
-            trouble = self.follower.take(payloads.read_down(data))
+            trouble = self.follower.apply(payloads.decode_director_message(data))
         except payloads.PayloadError:
-            trouble = self.follower.trouble("digest")
+            trouble = self.follower.report_fault("digest")
         if trouble is not None:
             self.report_trouble(trouble)
 
-    def report_trouble(self, trouble: Trouble) -> None:
+    def report_trouble(self, trouble: SyncFault) -> None:
         """Ask for the complete table."""
-        topic = payloads.up_topic(self.uid, "trouble")
+        topic = topics.proxy_topic(self.uid, "trouble")
         self.write(codec.Publish(topic, payloads.encode(trouble), 0))
 
     def read(self, timeout_s: float) -> bool:
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -12,9 +12,17 @@
 
 from rainpick.cli import main
 from rainpick.mqtt import codec
-from rainpick.publish import payloads
-from rainpick.publish.follow import Follower
-from rainpick.publish.payloads import Change, Met, Orders, Presence, Trouble, Whole, read_down
+from rainpick.publish import payloads, topics
+from rainpick.publish.follower import TableFollower
+from rainpick.publish.payloads import (
+    LoadReport,
+    Presence,
+    ProxyAssignment,
+    SyncFault,
+    TableDelta,
+    TableSnapshot,
+    decode_director_message,
+)
 from rainpick.standins.mqtt_client import MqttProxy
 from tests.loopback.help import KEPT, MemberEnd, ProxyEnd, status
 from tests.loopback.help import running as plainly
@@ -49,11 +57,11 @@
         return self
 
     def ports(self):
-        lines = self.follower.open_lines()
+        lines = self.follower.available_servers()
         return {int(server.rpartition(":")[2]): weight for server, weight in lines.items()}
 
     def heard(self):
-        return [read_down(one.payload) for one in self.told]
+        return [decode_director_message(one.payload) for one in self.told]
 
 
 def exact(daemon, *proxies):
@@ -73,12 +81,16 @@
     whole = dict.fromkeys(range(9001, 9009), FULL)
     proxy = Proxy(daemon, "edge-1", 9001, 7777).until(lambda held: held == whole)
     first = proxy.heard()[-1]
-    assert isinstance(first, Orders) and isinstance(first.part, Whole) and first.levels[0].retry == "never"
+    assert (
+        isinstance(first, ProxyAssignment)
+        and isinstance(first.table_update, TableSnapshot)
+        and first.admissions[0].retry_policy == "never"
+    )
     fleet.quiesce(9002)
     proxy.until(lambda held: 9002 not in held)
     last = proxy.heard()[-1]
-    assert isinstance(last, Change) and last.set[0].weight == 0
-    assert proxy.told[-1].topic == payloads.table_topic(0)
+    assert isinstance(last, TableDelta) and last.updated[0].weight == 0
+    assert proxy.told[-1].topic == topics.table_topic(0)
     exact(daemon, proxy)
     until(lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "every mark answered")
 
@@ -108,7 +120,7 @@
     fleet.quiesce(9001)
     fleet.quiesce(9002)  # two changes missed
     again = Proxy(daemon, "edge-1", before=held).until(lambda held: len(held) == 8)
-    assert all(not isinstance(getattr(one, "part", one), Whole) for one in again.heard())
+    assert all(not isinstance(getattr(one, "table_update", one), TableSnapshot) for one in again.heard())
     exact(daemon, again)
 
 
@@ -116,12 +128,12 @@
     MemberEnd(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1").until(lambda held: len(held) == 10)
     for change in ({"digest": "0" * 16}, {"epoch": "another"}):
-        old = Follower(proxy.follower.lines)
-        vars(old).update({**vars(proxy.follower), "lines": {"127.0.0.1:9001": 5}, **change})
+        old = TableFollower(proxy.follower.weights)
+        vars(old).update({**vars(proxy.follower), "weights": {"127.0.0.1:9001": 5}, **change})
         proxy.close()
         until(lambda: not status(daemon)["proxies"])
         proxy = Proxy(daemon, "edge-1", before=old).until(lambda held: len(held) == 10)
-        assert any(isinstance(getattr(one, "part", one), Whole) for one in proxy.heard())
+        assert any(isinstance(getattr(one, "table_update", one), TableSnapshot) for one in proxy.heard())
         exact(daemon, proxy)
 
 
@@ -131,7 +143,7 @@
     take, damaged = proxy.follow, []
 
     def damage(data):
-        if isinstance(read_down(data), Change) and not damaged:
+        if isinstance(decode_director_message(data), TableDelta) and not damaged:
             damaged.append(data)
             data = data.replace(b'"weight"', b'"weihgt"').replace(b",0]", b",9]")
         take(data)
@@ -216,7 +228,7 @@
     proxy.acknowledges = False
     fleet.quiesce(9001)
     proxy.until(lambda held: 9001 not in held)
-    number, many = proxy.told[-1].number, len(proxy.told)
+    number, many = proxy.told[-1].packet_id, len(proxy.told)
     for port in (9002, 9003, 9004):
         fleet.quiesce(port)
     until(lambda: status(daemon)["channel"]["blocked"] == 1)
@@ -235,7 +247,7 @@
     now = time.time_ns()
     with pytest.raises(OSError):
         for step in range(1000):
-            loud.say("report", Met(now + step, now + step + 1))
+            loud.say("report", LoadReport(now + step, now + step + 1))
     assert status(daemon)["subscribers"]["floods"] == 1
     quiet.until(lambda held: held)
 
@@ -245,25 +257,28 @@
     proxy, now = Proxy(daemon, "edge-1"), time.time_ns()
     until(lambda: status(daemon)["phase"] == "deciding")
     rows = {
-        "tries": (payloads.Tries("127.0.0.1:9001", "answered", 3, 0.2),),
-        "calls": (payloads.Came("lookup", "answered", 3),),
+        "attempts": (payloads.ServerAttempts("127.0.0.1:9001", "answered", 3, 0.2),),
+        "requests": (payloads.RouteRequests("lookup", "answered", 3),),
     }
     for end, verdict in ((now, "fresh"), (now, "doubled"), (now - 20 * S, "late")):
-        assert proxy.say("report", Met(end - S, end, **rows)) == codec.SUCCESS
+        assert proxy.say("report", LoadReport(end - S, end, **rows)) == codec.ReasonCode.SUCCESS
         assert status(daemon)["reports"][verdict] == 2
     assert (
-        proxy.say("report", Met(now, now + 1, tries=(payloads.Tries("x:99999", "answered", 1, 0.1),)))
-        == codec.BAD_PAYLOAD
+        proxy.say(
+            "report",
+            LoadReport(now, now + 1, attempts=(payloads.ServerAttempts("x:99999", "answered", 1, 0.1),)),
+        )
+        == codec.ReasonCode.PAYLOAD_FORMAT_INVALID
     )
 
 
 @pytest.mark.parametrize(
     "what, data, code",
     [
-        ("report", b"{", codec.BAD_PAYLOAD),
-        ("trouble", payloads.encode(Met(1, 2)), codec.BAD_PAYLOAD),
-        ("orders", b"", codec.NOT_AUTHORIZED),
-        ("../edge-2/report", b"", codec.NOT_AUTHORIZED),
+        ("report", b"{", codec.ReasonCode.PAYLOAD_FORMAT_INVALID),
+        ("trouble", payloads.encode(LoadReport(1, 2)), codec.ReasonCode.PAYLOAD_FORMAT_INVALID),
+        ("orders", b"", codec.ReasonCode.NOT_AUTHORIZED),
+        ("../edge-2/report", b"", codec.ReasonCode.NOT_AUTHORIZED),
     ],
 )
 def test_what_a_client_may_not_say_is_refused_and_the_connection_goes_on(daemon, what, data, code):
@@ -275,12 +290,12 @@
 
 def test_presence_needs_orders_of_qos_1(daemon):
     client = MqttProxy(daemon.mqtt, "edge-1")
-    client.subscribe(payloads.orders_topic("edge-1"), qos=0)
-    assert client.say("presence", Presence("here")) == codec.NOT_AUTHORIZED
-    assert client.say("trouble", Trouble("gap")) == codec.NOT_AUTHORIZED
-    client.subscribe(payloads.orders_topic("edge-1"))
-    assert client.say("presence", Presence("here")) == codec.SUCCESS
-    assert client.say("presence", Presence("gone")) == codec.SUCCESS
+    client.subscribe(topics.assignment_topic("edge-1"), qos=0)
+    assert client.say("presence", Presence("here")) == codec.ReasonCode.NOT_AUTHORIZED
+    assert client.say("trouble", SyncFault("gap")) == codec.ReasonCode.NOT_AUTHORIZED
+    client.subscribe(topics.assignment_topic("edge-1"))
+    assert client.say("presence", Presence("here")) == codec.ReasonCode.SUCCESS
+    assert client.say("presence", Presence("gone")) == codec.ReasonCode.SUCCESS
     until(lambda: not status(daemon)["proxies"])
     client.close()
 
@@ -291,7 +306,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
         b"\x10\xff\xff\xff\x7f",
         b"\x82\x06\0\1\0\1a\0",
-        codec.write(codec.Connect("bad/name")),
+        codec.encode_packet(codec.Connect("bad/name")),
     ],
 )
 def test_what_is_not_mqtt_ends_that_connection_alone(daemon, data):
@@ -307,14 +322,14 @@
 def test_an_unmodified_client_reads_a_table_follows_it_and_acknowledges(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9009))
     Proxy(daemon, "edge-1").until(lambda held: len(held) == 8)
-    follower, news = Follower(), threading.Condition()
+    follower, news = TableFollower(), threading.Condition()
     seen = []
 
     def heard(client, _, message):
         with news:
-            one = read_down(message.payload)
+            one = decode_director_message(message.payload)
             follower.epoch, follower.table = one.epoch, one.table
-            assert follower.take(one) is None
+            assert follower.apply(one) is None
             seen.append((type(one).__name__, message.qos, message.retain))
             news.notify_all()
 
@@ -325,11 +340,11 @@
     client.loop_start()
     try:
         with news:
-            assert news.wait_for(lambda: len(follower.lines) == 8, 10)
+            assert news.wait_for(lambda: len(follower.weights) == 8, 10)
         fleet.quiesce(9004)
         with news:
-            assert news.wait_for(lambda: len(follower.open_lines()) == 7, 10)
-        assert seen[0] == ("Whole", 1, True) and seen[1][:2] == ("Change", 1)
+            assert news.wait_for(lambda: len(follower.available_servers()) == 7, 10)
+        assert seen[0] == ("TableSnapshot", 1, True) and seen[1][:2] == ("TableDelta", 1)
         table = status(daemon)["tables"][0]
         until(lambda: follower.digest == status(daemon)["tables"][0]["digest"])
         assert status(daemon)["subscribers"]["observers"] == 1 and table["proxies"] == 1
--- a/tests/mqtt/test_server.py
+++ b/tests/mqtt/test_server.py
@@ -35,7 +35,7 @@
 
 def test_a_client_subscribes_publishes_and_acknowledges():
     connection, event = connection_after(
-        Connect("a", props={"receive_maximum": 2}), Subscribe(1, (("t/+", 2), ("bad#", 0)))
+        Connect("a", properties={"receive_maximum": 2}), Subscribe(1, (("t/+", 2), ("bad#", 0)))
     )
     assert isinstance(event, Subscribed) and event.filters == (("t/+", 1),)
     first, second = (connection.publish("t/1", b"x", 1) for _ in range(2))
@@ -54,7 +54,7 @@
         ((Connect("a"), Connack(0)), ReasonCode.PROTOCOL_ERROR),
         ((Connect("a"), Ping(is_response=True)), ReasonCode.PROTOCOL_ERROR),
         ((Connect("a"), Publish("t", b"", 2, 1)), ReasonCode.QOS_NOT_SUPPORTED),
-        ((Connect("a"), Publish("t", b"", 0, 0, props={"topic_alias": 1})), ReasonCode.PROTOCOL_ERROR),
+        ((Connect("a"), Publish("t", b"", 0, 0, properties={"topic_alias": 1})), ReasonCode.PROTOCOL_ERROR),
     ],
 )
 def test_an_illegal_packet_closes_the_connection(packets, reason_code):
--- a/tests/publish/test_table_updates.py
+++ b/tests/publish/test_table_updates.py
@@ -13,10 +13,10 @@
 from rainpick.director.tables import HISTORY, Scale, Tables
 from rainpick.publish.follower import TableFollower, canonical_digest
 from rainpick.publish.payloads import (
-    Change,
     ProxyAssignment,
     ServerWeight,
-    Whole,
+    TableDelta,
+    TableSnapshot,
     decode_director_message,
 )
 from rainpick.publish.table_updates import TableUpdateEncoder
@@ -49,7 +49,7 @@
         self.tables.carry_out(model.SetWeight(0, server_key(number), weight))
 
     def in_sync(self):
-        return self.follower.lines == {
+        return self.follower.weights == {
             f"{host}:{port}": weight for (host, port), (weight, _) in self.tables.current(0).lines.items()
         }
 
@@ -60,13 +60,13 @@
     distribution.set_weight(3, 2.0)
     distribution.set_weight(4, 0.0)
     update = distribution.next_update()
-    assert isinstance(update, Change) and (update.base_version, update.version) == (first, first + 1)
+    assert isinstance(update, TableDelta) and (update.base_version, update.version) == (first, first + 1)
     assert [entry.server for entry in update.updated] == ["127.0.0.1:9003"]
     assert update.removed == ("127.0.0.1:9004",)
     assert distribution.follower.apply(update) is None and distribution.in_sync()
     for number in range(12):
         distribution.set_weight(number, 3.0)
-    assert isinstance(distribution.next_update(), Whole)
+    assert isinstance(distribution.next_update(), TableSnapshot)
 
 
 def test_a_new_version_needs_a_difference_in_the_published_weights():
@@ -83,7 +83,7 @@
         distribution.next_update()  # lost
     distribution.set_weight(3, 0.0)
     fault = distribution.follower.apply(distribution.next_update())
-    assert fault.cause == "gap" and "127.0.0.1:9003" not in distribution.follower.lines, (
+    assert fault.cause == "gap" and "127.0.0.1:9003" not in distribution.follower.weights, (
         "withdrawals do not wait"
     )
     distribution.set_weight(4, 5.0)
@@ -100,8 +100,8 @@
     update = distribution.next_update()
     (entry,) = update.updated
     damaged = msgspec.structs.replace(update, updated=(ServerWeight(entry.server, entry.weight + 1),))
-    before = dict(distribution.follower.lines)
-    assert distribution.follower.apply(damaged).cause == "digest" and distribution.follower.lines == before
+    before = dict(distribution.follower.weights)
+    assert distribution.follower.apply(damaged).cause == "digest" and distribution.follower.weights == before
     distribution.base = None
     distribution.follower.apply(distribution.next_update())
     assert distribution.in_sync()
@@ -134,7 +134,7 @@
     )
     update = later.encoder.snapshot(0, later.tables.current(0))
     assert distribution.follower.apply(ProxyAssignment("e2", 0, (), update)) is None
-    assert len(distribution.follower.lines) == 3 and distribution.follower.epoch == "e2"
+    assert len(distribution.follower.weights) == 3 and distribution.follower.epoch == "e2"
 
 
 def test_versions_older_than_the_history_are_unknown():
@@ -154,7 +154,9 @@
     newest = distribution.tables.current(0)
     encoder = distribution.encoder
     assert encoder.update(0, before, newest).payload is encoder.update(0, before, newest).payload
-    assert isinstance(encoder.update(1, before, newest).update, Whole), "another table's version is no base"
+    assert isinstance(encoder.update(1, before, newest).update, TableSnapshot), (
+        "another table's version is no base"
+    )
 
 
 ACTIONS = st.sampled_from(
@@ -188,7 +190,7 @@
             in_flight.append(in_flight[0])
         elif action == "reorder":
             rng.shuffle(in_flight)
-        elif action == "damage" and in_flight and isinstance(in_flight[0], Change):
+        elif action == "damage" and in_flight and isinstance(in_flight[0], TableDelta):
             deliver(msgspec.structs.replace(in_flight.pop(0), digest="0" * 16))
         elif action == "restart":  # a director with a new epoch; messages in flight may still arrive
             epoch += 1
@@ -209,4 +211,4 @@
         if distribution.base is None:
             deliver(distribution.next_update())
     assert distribution.in_sync()
-    assert canonical_digest(distribution.follower.lines) == distribution.tables.current(0).digest
+    assert canonical_digest(distribution.follower.weights) == distribution.tables.current(0).digest
