--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -8,7 +8,7 @@
 
 from rainpick import model
 from rainpick.decisions.director import Director
-from rainpick.director.channel import GRAIN_US
+from rainpick.director.channel import PACE_TOLERANCE_US
 from tests.director.drive import Drive, server
 
 
@@ -28,28 +28,28 @@
     for place, (first, _) in enumerate(moments):
         for last in range(place + 1, len(moments)):
             lines = sum(lines for _, lines in moments[place:last])
-            assert moments[last][0] - first >= lines * 5_000 - 2 * GRAIN_US
+            assert moments[last][0] - first >= lines * 5_000 - 2 * PACE_TOLERANCE_US
 
 
-def test_a_proxy_that_takes_nothing_holds_up_nobody():
+def test_a_blocked_proxy_delays_nobody_else():
     drive = Drive()
     for number in range(3):
         drive.join(number)
     drive.run(1)
-    drive.engine.blocked(1, True)
+    drive.engine.set_blocked(1, True)
     drive.listed(server(2, model.EndpointState.DRAINING))
     drive.run(1)
     assert 2 not in drive.open_lines(0) and 2 not in drive.open_lines(2) and 2 in drive.open_lines(1)
     drive.listed(server(3, model.EndpointState.DRAINING))
     drive.run(1)
-    drive.engine.blocked(1, False)
+    drive.engine.set_blocked(1, False)
     begin = len(drive.writes)
     drive.run(0.1)
     # What waited is one message with the newest state, not the story of it.
     assert [len(write.way.lines) for _, write in drive.writes[begin:]] == [2] and drive.exact(1)
 
 
-def test_applied_comes_when_delivered_and_covers_what_was_merged():
+def test_acknowledgements_come_on_delivery_and_cover_merged_messages():
     drive = Drive()
     drive.reads[1] = False
     drive.join(1)
@@ -64,9 +64,9 @@
     assert module.publisher.queue.waiting == 0
 
 
-def test_messages_to_a_proxy_stay_within_the_cap_whatever_is_ordered():
+def test_messages_to_a_proxy_stay_within_the_limit_whatever_is_ordered():
     class Talkative(Director):
-        """Changes a weight in every step: the channel must hold the cap by itself."""
+        """Changes a weight in every step: the channel must keep the limit by itself."""
 
         def step(self, now, events):
             orders = super().step(now, events)
@@ -92,7 +92,7 @@
     assert 9 not in drive.open_lines(1) and drive.exact(1)
 
 
-def test_a_cold_server_climbs_and_its_ratio_survives_sixteen_bits():
+def test_a_warming_up_server_gains_weight_and_its_ratio_survives_sixteen_bits():
     drive = Drive('rules: {warm_after: "12s", start_capacity: 0.16}, fleet: {weight_most: 64}')
     drive.join(1)
     drive.run(1)
@@ -105,15 +105,15 @@
     assert seen == sorted(seen) and 0 < seen[0] < 0.15 and seen[-1] == 0.5
 
 
-def test_a_poller_holds_the_same_as_one_that_is_pushed_to():
+def test_a_polling_proxy_holds_the_same_as_one_that_is_pushed_to():
     drive = Drive()
     drive.join(1)
     drive.join(2)
-    drive.engine.blocked(2, True)  # it asks by itself
+    drive.engine.set_blocked(2, True)  # it asks by itself
     drive.run(1)
     drive.listed(server(1, model.EndpointState.DRAINING))
     drive.run(1)
-    number, news = drive.engine.pull(2)
+    number, news = drive.engine.poll(2)
     assert {line.server: (line.weight, line.flags) for line in news.lines} == drive.held[1]
     drive.engine.delivered(2, number)
     drive.run(0.1)
@@ -146,19 +146,19 @@
             drive.left(which)
             blocked.discard(which)
         elif joined and action in ("block", "unblock"):
-            drive.engine.blocked(which, action == "block")
+            drive.engine.set_blocked(which, action == "block")
             (blocked.add if action == "block" else blocked.discard)(which)
         elif joined and action == "deaf":
             drive.reads[which] = not drive.reads[which]
         elif joined and action == "poll":
-            _, news = drive.engine.pull(which)
+            _, news = drive.engine.poll(which)
             for line in news.lines:
                 drive.held[which].pop(line.server, None)
                 if line.weight or line.flags & 0x80:
                     drive.held[which][line.server] = line.weight, line.flags
         drive.until(drive.now + wait_ms * 1000)
     for number in drive.held:
-        drive.engine.blocked(number, False)
+        drive.engine.set_blocked(number, False)
         drive.reads[number] = True
         drive.engine.delivered(number, 1 << 40)
     drive.run(30)
@@ -201,7 +201,7 @@
     assert order[1:5] == [0, 1, 2, 3] and sorted(order[5:]) == [5, 6, 7]
 
 
-def test_a_mark_whose_lines_an_earlier_message_carried_is_answered_with_that_one():
+def test_an_acknowledgement_whose_lines_an_earlier_message_carried_comes_with_that_one():
     drive = Drive(module=Scripted)
     module, server_ = drive.engine.stepper.director, ("127.0.0.1", 9000)
     drive.join(1)
