--- a/rainpick/cli/replay_command.py
+++ b/rainpick/cli/replay_command.py
@@ -11,7 +11,7 @@
 
 from rainpick.cli.errors import FAILED, WRONG_CALL, CommandError, report_errors
 from rainpick.cli.options import EXISTING_FOLDER, FILE, as_json_option
-from rainpick.settings import load, plain_map
+from rainpick.settings import decision_settings, load
 
 if TYPE_CHECKING:
     from rainpick.decisions.director import Director
@@ -78,7 +78,7 @@
 
     paths = [Path(folder) for folder in folders]
     changes, director = _alternatives(overrides, module_path)
-    replacement = plain_map(load(settings_file)) if settings_file else None
+    replacement = decision_settings(load(settings_file)) if settings_file else None
     if subject:
         print_inspection(paths, subject, until_s, session_number, director, as_json)
         return
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -18,7 +18,7 @@
 from rainpick.director.snapshots import Scale, Snapshot, Way
 from rainpick.director.stepper import Command, Stepper
 from rainpick.director.tables import ProxyCommands, Tables
-from rainpick.settings import Settings, plain_map
+from rainpick.settings import Settings, decision_settings
 
 ACKNOWLEDGEMENT_DELAY_US = 5_000  # the decisions may learn so late that messages were delivered
 MAX_NOTES = 100  # newest log messages of the decisions that are retained
@@ -94,7 +94,7 @@
 
     def __init__(self, settings: Settings, seed: int, now: int, module: Callable[[], Director] = Director):
         self.settings = settings
-        self.stepper = Stepper(seed, plain_map(settings), module)
+        self.stepper = Stepper(seed, decision_settings(settings), module)
         channel = settings.channel
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
--- a/rainpick/director/listing.py
+++ b/rainpick/director/listing.py
@@ -18,7 +18,7 @@
 from rainpick.director.addresses import Key
 from rainpick.director.membership import FileEntry
 from rainpick.settings import Settings, SettingsError, load
-from rainpick.settings.model import Part
+from rainpick.settings.part import Part
 from rainpick.settings.units import Address, Duration
 
 log = structlog.get_logger()
@@ -79,7 +79,7 @@
     return FileEntry(
         (server.address.host, server.address.port),
         server.weight,
-        settings.zone_of(server.zone),
+        settings.zone_index(server.zone),
         settings.machines.index(server.machine) if server.machine is not None else 0,
         server.pod,
         max(0, now - server.age) if server.age is not None else 0,
--- a/rainpick/director/member_labels.py
+++ b/rainpick/director/member_labels.py
@@ -10,7 +10,7 @@
 
 from rainpick.sasp.constants import ReturnCode
 from rainpick.sasp.messages import Member
-from rainpick.settings.fleet import Match
+from rainpick.settings.address_pattern import AddressPattern
 from rainpick.settings.model import Settings
 
 LABEL_KEYS = ("weight", "zone", "machine", "pod", "boot", "age")
@@ -64,7 +64,7 @@
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        self.rules = [(Match(rule.match), rule) for rule in settings.fleet.servers]
+        self.rules = [(AddressPattern(rule.match), rule) for rule in settings.fleet.servers]
 
     def describe(self, member: Member) -> Description:
         """The description of a member; ``RejectedMemberError`` if its label makes no sense."""
@@ -88,7 +88,7 @@
     def combine(self, member: Member, values: dict[str, str]) -> Description:
         """Each attribute by the first rule that covers the address, else by the label, else its default."""
         host = member.host()
-        rule = next((rule for match, rule in self.rules if match.covers(host, member.port)), None)
+        rule = next((rule for match, rule in self.rules if match.matches(host, member.port)), None)
         weight = rule.weight if rule and rule.weight is not None else float(values.get("weight", "1"))
         zone = rule.zone if rule and rule.zone is not None else values.get("zone")
         machine = rule.machine if rule and rule.machine is not None else values.get("machine")
--- a/rainpick/director/proxies.py
+++ b/rainpick/director/proxies.py
@@ -57,4 +57,4 @@
         known = next((entry for entry in proxies.known if fnmatchcase(uid, entry.match)), None)
         zone = known.zone if known and known.zone is not None else proxies.zone
         rate = known.rate if known and known.rate is not None else proxies.rate
-        return ProxyPlace(self.settings.zone_of(zone), rate)
+        return ProxyPlace(self.settings.zone_index(zone), rate)
--- a/rainpick/settings/fleet.py
+++ b/rainpick/settings/address_pattern.py
@@ -5,17 +5,17 @@
 ANY_PORT = range(65_536)
 
 
-class Match:
+class AddressPattern:
     """A pattern over addresses and ports.
 
     It is ``HOST``, ``HOST:PORT``, ``HOST:FIRST-LAST`` or ``NETWORK/BITS``, the last with or without ports. An
     IPv6 host with ports stands in brackets. ``ValueError`` if the pattern is none of these.
 
-    >>> Match("127.0.0.1:9000-9011").covers(ipaddress.ip_address("127.0.0.1"), 9004)
+    >>> AddressPattern("127.0.0.1:9000-9011").matches(ipaddress.ip_address("127.0.0.1"), 9004)
     True
-    >>> Match("10.1.0.0/16").covers(ipaddress.ip_address("10.2.0.1"), 80)
+    >>> AddressPattern("10.1.0.0/16").matches(ipaddress.ip_address("10.2.0.1"), 80)
     False
-    >>> Match("10.1.0.0/16:80-70")
+    >>> AddressPattern("10.1.0.0/16:80-70")
     Traceback (most recent call last):
     ValueError: fleet.servers: '10.1.0.0/16:80-70' has a port range that ends before it begins
     """
@@ -35,7 +35,7 @@
         if not self.ports:
             raise ValueError(f"fleet.servers: {pattern!r} has a port range that ends before it begins")
 
-    def covers(self, host: ipaddress.IPv4Address | ipaddress.IPv6Address, port: int) -> bool:
+    def matches(self, host: ipaddress.IPv4Address | ipaddress.IPv6Address, port: int) -> bool:
         """Whether the pattern matches this address and port."""
         return host in self.network and port in self.ports
 
--- a/rainpick/settings/plain.py
+++ b/rainpick/settings/decision_settings.py
@@ -11,7 +11,7 @@
 ADMISSION_MODES = {"rate": "rps"}
 
 
-def plain_map(settings: Settings) -> dict[str, Any]:
+def decision_settings(settings: Settings) -> dict[str, Any]:
     """The map that the decisions get in their ``Started`` event; durations in microseconds.
 
     The names are the ones into which ``rainpick.operator_settings`` translates.
@@ -20,7 +20,7 @@
     flat: dict[str, Any] = {
         "directors": settings.director.of,
         "me": settings.director.number,
-        "zone": settings.zone_of(settings.director.zone),
+        "zone": settings.zone_index(settings.director.zone),
         "zones": settings.zones,
         "machines": settings.machines,
         "discovery": "pushed",
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -10,9 +10,8 @@
 
 from pydantic import Field, model_validator
 
-from rainpick.settings.fleet import Match
-from rainpick.settings.part import Part as Part  # importers of the schema take its base from here, too
-from rainpick.settings.part import text_field
+from rainpick.settings.address_pattern import AddressPattern
+from rainpick.settings.part import Part, text_field
 from rainpick.settings.units import Address, Duration
 
 Effect = Literal["repeatable", "keyed", "mutating"]  # of a call: whether it may be sent twice, and how
@@ -238,7 +237,7 @@
         self._check_listen_addresses()
         return self
 
-    def zone_of(self, name: str | None) -> int:
+    def zone_index(self, name: str | None) -> int:
         """The index of a zone; no name stands for the first zone."""
         return self.zones.index(name) if name is not None else 0
 
@@ -267,7 +266,7 @@
                 raise ValueError(
                     f"{path}.weight: {rule.weight} is over fleet.weight_most {self.fleet.weight_most}"
                 )
-            Match(rule.match)  # raises if it is no pattern
+            AddressPattern(rule.match)  # raises if it is no pattern
 
     def _check_listen_addresses(self) -> None:
         """Port 0 may be used more than once: the system chooses another port each time."""
--- a/rainpick/standins/scenario.py
+++ b/rainpick/standins/scenario.py
@@ -6,7 +6,8 @@
 
 from pydantic import Field, model_validator
 
-from rainpick.settings.model import Effect, Part
+from rainpick.settings.model import Effect
+from rainpick.settings.part import Part
 from rainpick.settings.units import Duration
 
 
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -20,7 +20,7 @@
 from rainpick.operator_settings import translate_lines, translate_nested
 from rainpick.record.incarnations import MissingSteps, read_incarnations
 from rainpick.record.replay import replay_incarnation
-from rainpick.settings import load, plain_map
+from rainpick.settings import decision_settings, load
 from rainpick.standins.scenario import Scenario
 from rainpick.store import read
 
@@ -250,7 +250,7 @@
 
 
 def test_the_module_is_given_the_same_map_of_settings(every_setting):
-    assert as_json(plain_map(every_setting)) == expected("plain-map.json")
+    assert as_json(decision_settings(every_setting)) == expected("plain-map.json")
 
 
 def test_a_scenario_with_every_key_is_loaded_with_the_same_values():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rainpick.settings import SettingsError, json_schema, load, parse, plain_map
+from rainpick.settings import SettingsError, decision_settings, json_schema, load, parse
 
 MINIMAL = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}], %s}'
 
@@ -61,7 +61,7 @@
 
 
 def test_the_decisions_get_a_flat_map_in_whole_microseconds():
-    flat = plain_map(parse(MINIMAL % 'rules: {warm_after: "12s"}, channel: {messages_most: 12}'))
+    flat = decision_settings(parse(MINIMAL % 'rules: {warm_after: "12s"}, channel: {messages_most: 12}'))
     assert flat["rules.warm_after_us"] == 12_000_000 and flat["proxies.pushes_allowed"] == 12
     assert flat["routes.0.slo_time_us"] == 1_000_000 and flat["routes.count"] == 1
 
