--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -32,16 +32,18 @@
     """80 report lines a second, a deploy, proxies that come and go: core seconds, steps, events."""
     settings, chance, now = parse(TEXT), random.Random(3), 1_000_000
     engine = Engine(settings, 5, now)
-    engine.stepper.watch = watch
-    engine.list_changed(model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1))
+    engine.stepper.on_step = watch
+    engine.update_endpoints(
+        model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1)
+    )
     for proxy in range(PROXIES):
-        engine.joined(proxy, True, 2.0, 0, ())
+        engine.join(proxy, True, 2.0, 0, ())
     end, second, begin = now + int(minutes * 60e6), 0, time.thread_time()
 
     def turn():
         start = time.perf_counter()
         for write in engine.advance(now):
-            engine.delivered(write.proxy, write.number)
+            engine.confirm_delivery(write.proxy, write.number)
         if turns is not None:
             turns.append(time.perf_counter() - start)
 
@@ -56,27 +58,27 @@
             lines.append(
                 model.RouteLoadReport(chance.randrange(PROXIES), 0, chance.randint(0, 5), 0, 1_000_000)
             )
-        engine.met(lines)
+        engine.add_load_reports(lines)
         if second % 40 == 0:
-            engine.list_changed(
+            engine.update_endpoints(
                 model.EndpointUpdate(
                     model.UpdateKind.DELTA, (server(second % SERVERS, model.EndpointState.DRAINING),), second
                 )
             )
         elif second % 40 == 5 and second > 40:
             fresh = server((second - 5) % SERVERS, started_us=now)
-            engine.list_changed(model.EndpointUpdate(model.UpdateKind.DELTA, (fresh,), second))
+            engine.update_endpoints(model.EndpointUpdate(model.UpdateKind.DELTA, (fresh,), second))
         if second % 7 == 0:
             gone = chance.randrange(PROXIES)
-            engine.left(gone)
-            engine.joined(gone, False, 2.0, 0, ())
+            engine.leave(gone)
+            engine.join(gone, False, 2.0, 0, ())
         until = now + 1_000_000
         turn()
         while (due := engine.due_us()) is not None and due <= until:
             now = max(now, due)
             turn()
         now = until
-    return time.thread_time() - begin, engine.stepper.steps, engine.stepper.heard
+    return time.thread_time() - begin, engine.stepper.step_count, engine.stepper.events_handled
 
 
 def live(seconds: float, sync: bool | None) -> tuple[list[float], float]:
@@ -89,16 +91,18 @@
     if sync is not None:
         life = Incarnation(0, "bench", "", 1_000_000, 1_000_000, {})
         recorder = Recorder(folder() / f"live{sync}", life, 64 << 20, 0, 0, sync)
-        engine.stepper.watch = recorder.step
-    engine.list_changed(model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1))
+        engine.stepper.on_step = recorder.step
+    engine.update_endpoints(
+        model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(SERVERS))), 1)
+    )
     for proxy in range(PROXIES):
-        engine.joined(proxy, True, 2.0, 0, ())
+        engine.join(proxy, True, 2.0, 0, ())
     begin, cpu_s, report = time.monotonic(), time.process_time(), 0.0
     while (passed := time.monotonic() - begin) < seconds:
         if passed >= report:
             report += 1
             hosts = [("10.0.0.1", 9000 + chance.randrange(SERVERS)) for _ in range(80)]
-            engine.met(
+            engine.add_load_reports(
                 [
                     model.ServerLoadReport(host, 0, chance.randint(4, 12), 0, 50_000, 1_000_000, ())
                     for host in hosts
@@ -110,7 +114,7 @@
             continue
         start = time.perf_counter()
         for write in engine.advance(now):
-            engine.delivered(write.proxy, write.number)
+            engine.confirm_delivery(write.proxy, write.number)
         turns.append(time.perf_counter() - start)
     cpu_s = time.process_time() - cpu_s
     if recorder:
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -147,7 +147,7 @@
         self.follower.advance(now)
         engine = self.engine
         if engine is not None:
-            engine.met(self.evidence.collect(now))
+            engine.add_load_reports(self.evidence.collect(now))
             for write in engine.advance(now):
                 self.push(write, now)
         self.mqtt.sender.update_observers()
--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -86,6 +86,6 @@
         newest = stream.newest_delivered()
         session = self.sessions.by_stream.get(number)
         if newest is not None and session is not None:
-            self.context.started_engine.delivered(session.number, newest)
+            self.context.started_engine.confirm_delivery(session.number, newest)
         if not stream.pending:
             self.undelivered.discard(number)
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -26,7 +26,7 @@
 
 
 class Write(NamedTuple):
-    """A message that leaves now. ``number`` counts a proxy's messages; ``delivered`` wants it back."""
+    """A message that leaves now. ``number`` counts a proxy's messages; ``confirm_delivery`` wants it back."""
 
     proxy: int
     number: int
@@ -115,13 +115,13 @@
 
     # Events
 
-    def list_changed(self, update: model.EndpointUpdate) -> None:
+    def update_endpoints(self, update: model.EndpointUpdate) -> None:
         """The endpoint list, or a part of it, has changed."""
         for entry in update.endpoints:
             self.listed[cast(Key, entry.address)] = entry
-        self.stepper.events.append(update)
+        self.stepper.pending_events.append(update)
 
-    def joined(
+    def join(
         self,
         proxy: int,
         fresh: bool,
@@ -139,9 +139,9 @@
         self.tables.join(proxy, initial_servers, takes_commands, resumed)
         self.channel.join(proxy)
         self.sent[proxy] = SentMessages()
-        self.stepper.events.append(model.ProxyJoined(proxy, fresh, rate, zone))
+        self.stepper.pending_events.append(model.ProxyJoined(proxy, fresh, rate, zone))
 
-    def left(self, proxy: int) -> None:
+    def leave(self, proxy: int) -> None:
         """A proxy has left; does nothing for one that is not joined."""
         if proxy not in self.sent:
             return
@@ -149,13 +149,13 @@
         self.channel.leave(proxy)
         del self.sent[proxy]
         self.acknowledgements = [answer for answer in self.acknowledgements if answer.proxy != proxy]
-        self.stepper.events.append(model.ProxyLeft(proxy))
+        self.stepper.pending_events.append(model.ProxyLeft(proxy))
 
-    def met(self, reports: Iterable[LoadReport]) -> None:
+    def add_load_reports(self, reports: Iterable[LoadReport]) -> None:
         """Load reports have come."""
-        self.stepper.events += reports
+        self.stepper.pending_events += reports
 
-    def delivered(self, proxy: int, number: int) -> None:
+    def confirm_delivery(self, proxy: int, number: int) -> None:
         """Message ``number`` of a proxy, and all before it, have been delivered."""
         sent = self.sent.get(proxy)
         while sent and sent.undelivered and sent.undelivered[0].number <= number:
@@ -199,7 +199,7 @@
     def due_us(self) -> int | None:
         """When ``advance`` is next wanted, if nothing happens before."""
         times = [self.stepper.due_us(), self.channel.due_us(self.now)]
-        if self.stepper.events:
+        if self.stepper.pending_events:
             times.append(self.now)
         elif self.acknowledgements:
             times.append(self.acknowledgements_since_us + ACKNOWLEDGEMENT_DELAY_US)
@@ -208,9 +208,9 @@
     def advance(self, now: int) -> Iterator[Write]:
         """Hand the decisions all that waits, in one step; then the messages that leave now, one by one."""
         self.now = max(self.now, now)
-        self.stepper.ring(self.now)
+        self.stepper.fire_timers(self.now)
         overdue = self.now >= self.acknowledgements_since_us + ACKNOWLEDGEMENT_DELAY_US
-        if self.stepper.events or self.acknowledgements and overdue:
+        if self.stepper.pending_events or self.acknowledgements and overdue:
             acknowledgements, self.acknowledgements = self.acknowledgements, []
             self.carry_out(self.stepper.step(self.now, acknowledgements))
         while (message := self.channel.dequeue(self.now)) is not None:
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -85,7 +85,7 @@
             for entry in update.endpoints[:MAX_CHANGES_LOGGED]:
                 state = STATE_NAMES[entry.state]
                 self.context.log.info("list", server=format_address(cast(Key, entry.address)), state=state)
-            self.context.engine.list_changed(update)
+            self.context.engine.update_endpoints(update)
             self.cache_list(now)
 
     def start(self, now: int) -> None:
@@ -93,11 +93,11 @@
         engine = self.context.engine = Engine(self.settings, self.seed, now, self.module)
         if self.settings.record.folder is not None:
             self.recorder = self.start_recorder(self.settings.record.folder, now)
-            engine.stepper.watch = self.recorder.step
+            engine.stepper.on_step = self.recorder.step
         self.pins = TablePins(self.is_listed, engine.tables.withdrawn.__contains__, self.is_warm)
         engine.tables.overlay = self.pins.overlay
         update = self.membership.initial_update()
-        engine.list_changed(update)
+        engine.update_endpoints(update)
         self.context.log.info(
             "decisions begin", servers=len(update.endpoints), proxies=len(self.sessions.by_uid)
         )
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -245,7 +245,7 @@
         connection.unacknowledged_since_us = self.context.clock() if connection.unacknowledged else None
         engine = self.context.engine
         if message is not None and session is not None and engine is not None:
-            engine.delivered(session.number, message)
+            engine.confirm_delivery(session.number, message)
             stalled = connection.stream.number in self.delivery.stalled
             if session.blocked_since_us is not None and not stalled:
                 self.delivery.set_blocked(session, False)
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -175,7 +175,7 @@
             session.registered = session.joined = False
             session.initial_servers = frozenset()
             if self.context.engine is not None:
-                self.context.engine.left(session.number)
+                self.context.engine.leave(session.number)
         return ReturnCode.SUCCESS
 
     def get_weights(self, session: ProxySession, number: int, message: GetWeights) -> None:
@@ -192,7 +192,7 @@
             return
         if not session.accepts_push and session.last_message:
             # It polls again, so it has read the last answer.
-            engine.delivered(session.number, session.last_message)
+            engine.confirm_delivery(session.number, session.last_message)
         answered, delta = engine.poll(session.number)
         only_changes = not session.accepts_push and session.flags & NO_CHANGE and session.last_message
         lines = delta.lines if only_changes else engine.tables.all_lines(session.number)
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -161,7 +161,7 @@
             return
         del self.by_uid[session.uid], self.by_number[session.number]
         if session.joined and self.context.engine is not None:
-            self.context.engine.left(session.number)
+            self.context.engine.leave(session.number)
         self.evidence.forget(session.number)
         self.proxies.free(session.uid)
 
@@ -181,7 +181,7 @@
         zone, rate = self.proxies.place(session.uid)
         rate = self.evidence.rates.per_s.get(session.uid, rate)
         engine.now = max(engine.now, now)
-        engine.joined(
+        engine.join(
             session.number,
             True,
             rate,
--- a/rainpick/director/status.py
+++ b/rainpick/director/status.py
@@ -132,9 +132,9 @@
     """What the engine has done since it started."""
     stepper = engine.stepper
     return {
-        "steps": stepper.steps,
-        "events": stepper.heard,
-        "orders": stepper.ordered,
+        "steps": stepper.step_count,
+        "events": stepper.events_handled,
+        "orders": stepper.commands_issued,
         **vars(engine.counts),
     }
 
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -49,41 +49,41 @@
 
 
 class Stepper:
-    """Hands the decisions what waits in ``events`` in one step, and keeps their timers.
+    """Hands the decisions what waits in ``pending_events`` in one step, and keeps their timers.
 
     ``module`` is the class of the decisions: tests put a double there. ``settings`` is the decisions' map.
     """
 
     def __init__(self, seed: int, settings: dict[str, Any], module: Callable[[], Director] = Director):
         self.director = module()
-        self.events: list[Event] = [model.Started(seed, settings)]
+        self.pending_events: list[Event] = [model.Started(seed, settings)]
         self.timers: list[Timer] = []  # a heap
-        self.steps = 0
-        self.heard = 0  # events handed to the decisions
-        self.ordered = 0  # commands from them, timers included
+        self.step_count = 0
+        self.events_handled = 0  # events handed to the decisions
+        self.commands_issued = 0  # commands from them, timers included
         # Called after each step with its time, the events and the commands: the recorder is.
-        self.watch: Callable[[int, list[Event], list[Command]], None] | None = None
+        self.on_step: Callable[[int, list[Event], list[Command]], None] | None = None
 
     def due_us(self) -> int | None:
         """When the next timer is due."""
         return self.timers[0].due_us if self.timers else None
 
-    def ring(self, now: int) -> None:
+    def fire_timers(self, now: int) -> None:
         """Turn the timers that are due into events."""
         while self.timers and self.timers[0].due_us <= now:
-            self.events.append(model.TimerFired(heappop(self.timers).token))
+            self.pending_events.append(model.TimerFired(heappop(self.timers).token))
 
     def step(self, now: int, more: Iterable[Event] = ()) -> list[Command]:
         """Let the decisions take what waits, and ``more`` after it; all their commands but timers."""
-        events = [*self.events, *more]
-        self.events = []
+        events = [*self.pending_events, *more]
+        self.pending_events = []
         step: Callable[[int, list[Event]], list[Command]] = self.director.step
         commands = step(now, events)
-        self.steps += 1
-        self.heard += len(events)
-        self.ordered += len(commands)
-        if self.watch is not None:
-            self.watch(now, events, commands)
+        self.step_count += 1
+        self.events_handled += len(events)
+        self.commands_issued += len(commands)
+        if self.on_step is not None:
+            self.on_step(now, events, commands)
         for command in commands:
             if type(command) is model.SetTimer:
                 heappush(self.timers, Timer(now + max(1, command.delay_us), command.token))
--- a/rainpick/emulator/clients.py
+++ b/rainpick/emulator/clients.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import TypeAlias
 
-from rainpick.director.tables import Key
+from rainpick.director.addresses import Key
 from rainpick.emulator.clock import VirtualClock
 from rainpick.emulator.proxy import Proxy
 from rainpick.emulator.random_streams import RandomStream
--- a/rainpick/emulator/load_reports.py
+++ b/rainpick/emulator/load_reports.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import TypeAlias
 
-from rainpick.director.tables import Key
+from rainpick.director.addresses import Key
 from rainpick.emulator.clock import VirtualClock
 from rainpick.emulator.proxy import Observations, Proxy
 from rainpick.emulator.shape import Shape
--- a/rainpick/emulator/proxy.py
+++ b/rainpick/emulator/proxy.py
@@ -9,7 +9,8 @@
 from itertools import accumulate
 from typing import Literal, TypeAlias
 
-from rainpick.director.tables import SHUT, Key, Line
+from rainpick.director.addresses import Key
+from rainpick.director.snapshots import SHUT, Line
 from rainpick.emulator.random_streams import RandomStream
 
 Pick = Literal["lottery", "wheel", "pair"]
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 
 from rainpick.decisions.director import Director
+from rainpick.director.addresses import Key
 from rainpick.director.engine import Engine, Write
-from rainpick.director.tables import Key
 from rainpick.emulator.clients import Clients
 from rainpick.emulator.clock import Ticket, VirtualClock
 from rainpick.emulator.load_reports import LoadReport, LoadReporter
@@ -72,7 +72,7 @@
     def begin(self) -> None:
         """Hand the list to the engine, let all proxies join, and begin to report."""
         endpoints = tuple(self.endpoints.values())
-        self.engine.list_changed(EndpointUpdate(UpdateKind.CACHED, endpoints, self.list_version))
+        self.engine.update_endpoints(EndpointUpdate(UpdateKind.CACHED, endpoints, self.list_version))
         for number in range(self.shape.proxies):
             self.join(number)
         self.reporter.start()
@@ -111,12 +111,12 @@
         proxy = self.proxies.get(write.proxy)
         if proxy is not None:
             proxy.update(write.way.lines)
-            self.engine.delivered(write.proxy, write.number)
+            self.engine.confirm_delivery(write.proxy, write.number)
             self.advance_engine()
 
     def receive_reports(self, reports: list[LoadReport]) -> None:
         """Hand load reports to the engine."""
-        self.engine.met(reports)
+        self.engine.add_load_reports(reports)
         self.advance_engine()
 
     def join(self, number: int) -> None:
@@ -128,7 +128,7 @@
         random = RandomStream(self.seed, f"proxy {number}")
         proxy = Proxy(number, number % self.zone_count, shape.pick, random, default_table)
         self.proxies[number] = proxy
-        self.engine.joined(number, True, shape.calls_per_s / shape.proxies, proxy.zone, default_table)
+        self.engine.join(number, True, shape.calls_per_s / shape.proxies, proxy.zone, default_table)
         self.clients.start(proxy)
 
     # The endpoint list and the servers' life
@@ -141,7 +141,7 @@
     def update_list(self, endpoint: Endpoint) -> None:
         """Hand a changed endpoint to the engine."""
         self.list_version += 1
-        self.engine.list_changed(EndpointUpdate(UpdateKind.DELTA, (endpoint,), self.list_version))
+        self.engine.update_endpoints(EndpointUpdate(UpdateKind.DELTA, (endpoint,), self.list_version))
         self.advance_engine()
 
     def drain(self, server: Key) -> None:
--- a/rainpick/node/event_loop.py
+++ b/rainpick/node/event_loop.py
@@ -54,7 +54,7 @@
         self.endpoints = EndpointList(self.clock)
         self.membership = ProxyMembership()
         self.channel_monitor = ChannelMonitor()
-        self.stepper.events.append(self.endpoints.apply(cached_list, model.UpdateKind.CACHED))
+        self.stepper.pending_events.append(self.endpoints.apply(cached_list, model.UpdateKind.CACHED))
         self.stepped_us = 0  # when the last step began
         self.unknown_reports = 0  # reports of servers that no list named
         self.status_due_us = self.clock() + STATUS_PERIOD_US
@@ -76,8 +76,8 @@
             self.handle(notification)
         self.add_reports(reports)
         now = self.clock()
-        self.stepper.ring(now)
-        if self.stepper.events:
+        self.stepper.fire_timers(now)
+        if self.stepper.pending_events:
             self.step(now)
         self.log_periodically(now)
         pause_us = self.stepped_us + self.round_us - self.clock()
@@ -86,7 +86,7 @@
 
     def handle(self, notification: Notification) -> None:
         """Turn a notification into events for the next step."""
-        events = self.stepper.events
+        events = self.stepper.pending_events
         if isinstance(notification, STREAM_NOTIFICATIONS):  # by far the most are of this kind
             events.extend(self.membership.handle(notification))
         elif isinstance(notification, DiscoveryAnswer):
@@ -102,7 +102,7 @@
             if isinstance(report, model.ServerLoadReport) and not self.endpoints.knows(report.server):
                 self.unknown_reports += 1
             else:
-                self.stepper.events.append(report)
+                self.stepper.pending_events.append(report)
 
     def step(self, now: int) -> None:
         """Let the decisions handle the waiting events, and send the commands that are for the relay."""
@@ -131,9 +131,9 @@
             "joined": len(self.membership.joined),
             "servers": len(self.endpoints.entries),
             "version": self.endpoints.version,
-            "steps": self.stepper.steps,
-            "events": self.stepper.heard,
-            "orders": self.stepper.ordered,
+            "steps": self.stepper.step_count,
+            "events": self.stepper.events_handled,
+            "orders": self.stepper.commands_issued,
             "shed": self.mailbox.shed,
             "unknown": self.unknown_reports,
             "cpu_s": round(time.process_time(), 2),
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from rainpick.director.tables import SHUT, Key, Lines, Snapshot
+from rainpick.director.addresses import Key
+from rainpick.director.snapshots import SHUT, Lines, Snapshot
 
 Entry = tuple[int, int]  # weight and flags
 WITHDRAWN_ENTRY: Entry = (0, SHUT)
--- a/rainpick/publish/table_updates.py
+++ b/rainpick/publish/table_updates.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from rainpick.director.tables import Line, Snapshot, Way
+from rainpick.director.snapshots import Line, Snapshot, Way
 from rainpick.publish.payloads import (
     ServerWeight,
     TableDelta,
--- a/rainpick/standins/day.py
+++ b/rainpick/standins/day.py
@@ -124,10 +124,14 @@
         self.wait_for_proxies()
 
     def start_directors(self) -> None:
-        """Start the directors, and wait until each answers."""
+        """Start the directors, and wait until each answers.
+
+        The ports of all are drawn together: one that a director has not bound yet must not be another's.
+        """
+        ports = free_ports(len(FRONTS) * self.scenario.directors)
         for number in range(self.scenario.directors):
-            ports = free_ports(len(FRONTS))
-            settings = director_settings(self.scenario, number, ports, self.folder)
+            own_ports = ports[len(FRONTS) * number :][: len(FRONTS)]
+            settings = director_settings(self.scenario, number, own_ports, self.folder)
             self.settings.append(Settings.model_validate(settings))
             self.directors.append(self.launch(settings, self.folder))
         self.wait_for_status("an answer", bool)
--- a/tests/compat/test_decisions.py
+++ b/tests/compat/test_decisions.py
@@ -56,7 +56,7 @@
 
         def __init__(self, *arguments):
             super().__init__(*arguments)
-            self.watch = lambda now, events, commands: digest.add(now, commands)
+            self.on_step = lambda now, events, commands: digest.add(now, commands)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(takeovers, "Stepper", Recorded)
--- a/tests/director/drive.py
+++ b/tests/director/drive.py
@@ -25,7 +25,7 @@
     def __init__(self, text="", servers=4, **words):
         self.settings, self.now = settings(text), 1_000_000
         self.engine = Engine(self.settings, 7, self.now, **words)
-        self.engine.list_changed(
+        self.engine.update_endpoints(
             model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(servers))), 1)
         )
         self.held, self.reads, self.writes = {}, {}, []
@@ -33,14 +33,14 @@
     def join(self, number, rate=5.0, standing=()):
         self.held[number] = dict.fromkeys(standing, (1, 0))
         self.reads.setdefault(number, True)
-        self.engine.joined(number, True, rate, 0, standing)
+        self.engine.join(number, True, rate, 0, standing)
 
     def left(self, number):
-        self.engine.left(number)
+        self.engine.leave(number)
         del self.held[number]
 
     def listed(self, *servers):
-        self.engine.list_changed(model.EndpointUpdate(model.UpdateKind.DELTA, servers, 2))
+        self.engine.update_endpoints(model.EndpointUpdate(model.UpdateKind.DELTA, servers, 2))
 
     def turn(self):
         for write in self.engine.advance(self.now):
@@ -51,7 +51,7 @@
                 else:
                     self.held[write.proxy].pop(line.server, None)
             if self.reads[write.proxy]:
-                self.engine.delivered(write.proxy, write.number)
+                self.engine.confirm_delivery(write.proxy, write.number)
 
     def until(self, moment):
         """Let the clock run; every due time is kept."""
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -59,7 +59,7 @@
     drive.listed(server(0, model.EndpointState.DRAINING))
     drive.run(1)
     assert module.publisher.queue.waiting > 8
-    drive.engine.delivered(1, drive.writes[-1][1].number)
+    drive.engine.confirm_delivery(1, drive.writes[-1][1].number)
     drive.run(0.1)
     assert module.publisher.queue.waiting == 0
 
@@ -115,7 +115,7 @@
     drive.run(1)
     number, news = drive.engine.poll(2)
     assert {line.server: (line.weight, line.flags) for line in news.lines} == drive.held[1]
-    drive.engine.delivered(2, number)
+    drive.engine.confirm_delivery(2, number)
     drive.run(0.1)
     assert drive.engine.stepper.director.publisher.queue.waiting == 0
 
@@ -160,7 +160,7 @@
     for number in drive.held:
         drive.engine.set_blocked(number, False)
         drive.reads[number] = True
-        drive.engine.delivered(number, 1 << 40)
+        drive.engine.confirm_delivery(number, 1 << 40)
     drive.run(30)
     assert all(drive.exact(number) for number in drive.held)
     assert drive.engine.channel.lines == 0 and not drive.engine.channel.waiting
@@ -220,6 +220,6 @@
     drive.run(0.1)
     answered = [event.nonce for event in module.heard if type(event) is model.Acknowledged]
     assert answered == [] and len(drive.writes) == 1
-    drive.engine.delivered(1, 1)
+    drive.engine.confirm_delivery(1, 1)
     drive.run(0.1)
     assert [event.nonce for event in module.heard if type(event) is model.Acknowledged] == [1, 2]
--- a/tests/director/test_tables.py
+++ b/tests/director/test_tables.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 
 from rainpick import model
-from rainpick.director.tables import OUT, SHUT, Scale, Tables
+from rainpick.director.snapshots import OUT, SHUT, Scale
+from rainpick.director.tables import Tables
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -8,7 +8,7 @@
 
 from rainpick import model
 from rainpick.decisions.director import Director
-from rainpick.director.tables import OPEN, SHUT, Line
+from rainpick.director.snapshots import OPEN, SHUT, Line
 from rainpick.emulator.proxy import Proxy
 from rainpick.emulator.random_streams import RandomStream
 from rainpick.emulator.server import Outcome, ServerType
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -1,7 +1,9 @@
 """Whole days on loopback: the rules are kept, and a director broken on purpose is found out."""
 
 import contextlib
+import itertools
 import json
+import secrets
 
 import pytest
 
@@ -236,3 +238,16 @@
 def test_an_inconsistent_scenario_is_rejected(text, expected):
     with pytest.raises(Exception, match=expected):
         parse(SMALL % ("", text), "day", Scenario)
+
+
+def test_directors_are_never_given_the_same_port(tmp_path, monkeypatch):
+    """A port that one of them has not bound yet looks free: two started with the same, and one ended."""
+    draws = itertools.chain(range(20_100, 20_104), range(20_100, 20_104), itertools.count(20_104))
+    monkeypatch.setattr(secrets, "choice", lambda ports: next(draws))
+    launched = []
+    scenario = parse(SMALL % ("", "directors: 2"), "day", Scenario)
+    day = Day(scenario, tmp_path, launch=lambda settings, folder: launched.append(settings["listen"]))
+    monkeypatch.setattr(day, "wait_for_status", lambda condition, holds: None)
+    day.start_directors()
+    addresses = [address for listen in launched for address in listen.values()]
+    assert len(launched) == 2 and len(set(addresses)) == len(addresses)
--- a/tests/node/test_event_loop.py
+++ b/tests/node/test_event_loop.py
@@ -82,9 +82,9 @@
 
 def test_there_is_no_step_without_events(tmp_path):
     loop, _, _ = make_loop(tmp_path)
-    steps = loop.stepper.steps
+    steps = loop.stepper.step_count
     loop.turn([], [])
-    assert loop.stepper.steps == steps
+    assert loop.stepper.step_count == steps
 
 
 def test_the_clock_is_unix_time_and_never_runs_backwards(monkeypatch):
@@ -140,7 +140,7 @@
         reports = [
             model.ServerLoadReport(f"s-{number:04x}", 0, 20, turn, 40_000, 500_000, ()) for number in range(9)
         ]
-        loop.stepper.events += [model.ProxyJoined(turn, True, 10.0 + turn, 0)]
+        loop.stepper.pending_events += [model.ProxyJoined(turn, True, 10.0 + turn, 0)]
         loop.turn([answer], reports)
         yield list(calls)
 
--- a/tests/publish/test_pins.py
+++ b/tests/publish/test_pins.py
@@ -3,7 +3,8 @@
 import pytest
 
 from rainpick import model
-from rainpick.director.tables import Scale, Tables
+from rainpick.director.snapshots import Scale
+from rainpick.director.tables import Tables
 from rainpick.publish.pins import PinError, TablePins
 
 
--- a/tests/publish/test_table_updates.py
+++ b/tests/publish/test_table_updates.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from rainpick import model
-from rainpick.director.tables import HISTORY, Scale, Tables
+from rainpick.director.snapshots import Scale
+from rainpick.director.tables import HISTORY, Tables
 from rainpick.publish.follower import TableFollower, canonical_digest
 from rainpick.publish.payloads import (
     ProxyAssignment,
--- a/tests/record/recorded_day.py
+++ b/tests/record/recorded_day.py
@@ -15,7 +15,7 @@
     drive = Drive('rules: {warm_after: "6s"}, proxies: {count: 1}')
     log = Log(folder, sync=False)
     log.append(1, RecordKind.INCARNATION, write_incarnation(INCARNATION))
-    drive.engine.stepper.watch = lambda now, *parts: log.append(
+    drive.engine.stepper.on_step = lambda now, *parts: log.append(
         now, RecordKind.STEP, write_step(Step(now, *parts))
     )
     for number in range(4):
@@ -26,8 +26,12 @@
     drive.listed(server(9, started_us=drive.now), server(2, model.EndpointState.GONE))
     drive.run(2)
     for tries in (30, 30):
-        drive.engine.met([model.ServerLoadReport(("127.0.0.1", 9000), 0, tries, 29, 90_000, 1_000_000, ())])
-        drive.engine.met([model.ServerLoadReport(("127.0.0.1", 9003), 0, 60, 0, 50_000, 1_000_000, ())])
+        drive.engine.add_load_reports(
+            [model.ServerLoadReport(("127.0.0.1", 9000), 0, tries, 29, 90_000, 1_000_000, ())]
+        )
+        drive.engine.add_load_reports(
+            [model.ServerLoadReport(("127.0.0.1", 9003), 0, 60, 0, 50_000, 1_000_000, ())]
+        )
         drive.run(1)
     drive.left(2)
     drive.run(seconds)
--- a/tests/record/test_replay.py
+++ b/tests/record/test_replay.py
@@ -24,8 +24,8 @@
     drive = record_day(tmp_path)
     (result,) = replay_all(tmp_path)
     assert result.differing == 0 and result.missing is None
-    assert result.steps == drive.engine.stepper.steps > 50
-    assert result.orders == drive.engine.stepper.ordered
+    assert result.steps == drive.engine.stepper.step_count > 50
+    assert result.orders == drive.engine.stepper.commands_issued
 
 
 def test_a_replay_does_not_depend_on_the_hash_seed(tmp_path):
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -108,15 +108,15 @@
         self.day, self.alive, self.told = day, True, {}
         self.channel = Channel(shape.pace, shape.head, shape.late_us)
         self.stepper = Stepper(shape.seed + me, shape.settings(me), Director)
-        self.stepper.events.append(
+        self.stepper.pending_events.append(
             model.EndpointUpdate(model.UpdateKind.CACHED, tuple(day.listed.values()), 0)
         )
 
     def step(self, now: int) -> None:
         if not self.alive:
             return
-        self.stepper.ring(now)
-        if not self.stepper.events:
+        self.stepper.fire_timers(now)
+        if not self.stepper.pending_events:
             return
         for at, message in self.channel.write(now, self.stepper.step(now)):
             self.day.at(at, lambda message=message: self.applied(message))
@@ -133,7 +133,7 @@
             self.hear(model.Acknowledged(message.proxy, message.mark, 0))
 
     def hear(self, *events) -> None:
-        self.stepper.events += events
+        self.stepper.pending_events += events
         self.day.at(self.day.now + 1_000, lambda: self.step(self.day.now))
 
 
@@ -239,7 +239,7 @@
             self.proxies[proxy] = held
             life = self.lives[proxy % shape.directors]
             life.channel.join(proxy, held)
-            life.stepper.events.append(model.ProxyJoined(proxy, True, held.rate, held.zone))
+            life.stepper.pending_events.append(model.ProxyJoined(proxy, True, held.rate, held.zone))
         for life in self.lives:
             self.at(0, lambda life=life: life.step(self.now))
         for wave in shape.waves:
