--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -8,8 +8,8 @@
 from benchmarks.peers import folder, row
 from rainpick.rules import read_logs
 from rainpick.settings import parse
-from rainpick.standins.day import Day, DirectorProcess
-from rainpick.standins.scenario import Scenario
+from rainpick.simulated_peers.day import Day, DirectorProcess
+from rainpick.simulated_peers.scenario import Scenario
 
 TEXT = """{
   name: "fleet", length: "%(length)ds", seed: 3, servers: 120, proxies: 300, edge_processes: 4,
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -19,8 +19,8 @@
 from rainpick.sasp.encoding import encode_message
 from rainpick.sasp.framing import FrameReader
 from rainpick.sasp.messages import Group, Member, MemberGroup, Registration, SetLbState
-from rainpick.standins.day import free_ports
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.simulated_peers.day import free_ports
+from rainpick.simulated_peers.sasp_client import SaspClient
 
 FLEET = Group("rainpick", "servers")
 
--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -28,7 +28,7 @@
     SetMemberState,
     StateGroup,
 )
-from rainpick.standins.day import free_ports
+from rainpick.simulated_peers.day import free_ports
 
 SERVERS, FLEET = 100, Group("rainpick", "servers")
 DIGEST = re.compile(rb'"digest":"([0-9a-f]{16})"')
--- a/rainpick/cli/day_commands.py
+++ b/rainpick/cli/day_commands.py
@@ -24,8 +24,8 @@
     """Play a scripted day on loopback and judge it: 0 if the rules are kept and the goal is reached."""
     from rainpick.cli.day_output import DayProgress, ignore_progress
     from rainpick.cli.verdict_output import print_verdict, verdict_json
-    from rainpick.standins.day import Day, DayError
-    from rainpick.standins.scenario import Scenario
+    from rainpick.simulated_peers.day import Day, DayError
+    from rainpick.simulated_peers.scenario import Scenario
 
     scenario = load(file, Scenario)
     log_folder = Path(folder) if folder else Path(tempfile.mkdtemp(prefix="rainpick-day-"))
--- a/rainpick/cli/day_output.py
+++ b/rainpick/cli/day_output.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from rainpick.cli.terminal import print_rich
-from rainpick.standins.scenario import Scenario
+from rainpick.simulated_peers.scenario import Scenario
 
 STATUS_EVERY_S = 5.0
 
--- a/rainpick/cli/weights_output.py
+++ b/rainpick/cli/weights_output.py
@@ -18,7 +18,7 @@
     ReturnCode,
 )
 from rainpick.sasp.messages import GetWeights, Group, MemberGroup, Registration, SetLbState, WeightGroup
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.simulated_peers.sasp_client import SaspClient
 
 FIRST_WEIGHTS_S = 2.0  # how long the first weights are waited for while there are none
 POLL_S = 0.05
--- a/rainpick/standins/__main__.py
+++ b/rainpick/simulated_peers/__main__.py
@@ -1,4 +1,4 @@
-"""A group of peers in a process of its own: ``python -m rainpick.standins fleet|edge LOG``.
+"""A group of peers in a process of its own: ``python -m rainpick.simulated_peers fleet|edge LOG``.
 
 The first line of standard input is a ``PeerStart``, each further one an action; the process ends with the
 input. Once the peers run, it writes one line with the servers that it listens for, empty for proxies.
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from rainpick.standins.actions import Action
-from rainpick.standins.peer_groups import LocalPeers, PeerRole
-from rainpick.standins.peer_settings import PeerStart
+from rainpick.simulated_peers.actions import Action
+from rainpick.simulated_peers.peer_groups import LocalPeers, PeerRole
+from rainpick.simulated_peers.peer_settings import PeerStart
 
 THREAD_STACK_BYTES = 256 * 1024  # there are many threads
 
--- a/rainpick/standins/day.py
+++ b/rainpick/simulated_peers/day.py
@@ -13,18 +13,18 @@
 from rainpick.http1.client import Client, ClientError
 from rainpick.rules import Verdict, audit, read_logs
 from rainpick.settings import Settings
-from rainpick.standins import actions
-from rainpick.standins.derived_settings import FRONTS, audit_limits, director_settings, peer_settings
-from rainpick.standins.errors import DayError
-from rainpick.standins.event_log import EventLog, now_us
-from rainpick.standins.peer_groups import LocalPeers, PeerGroup, PeerGroupStarter, PeerRole
-from rainpick.standins.peer_settings import PeerStart
-from rainpick.standins.ports import free_ports
-from rainpick.standins.processes import DirectorProcess, PeerProcess
-from rainpick.standins.scenario import Scenario
-from rainpick.standins.schedule import Step, build_schedule
-
-__all__ = ["Day", "DayError", "DirectorProcess", "LocalPeers", "free_ports"]
+from rainpick.simulated_peers import actions
+from rainpick.simulated_peers.derived_settings import FRONTS, audit_limits, director_settings, peer_settings
+from rainpick.simulated_peers.errors import DayError
+from rainpick.simulated_peers.event_log import EventLog, now_us
+from rainpick.simulated_peers.peer_groups import LocalPeers, PeerGroup, PeerGroupStarter, PeerRole
+from rainpick.simulated_peers.peer_settings import PeerStart
+from rainpick.simulated_peers.ports import free_ports
+from rainpick.simulated_peers.processes import DirectorProcess, PeerProcess
+from rainpick.simulated_peers.scenario import Scenario
+from rainpick.simulated_peers.schedule import Step, build_schedule
+
+__all__ = ["Day", "DayError", "DirectorProcess", "LocalPeers"]
 
 START_TIMEOUT_S = 20.0  # a day that has not begun by then has failed
 STATUS_INTERVAL_S = 0.5
--- a/rainpick/standins/derived_settings.py
+++ b/rainpick/simulated_peers/derived_settings.py
@@ -8,8 +8,8 @@
 
 from rainpick.rules import Limits
 from rainpick.settings import Settings
-from rainpick.standins.peer_settings import MachineType, PeerSettings, RouteLoad, SlowStart
-from rainpick.standins.scenario import Route, Scenario
+from rainpick.simulated_peers.peer_settings import MachineType, PeerSettings, RouteLoad, SlowStart
+from rainpick.simulated_peers.scenario import Route, Scenario
 
 FRONTS = ("sasp", "otlp", "status", "mqtt")
 
--- a/rainpick/standins/director_link.py
+++ b/rainpick/simulated_peers/director_link.py
@@ -10,11 +10,11 @@
 from rainpick.publish.payloads import parse_address
 from rainpick.sasp.constants import ReturnCode
 from rainpick.sasp.messages import Group, Member, MemberGroup, Registration, Reply, SetLbState
-from rainpick.standins.event_log import EventLog
-from rainpick.standins.mqtt_client import MqttProxy
-from rainpick.standins.peer_settings import PeerSettings, SocketAddress
-from rainpick.standins.proxy_table import ProxyTable
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.simulated_peers.event_log import EventLog
+from rainpick.simulated_peers.mqtt_client import MqttProxy
+from rainpick.simulated_peers.peer_settings import PeerSettings, SocketAddress
+from rainpick.simulated_peers.proxy_table import ProxyTable
+from rainpick.simulated_peers.sasp_client import SaspClient
 
 HEARTBEAT_S = 1.0
 READ_TIMEOUT_S = 0.2
--- a/rainpick/standins/fleet.py
+++ b/rainpick/simulated_peers/fleet.py
@@ -5,10 +5,10 @@
 import threading
 import time
 
-from rainpick.standins import actions
-from rainpick.standins.event_log import EventLog
-from rainpick.standins.peer_settings import ListedServer, PeerSettings
-from rainpick.standins.servers import Pod, SimulatedServer, pod_number
+from rainpick.simulated_peers import actions
+from rainpick.simulated_peers.event_log import EventLog
+from rainpick.simulated_peers.peer_settings import ListedServer, PeerSettings
+from rainpick.simulated_peers.servers import Pod, SimulatedServer, pod_number
 
 
 class Fleet:
--- a/rainpick/standins/load_reporter.py
+++ b/rainpick/simulated_peers/load_reporter.py
@@ -10,9 +10,9 @@
 
 from rainpick.http1.client import Client, ClientError
 from rainpick.otlp.encoding import RouteOutcome, ServerOutcome, encode_report
-from rainpick.standins.actions import ReportMode
-from rainpick.standins.event_log import EventLog, now_us
-from rainpick.standins.peer_settings import SocketAddress
+from rainpick.simulated_peers.actions import ReportMode
+from rainpick.simulated_peers.event_log import EventLog, now_us
+from rainpick.simulated_peers.peer_settings import SocketAddress
 
 REQUEST_TIMEOUT_S = 2.0
 LATE_REPORT_US = 10_000_000  # how much later a withheld report is sent
--- a/rainpick/standins/membership.py
+++ b/rainpick/simulated_peers/membership.py
@@ -18,9 +18,9 @@
     SetMemberState,
     StateGroup,
 )
-from rainpick.standins.event_log import EventLog, now_us
-from rainpick.standins.peer_settings import SocketAddress
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.simulated_peers.event_log import EventLog, now_us
+from rainpick.simulated_peers.peer_settings import SocketAddress
+from rainpick.simulated_peers.sasp_client import SaspClient
 
 RECONNECT_DELAY_S = 0.2
 
--- a/rainpick/standins/mqtt_client.py
+++ b/rainpick/simulated_peers/mqtt_client.py
@@ -10,7 +10,7 @@
 from rainpick.publish import payloads, topics
 from rainpick.publish.follower import TableFollower
 from rainpick.publish.payloads import Presence, SyncFault
-from rainpick.standins import blocking_socket
+from rainpick.simulated_peers import blocking_socket
 
 AnyPacket = TypeVar("AnyPacket", bound=codec.Packet)
 
--- a/rainpick/standins/peer_groups.py
+++ b/rainpick/simulated_peers/peer_groups.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import Protocol, cast
 
-from rainpick.standins.actions import Action, ProxyAction, ServerAction
-from rainpick.standins.event_log import EventLog
-from rainpick.standins.fleet import Fleet
-from rainpick.standins.peer_settings import ListedServer, PeerStart
-from rainpick.standins.proxy_group import ProxyGroup
+from rainpick.simulated_peers.actions import Action, ProxyAction, ServerAction
+from rainpick.simulated_peers.event_log import EventLog
+from rainpick.simulated_peers.fleet import Fleet
+from rainpick.simulated_peers.peer_settings import ListedServer, PeerStart
+from rainpick.simulated_peers.proxy_group import ProxyGroup
 
 
 class PeerRole(StrEnum):
--- a/rainpick/standins/processes.py
+++ b/rainpick/simulated_peers/processes.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from rainpick.standins.actions import Action
-from rainpick.standins.errors import DayError
-from rainpick.standins.peer_groups import PeerRole
-from rainpick.standins.peer_settings import ListedServer, PeerStart
+from rainpick.simulated_peers.actions import Action
+from rainpick.simulated_peers.errors import DayError
+from rainpick.simulated_peers.peer_groups import PeerRole
+from rainpick.simulated_peers.peer_settings import ListedServer, PeerStart
 
 DIRECTOR_STOP_S = 5.0
 PEERS_STOP_S = 10.0
--- a/rainpick/standins/proxies.py
+++ b/rainpick/simulated_peers/proxies.py
@@ -6,11 +6,11 @@
 import threading
 
 from rainpick.http1.client import ClientError
-from rainpick.standins.director_link import DirectorLink
-from rainpick.standins.event_log import EventLog, now_us
-from rainpick.standins.load_reporter import LoadReporter
-from rainpick.standins.peer_settings import PeerSettings, RouteLoad, SocketAddress
-from rainpick.standins.proxy_table import ProxyTable
+from rainpick.simulated_peers.director_link import DirectorLink
+from rainpick.simulated_peers.event_log import EventLog, now_us
+from rainpick.simulated_peers.load_reporter import LoadReporter
+from rainpick.simulated_peers.peer_settings import PeerSettings, RouteLoad, SocketAddress
+from rainpick.simulated_peers.proxy_table import ProxyTable
 
 OUTCOMES = {200: "answered", 503: "throttled"}  # by status; else the attempt was dropped
 MIN_ATTEMPT_LIMIT_S = 0.01
--- a/rainpick/standins/proxy_group.py
+++ b/rainpick/simulated_peers/proxy_group.py
@@ -7,10 +7,10 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from rainpick.standins import actions
-from rainpick.standins.event_log import EventLog, now_us
-from rainpick.standins.peer_settings import ListedServer, PeerSettings, RouteLoad
-from rainpick.standins.proxies import SimulatedProxy
+from rainpick.simulated_peers import actions
+from rainpick.simulated_peers.event_log import EventLog, now_us
+from rainpick.simulated_peers.peer_settings import ListedServer, PeerSettings, RouteLoad
+from rainpick.simulated_peers.proxies import SimulatedProxy
 
 MAX_CONCURRENT_REQUESTS = 64  # of the clients of a proxy
 RATE_SHAPE = 2.5  # of the Pareto distribution of the proxies' request rates
--- a/rainpick/standins/proxy_table.py
+++ b/rainpick/simulated_peers/proxy_table.py
@@ -10,7 +10,7 @@
 
 from rainpick.http1.client import Client
 from rainpick.sasp.messages import SendWeights
-from rainpick.standins.peer_settings import SocketAddress
+from rainpick.simulated_peers.peer_settings import SocketAddress
 
 MAX_IDLE_CONNECTIONS = 8  # to each server
 
--- a/rainpick/standins/sasp_client.py
+++ b/rainpick/simulated_peers/sasp_client.py
@@ -18,7 +18,7 @@
     SetLbState,
     SetMemberState,
 )
-from rainpick.standins import blocking_socket
+from rainpick.simulated_peers import blocking_socket
 
 # The requests that are answered by a status alone.
 StatusRequest: TypeAlias = Registration | Deregistration | SetLbState | SetMemberState
--- a/rainpick/standins/schedule.py
+++ b/rainpick/simulated_peers/schedule.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol, cast
 
-from rainpick.standins import actions
-from rainpick.standins.scenario import Event, Scenario
+from rainpick.simulated_peers import actions
+from rainpick.simulated_peers.scenario import Event, Scenario
 
 DIRECTOR_DOWN_US = 1_000_000  # how long a killed director stays down if its event does not say
 
--- a/rainpick/standins/server_capacity.py
+++ b/rainpick/simulated_peers/server_capacity.py
@@ -6,7 +6,7 @@
 from collections import deque
 from heapq import heapreplace
 
-from rainpick.standins.peer_settings import MachineType, SlowStart
+from rainpick.simulated_peers.peer_settings import MachineType, SlowStart
 
 MAX_QUEUE_US = 1_500_000  # a request that would wait longer is rejected
 SLACK_CALLS = 4  # calls of mean work that a server warming up withstands beyond its budget
--- a/rainpick/standins/servers.py
+++ b/rainpick/simulated_peers/servers.py
@@ -9,10 +9,10 @@
 from rainpick.http1.messages import Request, Response
 from rainpick.http1.server import Server
 from rainpick.sasp.messages import Group
-from rainpick.standins.event_log import EventLog, now_us
-from rainpick.standins.membership import Membership
-from rainpick.standins.peer_settings import PeerSettings, RouteLoad, SocketAddress
-from rainpick.standins.server_capacity import ServerCapacity
+from rainpick.simulated_peers.event_log import EventLog, now_us
+from rainpick.simulated_peers.membership import Membership
+from rainpick.simulated_peers.peer_settings import PeerSettings, RouteLoad, SocketAddress
+from rainpick.simulated_peers.server_capacity import ServerCapacity
 
 MAX_CONNECTIONS = 512
 MAX_KNOWN_REQUESTS = 4096  # in a pod, before outdated ones are forgotten
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -21,7 +21,7 @@
 from rainpick.record.incarnations import MissingSteps, read_incarnations
 from rainpick.record.replay import replay_incarnation
 from rainpick.settings import decision_settings, load
-from rainpick.standins.scenario import Scenario
+from rainpick.simulated_peers.scenario import Scenario
 from rainpick.store import read
 
 STORED = Path(__file__).parent / "stored"
--- a/tests/loopback/help.py
+++ b/tests/loopback/help.py
@@ -20,7 +20,7 @@
     StateGroup,
 )
 from rainpick.settings import parse
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.simulated_peers.sasp_client import SaspClient
 from tests.waiting import WAIT_S
 
 TEXT = """{
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -34,8 +34,8 @@
 )
 from rainpick.sasp.wire import MESSAGE_HEADER
 from rainpick.settings import SettingsError
-from rainpick.standins.day import free_ports
-from rainpick.standins.sasp_client import SaspClient
+from rainpick.simulated_peers.ports import free_ports
+from rainpick.simulated_peers.sasp_client import SaspClient
 from tests.loopback.help import FLEET, MemberEnd, ProxyEnd, members, running, status
 from tests.waiting import until
 
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -11,8 +11,8 @@
 from rainpick.decisions.director import Director
 from rainpick.director.daemon import Daemon
 from rainpick.settings import Settings, parse
-from rainpick.standins.day import Day, LocalPeers
-from rainpick.standins.scenario import Scenario
+from rainpick.simulated_peers.day import Day, LocalPeers
+from rainpick.simulated_peers.scenario import Scenario
 
 SMALL = """{
   name: "test", length: "6s", servers: 6, proxies: 4, calls_per_s: 60, zones: ["a", "b"],
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -23,7 +23,7 @@
     TableSnapshot,
     decode_director_message,
 )
-from rainpick.standins.mqtt_client import MqttProxy
+from rainpick.simulated_peers.mqtt_client import MqttProxy
 from tests.loopback.help import KEPT, MemberEnd, ProxyEnd, status
 from tests.loopback.help import running as plainly
 from tests.waiting import until
--- a/tests/node/director_under_test.py
+++ b/tests/node/director_under_test.py
@@ -7,7 +7,7 @@
 import sys
 
 from rainpick.node.frame_codec import HEARTBEAT_ANSWER
-from rainpick.standins.day import free_ports
+from rainpick.simulated_peers.ports import free_ports
 from tests.node.platform_stubs import Peer, StubDiscovery, configuration_tree, entry
 from tests.node.stub_relay import StubRelay
 from tests.waiting import until
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -10,7 +10,7 @@
 import pytest
 
 from rainpick.node.frame_codec import HEARTBEAT_ANSWER
-from rainpick.standins.day import free_ports
+from rainpick.simulated_peers.ports import free_ports
 from tests.node.paced_relay import Fleet, PacedRelay
 from tests.node.platform_stubs import SETTINGS, Peer, StubDiscovery, configuration_tree, entry
 from tests.waiting import until
--- a/tests/record/test_days.py
+++ b/tests/record/test_days.py
@@ -6,8 +6,8 @@
 import sys
 
 from rainpick.settings import parse
-from rainpick.standins.day import Day
-from rainpick.standins.scenario import Scenario
+from rainpick.simulated_peers.day import Day
+from rainpick.simulated_peers.scenario import Scenario
 
 TEXT = """{
   name: "recorded", length: "8s", servers: 8, proxies: 4, calls_per_s: 60, zones: ["a", "b"],
