--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -26,6 +26,7 @@
     encode_weight_group,
 )
 from rainpick.sasp.messages import (
+    REQUEST_TYPES,
     Deregistration,
     GetWeights,
     GetWeightsReply,
@@ -38,14 +39,11 @@
 from rainpick.sasp.wire import UINT8, UINT16
 
 MemberRequest = Registration | Deregistration | SetMemberState
-REQUEST_TYPES: dict[type, int] = {
-    Registration: MessageType.REGISTRATION,
-    Deregistration: MessageType.DEREGISTRATION,
-    SetMemberState: MessageType.SET_MEMBER_STATE,
-}
 MAX_MESSAGE = 0x7FFFFFFF  # message ids of pushes stay positive
 MIN_REQUEST_TIMES = REQUEST_TIMES - 1  # a proxy with fewer has not shown that it polls
 
+PROXY_REQUESTS = Registration, Deregistration  # which members send as well
+
 
 class SaspFrontend:
     """Members and proxies that speak SASP."""
@@ -84,17 +82,31 @@
         if isinstance(message, SetLbState):
             code = self.set_lb_state(stream, message)
             stream.write(encode_reply(MessageType.SET_LB_STATE, request.message_id, code))
-        elif isinstance(message, GetWeights):
-            self.get_weights(self.sessions.by_stream[stream.number], request.message_id, message)
-        elif isinstance(message, Registration) and message.from_lb:
-            self.register_group(self.sessions.by_stream[stream.number], request.message_id, message)
-        elif isinstance(message, Deregistration) and message.from_lb:
-            self.deregister_group(self.sessions.by_stream[stream.number], request.message_id, message)
-        elif isinstance(message, MemberRequest):
+        elif isinstance(message, GetWeights) or isinstance(message, PROXY_REQUESTS) and message.from_lb:
+            self.carry_out_proxy_request(stream, request.message_id, message)
+        else:
             self.carry_out_member_request(stream, request.message_id, message)
         if session is not None:
             session.replied_since_push = True
 
+    def carry_out_proxy_request(
+        self, stream: Stream, number: int, message: GetWeights | Registration | Deregistration
+    ) -> None:
+        """Serve a load balancer; one whose Set LB State was rejected is answered as if it had sent none."""
+        session = self.sessions.by_stream.get(stream.number)
+        if session is None:
+            code = ReturnCode.UNKNOWN_LB if isinstance(message, GetWeights) else ReturnCode.LB_NOT_SEEN
+            self.sessions.counts.rejected += 1
+            why = f"{type(message).__name__} after a Set LB State that was rejected"
+            self.log.warning("request rejected", peer=stream.peer, why=why, code=code)
+            stream.write(encode_reply(REQUEST_TYPES[type(message)], number, code))
+        elif isinstance(message, GetWeights):
+            self.get_weights(session, number, message)
+        elif isinstance(message, Registration):
+            self.register_group(session, number, message)
+        else:
+            self.deregister_group(session, number, message)
+
     def carry_out_member_request(self, stream: Stream, number: int, message: MemberRequest) -> None:
         """Change the endpoint list as a member asks, and answer with success or the code of the rejection."""
         try:
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -24,6 +24,8 @@
 from rainpick.sasp.encoding import encode_message
 from rainpick.sasp.messages import (
     Deregistration,
+    GetWeights,
+    Group,
     MemberGroup,
     MemberState,
     Registration,
@@ -85,6 +87,25 @@
         assert client.request(SetLbState("edge-1", 0x7F, PUSH)).code == ReturnCode.NOT_ACCEPTED
 
 
+@pytest.mark.parametrize(
+    "request_, code",
+    [
+        (GetWeights((Group("edge-1", "servers"),)), ReturnCode.UNKNOWN_LB),
+        (Registration((MemberGroup(Group("edge-1", "servers")),), True), ReturnCode.LB_NOT_SEEN),
+        (Deregistration((MemberGroup(Group("edge-1", "servers")),), True), ReturnCode.LB_NOT_SEEN),
+    ],
+    ids=lambda value: type(value).__name__,
+)
+def test_requests_after_a_rejected_set_lb_state_are_rejected(request_, code):
+    """The stream's session takes Set LB State for said, yet no proxy came of it: the director ended."""
+    with running() as daemon:
+        client = SaspClient(daemon.sasp)
+        assert client.request(SetLbState("edge-1", 0x7F, PUSH)).code == ReturnCode.NOT_ACCEPTED
+        assert client.request(request_).code == code
+        other = ProxyEnd(daemon, "edge-2")
+        assert other.ask_weights().code == ReturnCode.SUCCESS, "the others are served"
+
+
 def cut_within_a_push(daemon, proxy, fleet):
     """Have the stream break when some bytes of a Send Weights have come, not all."""
     fleet.quiesce(9002)
