--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -65,7 +65,10 @@
 
     def retry_write(self, number: int, now: int) -> None:
         """Write what is left to a socket that took too little; disconnect after ``sasp.write_stall``."""
-        stream, session = self.sessions.streams[number], self.sessions.by_stream[number]
+        stream, session = self.sessions.streams[number], self.sessions.by_stream.get(number)
+        if session is None:  # the proxy has said that it is gone; its stream is its frontend's to watch
+            self.stalled.discard(number)
+            return
         stream.flush()
         if not stream.unsent:
             self.stalled.discard(number)
