--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -15,7 +15,7 @@
 from rainpick.decisions.director import Director
 from rainpick.director.addresses import Key
 from rainpick.director.channel import Channel, PendingMessage
-from rainpick.director.snapshots import Scale, Snapshot, Way
+from rainpick.director.snapshots import Delta, Scale, Snapshot
 from rainpick.director.stepper import Command, Stepper
 from rainpick.director.tables import ProxyCommands, Tables
 from rainpick.settings import Settings, decision_settings
@@ -30,7 +30,7 @@
 
     proxy: int
     number: int
-    way: Way  # the lines to send
+    delta: Delta  # the lines to send
     before: Snapshot  # what the proxy held
     after: Snapshot  # what it holds with these lines
     commands: ProxyCommands | None = None  # if they are new to a proxy that takes them
@@ -168,7 +168,7 @@
             self.acknowledgements_since_us = self.now
         self.acknowledgements += [model.Acknowledged(proxy, nonce, delay_us) for nonce in nonces]
 
-    def poll(self, proxy: int) -> tuple[int, Way]:
+    def poll(self, proxy: int) -> tuple[int, Delta]:
         """A proxy polls: the number of the answer, and the lines that are new in it."""
         delta = self.tables.advance(proxy)
         number = self.sent[proxy].add(self.channel.remove(proxy), self.now)
@@ -255,7 +255,7 @@
         before = proxy.snapshot
         delta = self.tables.advance(message.proxy)
         commands = self.new_commands(message.proxy)
-        lines = len(delta.shut) + len(delta.rest) + (commands is not None)
+        lines = len(delta.withdrawn) + len(delta.others) + (commands is not None)
         if not lines:
             # The delivery of the earlier message, if that is still to come, answers these nonces too.
             if sent.undelivered:
--- a/rainpick/director/mqtt_sender.py
+++ b/rainpick/director/mqtt_sender.py
@@ -66,7 +66,7 @@
         proxy = self.context.started_engine.tables.proxies[session.number]
         table = proxy.table
         part: TableSnapshot | TableDelta | None = None
-        if table is not None and (write.way.shut or write.way.rest or write.commands):
+        if table is not None and (write.delta.withdrawn or write.delta.others or write.commands):
             part, data = self.writer.update(table, write.before, write.after)
             if isinstance(part, TableSnapshot):
                 self.counts.whole_tables += 1
@@ -77,7 +77,7 @@
         commands = write.commands or proxy.commands
         if commands is None:
             raise RuntimeError(f"{session.uid} has no commands, though it speaks MQTT")
-        updated = self.writer.unbound_weights(write.way) if table is None else ()
+        updated = self.writer.unbound_weights(write.delta) if table is None else ()
         routes = self.context.settings.routes
         levels = tuple(
             [
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -219,7 +219,7 @@
 
     def push(self, session: ProxySession, write: Write, now: int) -> None:
         """Send a proxy what the engine has for it, without waiting."""
-        withdrawn, others = write.way
+        withdrawn, others = write.delta
         if not session.flags & NO_CHANGE:  # it wants all lines each time
             snapshot = self.context.started_engine.tables.proxies[write.proxy].snapshot
             withdrawn = tuple([line for line in withdrawn if line.server not in snapshot.lines])
--- a/rainpick/director/snapshots.py
+++ b/rainpick/director/snapshots.py
@@ -17,8 +17,8 @@
 Lines = dict[Key, WeightAndFlags]
 
 OPEN = CONTACT | CONFIDENT | SELF_REGISTERED  # may be sent requests
-SHUT = CONTACT | SELF_REGISTERED | QUIESCE  # withdrawn, though it stands in the table
-OUT = SELF_REGISTERED  # not in the table any more, and nobody vouches for it
+WITHDRAWN = CONTACT | SELF_REGISTERED | QUIESCE  # withdrawn, though it stands in the table
+REMOVED = SELF_REGISTERED  # not in the table any more, and nobody vouches for it
 
 MAX_DELTAS = 8  # from one snapshot that are cached; proxies that lag behind come from few snapshots
 
@@ -57,19 +57,19 @@
         return 0.5 / (weight * self.factor)
 
 
-class Way(NamedTuple):
+class Delta(NamedTuple):
     """The delta between two snapshots: first the lines that withdraw servers, then the others."""
 
-    shut: tuple[Line, ...]
-    rest: tuple[Line, ...]
+    withdrawn: tuple[Line, ...]
+    others: tuple[Line, ...]
 
     @property
     def lines(self) -> tuple[Line, ...]:
         """All lines, in the order in which they are sent."""
-        return self.shut + self.rest
+        return self.withdrawn + self.others
 
 
-EMPTY_DELTA = Way((), ())
+EMPTY_DELTA = Delta((), ())
 
 
 def digest(lines: Lines) -> str:
@@ -96,7 +96,7 @@
         self.known = known
         self.table = table
         self.version = version
-        self.deltas: dict[Snapshot, Way] = {}  # to later snapshots
+        self.deltas: dict[Snapshot, Delta] = {}  # to later snapshots
         self.sorted_lines: tuple[Line, ...] | None = None
         self.cached_digest: str | None = None
 
@@ -114,13 +114,13 @@
             self.sorted_lines = tuple(sorted(lines, key=lambda line: (line.weight > 0, line)))
         return self.sorted_lines
 
-    def to(self, other: Snapshot) -> Way:
+    def to(self, other: Snapshot) -> Delta:
         """The delta to another snapshot."""
         if other is self:
             return EMPTY_DELTA
         if not self.known:
             removed = self.lines.keys() - other.lines.keys()
-            return Way(tuple([Line(server, 0, OUT) for server in sorted(removed)]), other.whole())
+            return Delta(tuple([Line(server, 0, REMOVED) for server in sorted(removed)]), other.whole())
         delta = self.deltas.get(other)
         if delta is None:
             delta = self.delta_to(other)
@@ -129,13 +129,13 @@
             self.deltas[other] = delta
         return delta
 
-    def delta_to(self, other: Snapshot) -> Way:
+    def delta_to(self, other: Snapshot) -> Delta:
         """Work out the delta between two snapshots whose weights are known."""
-        withdrawn = [Line(server, 0, OUT) for server in self.lines.keys() - other.lines.keys()]
+        withdrawn = [Line(server, 0, REMOVED) for server in self.lines.keys() - other.lines.keys()]
         changed = [
             Line(server, *weight_and_flags)
             for server, weight_and_flags in other.lines.items()
             if self.lines.get(server) != weight_and_flags
         ]
         withdrawn += [line for line in changed if not line.weight]
-        return Way(tuple(sorted(withdrawn)), tuple(sorted(line for line in changed if line.weight)))
+        return Delta(tuple(sorted(withdrawn)), tuple(sorted(line for line in changed if line.weight)))
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -13,24 +13,7 @@
 from rainpick import model
 from rainpick.director.addresses import Key
 from rainpick.director.admission_rates import AdmissionRates, RouteAdmission
-from rainpick.director.snapshots import OPEN, OUT, SHUT, Line, Lines, Scale, Snapshot, Way, digest
-
-__all__ = [
-    "HISTORY",
-    "OPEN",
-    "OUT",
-    "SHUT",
-    "Key",
-    "Line",
-    "Lines",
-    "ProxyCommands",
-    "ProxyView",
-    "Scale",
-    "Snapshot",
-    "Tables",
-    "Way",
-    "digest",
-]
+from rainpick.director.snapshots import OPEN, WITHDRAWN, Delta, Line, Lines, Scale, Snapshot
 
 HISTORY = 32  # versions of a table that are retained
 TableCommand = model.SetWeight | model.SetWithdrawn | model.ClearTable | model.BindProxy | model.SetAdmission
@@ -189,7 +172,7 @@
         if snapshot is not None:
             return snapshot
         lines: Lines = {
-            server: (0, SHUT) if server in self.withdrawn else (self.scale(weight), OPEN)
+            server: (0, WITHDRAWN) if server in self.withdrawn else (self.scale(weight), OPEN)
             for server, weight in self.lines.get(table, {}).items()
         }
         lines = self.overlay(table, lines)
@@ -217,12 +200,12 @@
         lines = dict(held)
         for server, (weight, _) in held.items():
             if server in self.withdrawn and weight:
-                lines[server] = 0, SHUT
+                lines[server] = 0, WITHDRAWN
             elif server not in self.withdrawn and not weight:
                 lines[server] = self.scale(self.listed_weight(server)), OPEN
         return proxy.snapshot if lines == held else Snapshot(lines, known=False)
 
-    def advance(self, number: int) -> Way:
+    def advance(self, number: int) -> Delta:
         """The lines that bring a proxy up to date; it counts as holding them from here on."""
         proxy = self.proxies[number]
         target = self.target(proxy)
@@ -234,7 +217,7 @@
         return delta
 
     @staticmethod
-    def unbound_delta(held: Mapping[Key, tuple[int, int]], target: Lines) -> Way:
+    def unbound_delta(held: Mapping[Key, tuple[int, int]], target: Lines) -> Delta:
         """Only what is withdrawn or re-admitted: an unbound proxy knows the other weights, we do not."""
         changed = [
             Line(server, *weight_and_flags)
@@ -242,7 +225,7 @@
             if weight_and_flags != held[server]
         ]
         withdrawn = tuple([line for line in changed if not line.weight])
-        return Way(withdrawn, tuple([line for line in changed if line.weight]))
+        return Delta(withdrawn, tuple([line for line in changed if line.weight]))
 
     def all_lines(self, number: int) -> tuple[Line, ...]:
         """Everything that a proxy holds, for one that wants all lines each time."""
--- a/rainpick/emulator/proxy.py
+++ b/rainpick/emulator/proxy.py
@@ -10,7 +10,7 @@
 from typing import Literal, TypeAlias
 
 from rainpick.director.addresses import Key
-from rainpick.director.snapshots import SHUT, Line
+from rainpick.director.snapshots import WITHDRAWN, Line
 from rainpick.emulator.random_streams import RandomStream
 
 Pick = Literal["lottery", "wheel", "pair"]
@@ -52,7 +52,7 @@
         """Apply the entries of a message: a withdrawn server stays with weight 0, a removed one goes."""
         self.choices = None
         for entry in entries:
-            if entry.weight or entry.flags & SHUT == SHUT:
+            if entry.weight or entry.flags & WITHDRAWN == WITHDRAWN:
                 self.weights[entry.server] = entry.weight
             else:
                 self.weights.pop(entry.server, None)
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -110,7 +110,7 @@
         """Deliver a message to its proxy, and acknowledge it."""
         proxy = self.proxies.get(write.proxy)
         if proxy is not None:
-            proxy.update(write.way.lines)
+            proxy.update(write.delta.lines)
             self.engine.confirm_delivery(write.proxy, write.number)
             self.advance_engine()
 
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -11,10 +11,10 @@
 from typing import NamedTuple
 
 from rainpick.director.addresses import Key
-from rainpick.director.snapshots import SHUT, Lines, Snapshot
+from rainpick.director.snapshots import WITHDRAWN, Lines, Snapshot
 
 Entry = tuple[int, int]  # weight and flags
-WITHDRAWN_ENTRY: Entry = (0, SHUT)
+WITHDRAWN_ENTRY: Entry = (0, WITHDRAWN)
 
 
 class PinnedVersion(NamedTuple):
--- a/rainpick/publish/table_updates.py
+++ b/rainpick/publish/table_updates.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from rainpick.director.snapshots import Line, Snapshot, Way
+from rainpick.director.snapshots import Delta, Line, Snapshot
 from rainpick.publish.payloads import (
     ServerWeight,
     TableDelta,
@@ -60,14 +60,16 @@
 
     def delta(self, table: int, base: Snapshot, newest: Snapshot) -> TableDelta:
         """Return the difference between two versions of a table, withdrawals first."""
-        way = base.to(newest)
-        updated = _server_weights([line for line in way.lines if line.server in newest.lines])
-        removed = tuple([format_address(line.server) for line in way.shut if line.server not in newest.lines])
+        delta = base.to(newest)
+        updated = _server_weights([line for line in delta.lines if line.server in newest.lines])
+        removed = tuple(
+            [format_address(line.server) for line in delta.withdrawn if line.server not in newest.lines]
+        )
         return TableDelta(self.epoch, table, base.version, newest.version, newest.digest, updated, removed)
 
-    def unbound_weights(self, way: Way) -> tuple[ServerWeight, ...]:
+    def unbound_weights(self, delta: Delta) -> tuple[ServerWeight, ...]:
         """Return withdrawals and returns for a proxy without a table."""
-        return _server_weights(way.lines)
+        return _server_weights(delta.lines)
 
     def _shorter_update(self, table: int, base: Snapshot | None, newest: Snapshot) -> TableUpdate:
         if base is not None:
--- a/tests/director/drive.py
+++ b/tests/director/drive.py
@@ -45,7 +45,7 @@
     def turn(self):
         for write in self.engine.advance(self.now):
             self.writes.append((self.now, write))
-            for line in write.way.lines:
+            for line in write.delta.lines:
                 if line.weight or line.flags & 0x80:
                     self.held[write.proxy][line.server] = line.weight, line.flags
                 else:
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -24,7 +24,7 @@
     for number in range(30):
         drive.join(number)
     drive.run(20)
-    moments = [(now, len(write.way.lines) + 6) for now, write in drive.writes]
+    moments = [(now, len(write.delta.lines) + 6) for now, write in drive.writes]
     for place, (first, _) in enumerate(moments):
         for last in range(place + 1, len(moments)):
             lines = sum(lines for _, lines in moments[place:last])
@@ -46,7 +46,7 @@
     begin = len(drive.writes)
     drive.run(0.1)
     # What waited is one message with the newest state, not the story of it.
-    assert [len(write.way.lines) for _, write in drive.writes[begin:]] == [2] and drive.exact(1)
+    assert [len(write.delta.lines) for _, write in drive.writes[begin:]] == [2] and drive.exact(1)
 
 
 def test_acknowledgements_come_on_delivery_and_cover_merged_messages():
--- a/tests/director/test_tables.py
+++ b/tests/director/test_tables.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from rainpick import model
-from rainpick.director.snapshots import OUT, SHUT, Scale
+from rainpick.director.snapshots import REMOVED, WITHDRAWN, Scale
 from rainpick.director.tables import Tables
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
@@ -39,7 +39,7 @@
     tables.join(5, [A, C])
     assert tables.carry_out(model.BindProxy(0, 0, 5)) == {5: 3}
     lines = tables.advance(5).lines
-    assert (lines[0].server, lines[0].weight, lines[0].flags) == (C, 0, OUT)
+    assert (lines[0].server, lines[0].weight, lines[0].flags) == (C, 0, REMOVED)
     assert {line.server for line in lines[1:]} == {A, B}
     assert tables.advance(5).lines == ()
 
@@ -49,7 +49,7 @@
         tables.join(number, standing)
     tables.carry_out(model.BindProxy(0, 0, 3))
     assert tables.carry_out(model.SetWithdrawn(A, True)) == {3: 1, 1: 1}
-    assert [(line.server, line.weight, line.flags) for line in tables.advance(1).lines] == [(A, 0, SHUT)]
+    assert [(line.server, line.weight, line.flags) for line in tables.advance(1).lines] == [(A, 0, WITHDRAWN)]
     assert tables.advance(2).lines == ()
     assert tables.carry_out(model.SetWithdrawn(A, False)) == {3: 1, 1: 1}
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(A, Scale(16.0)(2.0))]
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -8,7 +8,7 @@
 
 from rainpick import model
 from rainpick.decisions.director import Director
-from rainpick.director.snapshots import OPEN, SHUT, Line
+from rainpick.director.snapshots import OPEN, WITHDRAWN, Line
 from rainpick.emulator.proxy import Proxy
 from rainpick.emulator.random_streams import RandomStream
 from rainpick.emulator.server import Outcome, ServerType
@@ -135,7 +135,7 @@
 def test_round_robin_follows_weights_exactly_and_lots_nearly():
     for pick, tolerance in (("wheel", 0), ("lottery", 120)):
         proxy = Proxy(0, 0, pick, RandomStream(1, "p"))
-        proxy.update([Line(("a", 1), 3, OPEN), Line(("a", 2), 1, OPEN), Line(("a", 3), 0, SHUT)])
+        proxy.update([Line(("a", 1), 3, OPEN), Line(("a", 2), 1, OPEN), Line(("a", 3), 0, WITHDRAWN)])
         picked = [proxy.pick() for _ in range(4_000)]
         assert abs(picked.count(("a", 1)) - 3_000) <= tolerance and picked.count(("a", 3)) == 0
     assert proxy.pick([("a", 1), ("a", 2)]) is None
