--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -12,8 +12,10 @@
 }"""
 
 
-def run(servers: int, proxies: int, calls_per_s: float, seconds: float) -> tuple[float, int]:
-    world = World(parse(TEXT % proxies), Shape(servers=servers, proxies=proxies, calls_per_s=calls_per_s), 1)
+def run(servers: int, proxies: int, requests_per_s: float, seconds: float) -> tuple[float, int]:
+    world = World(
+        parse(TEXT % proxies), Shape(servers=servers, proxies=proxies, requests_per_s=requests_per_s), 1
+    )
     world.begin()
     world.run(3)
     before, begin = world.offered, time.process_time()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -94,8 +94,8 @@
         f"{len(reads) / len(drained) * 7 / 2500 * 1e3:.0f} ms"
     )
     print(
-        f"service {verdict.share():.4f}; rules kept: {verdict.kept}; "
-        + ", ".join(f"{rule.name} {rule.nearest:.0%}" for rule in verdict.rules)
+        f"service {verdict.service_ratio():.4f}; rules kept: {verdict.passed}; "
+        + ", ".join(f"{rule.name} {rule.highest_ratio:.0%}" for rule in verdict.rules)
     )
 
 
--- a/rainpick/cli/day_commands.py
+++ b/rainpick/cli/day_commands.py
@@ -34,7 +34,7 @@
         verdict = Day(scenario, log_folder).play(progress)
     except DayError as error:
         raise CommandError(f"{error}; logs are in {log_folder}") from None
-    good = verdict.kept and verdict.share() >= scenario.goal
+    good = verdict.passed and verdict.service_ratio() >= scenario.goal
     if as_json:
         click.echo(json.dumps(verdict_json(verdict, scenario.goal, good)))
     else:
@@ -56,7 +56,7 @@
     limits = Limits(**json.loads((log_folder / "limits.json").read_text()))
     verdict = judge(read_logs(log_folder), limits)
     if as_json:
-        click.echo(json.dumps(verdict_json(verdict, 0.0, verdict.kept)))
+        click.echo(json.dumps(verdict_json(verdict, 0.0, verdict.passed)))
     else:
-        print_verdict(verdict, log_folder, 0.0, verdict.kept)
-    sys.exit(0 if verdict.kept else FAILED)
+        print_verdict(verdict, log_folder, 0.0, verdict.passed)
+    sys.exit(0 if verdict.passed else FAILED)
--- a/rainpick/cli/verdict_output.py
+++ b/rainpick/cli/verdict_output.py
@@ -30,7 +30,7 @@
     """The verdict as ``--json`` prints it."""
     return {
         "good": good,
-        "service": verdict.share(),
+        "service": verdict.service_ratio(),
         "goal": goal,
         "routes": {
             name: {
@@ -42,7 +42,7 @@
             for name, route in verdict.service.items()
         },
         "rules": [_rule_json(rule) for rule in verdict.rules],
-        "repeats": verdict.repeats,
+        "repeats": verdict.retries,
     }
 
 
@@ -52,11 +52,11 @@
     print_rich(_weights_table(_weight_histories(log_folder), verdict.span))
     print_rich(_rules_table(verdict.rules))
     _print_breaches(verdict)
-    if verdict.repeats:
-        repeats = ", ".join(f"{count} {name}" for name, count in verdict.repeats.items())
+    if verdict.retries:
+        repeats = ", ".join(f"{count} {name}" for name, count in verdict.retries.items())
         print_rich("repeats: " + repeats)
     outcome = "[green]good[/green]" if good else "[red]not good[/red]"
-    print_rich(f"service {verdict.share():.4f}, goal {goal:g}; {outcome}; logs in {log_folder}")
+    print_rich(f"service {verdict.service_ratio():.4f}, goal {goal:g}; {outcome}; logs in {log_folder}")
 
 
 def _rule_json(rule: Rule) -> dict[str, Any]:
@@ -64,8 +64,8 @@
         "name": rule.name,
         "checked": rule.checked,
         "breaches": len(rule.breaches),
-        "nearest": rule.nearest,
-        "nearest_who": rule.nearest_who,
+        "nearest": rule.highest_ratio,
+        "nearest_who": rule.highest_subject,
         "first": asdict(rule.breaches[0]) if rule.breaches else None,
     }
 
@@ -94,7 +94,7 @@
 def _rules_table(rules: list[Rule]) -> Table:
     table = Table("rule", "checked", "nearest to the limit", "breaches", title="the five rules")
     for rule in rules:
-        nearest = f"{rule.nearest:.0%} ({rule.nearest_who})" if rule.nearest_who else "-"
+        nearest = f"{rule.highest_ratio:.0%} ({rule.highest_subject})" if rule.highest_subject else "-"
         table.add_row(rule.name, str(rule.checked), nearest, str(len(rule.breaches)))
     return table
 
--- a/rainpick/emulator/clients.py
+++ b/rainpick/emulator/clients.py
@@ -72,7 +72,7 @@
         self.arrivals, self.work = RandomStream(seed, "comes"), RandomStream(seed, "works")
         self.retry_jitter = RandomStream(seed, "waits")
         self.slo_us, self.time_limit_us = settings.routes[0].slo_time, settings.routes[0].time_limit
-        self.mean_interval_us = 1e6 / (shape.calls_per_s / shape.proxies)  # of the requests at a proxy
+        self.mean_interval_us = 1e6 / (shape.requests_per_s / shape.proxies)  # of the requests at a proxy
         self.outcomes: Counter[Outcome] = Counter()
         self.within_slo = self.offered = 0
         self.listeners: list[AttemptListener] = []  # called as each attempt is sent
--- a/rainpick/emulator/shape.py
+++ b/rainpick/emulator/shape.py
@@ -15,7 +15,7 @@
     proxies: int = 8
     server_types: tuple[ServerType, ...] = (ServerType(),)  # server n has type n modulo their number
     listed_weights: tuple[float, ...] = (1.0,)  # likewise
-    calls_per_s: float = 400.0  # of the clients of all proxies together
+    requests_per_s: float = 400.0  # of the clients of all proxies together
     mean_work_us: float = 20_000.0
     pick: Pick = "lottery"
     default_servers: int = 3  # servers that a proxy knows before it is sent any
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -128,7 +128,7 @@
         random = RandomStream(self.seed, f"proxy {number}")
         proxy = Proxy(number, number % self.zone_count, shape.pick, random, default_table)
         self.proxies[number] = proxy
-        self.engine.join(number, True, shape.calls_per_s / shape.proxies, proxy.zone, default_table)
+        self.engine.join(number, True, shape.requests_per_s / shape.proxies, proxy.zone, default_table)
         self.clients.start(proxy)
 
     # The endpoint list and the servers' life
--- a/rainpick/rules/verdict.py
+++ b/rainpick/rules/verdict.py
@@ -45,14 +45,14 @@
     name: str
     checked: int = 0
     breaches: list[Breach] = field(default_factory=list)
-    nearest: float = 0.0
-    nearest_who: str = ""
+    highest_ratio: float = 0.0
+    highest_subject: str = ""
 
     def measure(self, ratio: float, subject: str, at: int, description: str) -> None:
         """Count a check, with the measured value over its limit; above 1 it is a breach."""
         self.checked += 1
-        if ratio > self.nearest:
-            self.nearest, self.nearest_who = ratio, subject
+        if ratio > self.highest_ratio:
+            self.highest_ratio, self.highest_subject = ratio, subject
         if ratio > 1:
             self.breaches.append(Breach(at, subject, description))
 
@@ -72,15 +72,15 @@
 
     rules: list[Rule]
     service: dict[str, RouteService]  # by route
-    repeats: dict[str, int]  # retries by where they were counted
+    retries: dict[str, int]  # retries by where they were counted
     span: tuple[int, int]  # begin and end of the day
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule was broken."""
         return not any(rule.breaches for rule in self.rules)
 
-    def share(self) -> float:
+    def service_ratio(self) -> float:
         """Give the importance answered within the SLO time over the importance requested."""
         requested = sum(route["asked"] * route["importance"] for route in self.service.values())
         good = sum(route["good"] * route["importance"] for route in self.service.values())
--- a/rainpick/simulated_peers/mqtt_client.py
+++ b/rainpick/simulated_peers/mqtt_client.py
@@ -18,18 +18,20 @@
 class MqttProxy:
     """One connection; ``OSError`` says that it is broken.
 
-    ``acknowledges`` False lets it read without an acknowledgement. ``told`` has all that was published to it.
+    ``acknowledges`` False lets it read without an acknowledgement. ``published`` has all that it was sent.
     """
 
-    def __init__(self, address: tuple[str, int], uid: str, timeout_s: float = 3.0, receive_most: int = 100):
+    def __init__(
+        self, address: tuple[str, int], uid: str, timeout_s: float = 3.0, receive_maximum: int = 100
+    ):
         self.uid, self.end, self.timeout_s = uid, ClientConnection(), timeout_s
         self.acknowledges = True
-        self.told: list[codec.Publish] = []
-        self.codes: dict[int, int] = {}  # reason codes by packet identifier, until ``say`` takes them
+        self.published: list[codec.Publish] = []
+        self.codes: dict[int, int] = {}  # reason codes by packet identifier, until ``publish`` takes them
         self.follower = TableFollower()
         self.sock = socket.create_connection(address, timeout_s)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.write(codec.Connect(uid, properties={"receive_maximum": receive_most}))
+        self.write(codec.Connect(uid, properties={"receive_maximum": receive_maximum}))
         reply = self.wait_for(codec.Connack)
         if reply.reason_code != codec.ReasonCode.SUCCESS:
             raise ConnectionAbortedError(f"CONNACK {reply.reason_code:#04x}")
@@ -58,7 +60,7 @@
         self.write(codec.Subscribe(self.end.next_packet_id(), tuple((name, qos) for name in filters)))
         return self.wait_for(codec.Suback).reason_codes
 
-    def say(self, what: str, payload: payloads.ProxyMessage | bytes) -> int:
+    def publish(self, what: str, payload: payloads.ProxyMessage | bytes) -> int:
         """Publish to one of the proxy's topics; give the reason code of the acknowledgement."""
         number = self.end.next_packet_id()
         data = payload if isinstance(payload, bytes) else payloads.encode(payload)
@@ -76,7 +78,7 @@
         self.subscribe(topics.assignment_topic(self.uid), f"{topics.TOPIC_ROOT}/table/+")
         old = self.follower
         presence = Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.weights))
-        code = self.say("presence", presence)
+        code = self.publish("presence", presence)
         if code != codec.ReasonCode.SUCCESS:
             raise ConnectionAbortedError(f"presence refused: {code:#04x}")
         return self.follower
@@ -91,13 +93,13 @@
                 raise ConnectionResetError(f"DISCONNECT {packet.reason_code:#04x}")
             elif isinstance(packet, codec.Publish):
                 published = True
-                self.told.append(packet)
+                self.published.append(packet)
                 if packet.qos and self.acknowledges:
                     self.write(codec.Puback(packet.packet_id))
-                self.follow(packet.payload)
+                self.apply_payload(packet.payload)
         return published
 
-    def follow(self, data: bytes) -> None:
+    def apply_payload(self, data: bytes) -> None:
         """Apply a payload to the table, and report it if it does not fit or was damaged on its way."""
         try:
             trouble = self.follower.apply(payloads.decode_director_message(data))
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -124,7 +124,7 @@
 
 
 def test_overload_ends_in_drops_and_bounded_memory():
-    world = create_world(calls_per_s=4_000.0, servers=6)
+    world = create_world(requests_per_s=4_000.0, servers=6)
     world.run(4)
     before = len(world.clock.pending)
     world.run(8)
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -72,7 +72,7 @@
 
 def test_a_deploy_keeps_all_five_rules(tmp_path):
     verdict, broken, _ = play(tmp_path, rest=DEPLOY)
-    assert not broken and verdict.share() > 0.95
+    assert not broken and verdict.service_ratio() > 0.95
     assert all(rule.checked for rule in verdict.rules if rule.name != "drains kept")
 
 
@@ -151,7 +151,7 @@
         'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
     )
     verdict, broken, events = play(tmp_path, rest=rest)
-    assert not broken and verdict.repeats["dropped by servers"] > 0
+    assert not broken and verdict.retries["dropped by servers"] > 0
     retried = {event["id"] for event in events if event["k"] == "again" and event["r"] == "commit"}
     effects = [event["id"] for event in events if event["k"] == "effect"]
     assert retried & set(effects) and len(set(effects)) == len(effects)
@@ -203,12 +203,12 @@
     least = min(weight for second, weight in seen if 2 < second < 14)
     assert least < 0.8 * full, seen
     assert seen[-1][1] > least, seen
-    assert verdict.kept and verdict.share() > scenario.goal, verdict.share()
+    assert verdict.kept and verdict.service_ratio() > scenario.goal, verdict.service_ratio()
 
 
 def test_a_deploy_over_both_fronts_keeps_all_five_rules(tmp_path):
     verdict, broken, events = play(tmp_path, rest=DEPLOY + ', fronts: ["mqtt", "sasp"]')
-    assert not broken and verdict.share() > 0.95
+    assert not broken and verdict.service_ratio() > 0.95
     assert {event["p"] for event in events if event["k"] == "weights"} == {
         f"edge-{number}" for number in range(4)
     }
@@ -221,7 +221,7 @@
         '{at: "3500ms", do: "break_streams", proxies: [0, 1]}]'
     )
     verdict, broken, events = play(tmp_path, rest=rest)
-    assert not broken and verdict.share() > 0.95
+    assert not broken and verdict.service_ratio() > 0.95
     assert sum(event["k"] == "joined" for event in events) == 4 + 4 + 2
 
 
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -61,7 +61,7 @@
         return {int(server.rpartition(":")[2]): weight for server, weight in lines.items()}
 
     def heard(self):
-        return [decode_director_message(one.payload) for one in self.told]
+        return [decode_director_message(one.payload) for one in self.published]
 
 
 def exact(daemon, *proxies):
@@ -90,7 +90,7 @@
     proxy.until(lambda held: 9002 not in held)
     last = proxy.heard()[-1]
     assert isinstance(last, TableDelta) and last.updated[0].weight == 0
-    assert proxy.told[-1].topic == topics.table_topic(0)
+    assert proxy.published[-1].topic == topics.table_topic(0)
     exact(daemon, proxy)
     until(lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "every mark answered")
 
@@ -223,21 +223,21 @@
 
 def test_receive_maximum_is_kept_and_what_waits_is_one_message(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9011))
-    proxy = Proxy(daemon, "edge-1", receive_most=1)
+    proxy = Proxy(daemon, "edge-1", receive_maximum=1)
     proxy.until(lambda held: len(held) == 10)
     proxy.acknowledges = False
     fleet.quiesce(9001)
     proxy.until(lambda held: 9001 not in held)
-    number, many = proxy.told[-1].packet_id, len(proxy.told)
+    number, many = proxy.published[-1].packet_id, len(proxy.published)
     for port in (9002, 9003, 9004):
         fleet.quiesce(port)
     until(lambda: status(daemon)["channel"]["blocked"] == 1)
     proxy.read(0.2)
-    assert len(proxy.told) == many
+    assert len(proxy.published) == many
     proxy.acknowledges = True
     proxy.write(codec.Puback(number))
     proxy.until(lambda held: len(held) == 6)
-    assert len(proxy.told) == many + 1, "one message with the newest state"
+    assert len(proxy.published) == many + 1, "one message with the newest state"
 
 
 @pytest.mark.parametrize("daemon", [("mqtt: {says_per_s: 5}", {})], indirect=True)
@@ -247,7 +247,7 @@
     now = time.time_ns()
     with pytest.raises(OSError):
         for step in range(1000):
-            loud.say("report", LoadReport(now + step, now + step + 1))
+            loud.publish("report", LoadReport(now + step, now + step + 1))
     assert status(daemon)["subscribers"]["floods"] == 1
     quiet.until(lambda held: held)
 
@@ -261,10 +261,10 @@
         "requests": (payloads.RouteRequests("lookup", "answered", 3),),
     }
     for end, verdict in ((now, "fresh"), (now, "doubled"), (now - 20 * S, "late")):
-        assert proxy.say("report", LoadReport(end - S, end, **rows)) == codec.ReasonCode.SUCCESS
+        assert proxy.publish("report", LoadReport(end - S, end, **rows)) == codec.ReasonCode.SUCCESS
         assert status(daemon)["reports"][verdict] == 2
     assert (
-        proxy.say(
+        proxy.publish(
             "report",
             LoadReport(now, now + 1, attempts=(payloads.ServerAttempts("x:99999", "answered", 1, 0.1),)),
         )
@@ -284,18 +284,18 @@
 def test_what_a_client_may_not_say_is_refused_and_the_connection_goes_on(daemon, what, data, code):
     MemberEnd(daemon, 9001)
     proxy = Proxy(daemon, "edge-1")
-    assert proxy.say(what, data) == code
+    assert proxy.publish(what, data) == code
     proxy.until(lambda held: held == {9001: FULL})
 
 
 def test_presence_needs_orders_of_qos_1(daemon):
     client = MqttProxy(daemon.mqtt, "edge-1")
     client.subscribe(topics.assignment_topic("edge-1"), qos=0)
-    assert client.say("presence", Presence("here")) == codec.ReasonCode.NOT_AUTHORIZED
-    assert client.say("trouble", SyncFault("gap")) == codec.ReasonCode.NOT_AUTHORIZED
+    assert client.publish("presence", Presence("here")) == codec.ReasonCode.NOT_AUTHORIZED
+    assert client.publish("trouble", SyncFault("gap")) == codec.ReasonCode.NOT_AUTHORIZED
     client.subscribe(topics.assignment_topic("edge-1"))
-    assert client.say("presence", Presence("here")) == codec.ReasonCode.SUCCESS
-    assert client.say("presence", Presence("gone")) == codec.ReasonCode.SUCCESS
+    assert client.publish("presence", Presence("here")) == codec.ReasonCode.SUCCESS
+    assert client.publish("presence", Presence("gone")) == codec.ReasonCode.SUCCESS
     until(lambda: not status(daemon)["proxies"])
     client.close()
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -228,7 +228,7 @@
         for t, route, good in rows
     ]
     verdict = audit_with(event("mark", 1.5, what="begin"), event("mark", 50, what="end"), *asked)[1]
-    assert verdict.share() == 6 / 11 and verdict.service["lookup"]["asked"] == 1
+    assert verdict.service_ratio() == 6 / 11 and verdict.service["lookup"]["asked"] == 1
 
 
 def test_logs_are_merged_by_time_and_a_truncated_line_is_skipped(tmp_path):
