--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -203,7 +203,7 @@
     least = min(weight for second, weight in seen if 2 < second < 14)
     assert least < 0.8 * full, seen
     assert seen[-1][1] > least, seen
-    assert verdict.kept and verdict.service_ratio() > scenario.goal, verdict.service_ratio()
+    assert verdict.passed and verdict.service_ratio() > scenario.goal, verdict.service_ratio()
 
 
 def test_a_deploy_over_both_fronts_keeps_all_five_rules(tmp_path):
