--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -140,7 +140,7 @@
 def test_a_damaged_change_is_noticed_said_and_healed(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1").until(lambda held: len(held) == 10)
-    take, damaged = proxy.follow, []
+    take, damaged = proxy.apply_payload, []
 
     def damage(data):
         if isinstance(decode_director_message(data), TableDelta) and not damaged:
@@ -148,7 +148,7 @@
             data = data.replace(b'"weight"', b'"weihgt"').replace(b",0]", b",9]")
         take(data)
 
-    proxy.follow = damage
+    proxy.apply_payload = damage
     fleet.quiesce(9003)
     proxy.until(lambda held: damaged and 9003 not in held and len(held) == 9)
     assert status(daemon)["subscribers"]["healed"] == 1
