--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -8,8 +8,8 @@
 from benchmarks.peers import folder, row
 from rainpick.rules import read_logs
 from rainpick.settings import parse
-from rainpick.standins.day import Day, DirectorProcess
-from rainpick.standins.scenario import Scenario
+from rainpick.simulated_peers.day import Day, DirectorProcess
+from rainpick.simulated_peers.scenario import Scenario
 
 TEXT = """{
   name: "fleet", length: "%(length)ds", seed: 3, servers: 120, proxies: 300, edge_processes: 4,
@@ -94,8 +94,8 @@
         f"{len(reads) / len(drained) * 7 / 2500 * 1e3:.0f} ms"
     )
     print(
-        f"service {verdict.share():.4f}; rules kept: {verdict.kept}; "
-        + ", ".join(f"{rule.name} {rule.nearest:.0%}" for rule in verdict.rules)
+        f"service {verdict.service_ratio():.4f}; rules kept: {verdict.passed}; "
+        + ", ".join(f"{rule.name} {rule.highest_ratio:.0%}" for rule in verdict.rules)
     )
 
 
--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -65,7 +65,10 @@
 
     def retry_write(self, number: int, now: int) -> None:
         """Write what is left to a socket that took too little; disconnect after ``sasp.write_stall``."""
-        stream, session = self.sessions.streams[number], self.sessions.by_stream[number]
+        stream, session = self.sessions.streams[number], self.sessions.by_stream.get(number)
+        if session is None:  # the proxy has said that it is gone; its stream is its frontend's to watch
+            self.stalled.discard(number)
+            return
         stream.flush()
         if not stream.unsent:
             self.stalled.discard(number)
@@ -86,6 +89,6 @@
         newest = stream.newest_delivered()
         session = self.sessions.by_stream.get(number)
         if newest is not None and session is not None:
-            self.context.started_engine.delivered(session.number, newest)
+            self.context.started_engine.confirm_delivery(session.number, newest)
         if not stream.pending:
             self.undelivered.discard(number)
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -15,10 +15,10 @@
 from rainpick.decisions.director import Director
 from rainpick.director.addresses import Key
 from rainpick.director.channel import Channel, PendingMessage
-from rainpick.director.snapshots import Scale, Snapshot, Way
+from rainpick.director.snapshots import Delta, Scale, Snapshot
 from rainpick.director.stepper import Command, Stepper
 from rainpick.director.tables import ProxyCommands, Tables
-from rainpick.settings import Settings, plain_map
+from rainpick.settings import Settings, decision_settings
 
 ACKNOWLEDGEMENT_DELAY_US = 5_000  # the decisions may learn so late that messages were delivered
 MAX_NOTES = 100  # newest log messages of the decisions that are retained
@@ -26,11 +26,11 @@
 
 
 class Write(NamedTuple):
-    """A message that leaves now. ``number`` counts a proxy's messages; ``delivered`` wants it back."""
+    """A message that leaves now. ``number`` counts a proxy's messages; ``confirm_delivery`` wants it back."""
 
     proxy: int
     number: int
-    way: Way  # the lines to send
+    delta: Delta  # the lines to send
     before: Snapshot  # what the proxy held
     after: Snapshot  # what it holds with these lines
     commands: ProxyCommands | None = None  # if they are new to a proxy that takes them
@@ -94,7 +94,7 @@
 
     def __init__(self, settings: Settings, seed: int, now: int, module: Callable[[], Director] = Director):
         self.settings = settings
-        self.stepper = Stepper(seed, plain_map(settings), module)
+        self.stepper = Stepper(seed, decision_settings(settings), module)
         channel = settings.channel
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
@@ -115,13 +115,13 @@
 
     # Events
 
-    def list_changed(self, update: model.EndpointUpdate) -> None:
+    def update_endpoints(self, update: model.EndpointUpdate) -> None:
         """The endpoint list, or a part of it, has changed."""
         for entry in update.endpoints:
             self.listed[cast(Key, entry.address)] = entry
-        self.stepper.events.append(update)
+        self.stepper.pending_events.append(update)
 
-    def joined(
+    def join(
         self,
         proxy: int,
         fresh: bool,
@@ -139,9 +139,9 @@
         self.tables.join(proxy, initial_servers, takes_commands, resumed)
         self.channel.join(proxy)
         self.sent[proxy] = SentMessages()
-        self.stepper.events.append(model.ProxyJoined(proxy, fresh, rate, zone))
+        self.stepper.pending_events.append(model.ProxyJoined(proxy, fresh, rate, zone))
 
-    def left(self, proxy: int) -> None:
+    def leave(self, proxy: int) -> None:
         """A proxy has left; does nothing for one that is not joined."""
         if proxy not in self.sent:
             return
@@ -149,13 +149,13 @@
         self.channel.leave(proxy)
         del self.sent[proxy]
         self.acknowledgements = [answer for answer in self.acknowledgements if answer.proxy != proxy]
-        self.stepper.events.append(model.ProxyLeft(proxy))
+        self.stepper.pending_events.append(model.ProxyLeft(proxy))
 
-    def met(self, reports: Iterable[LoadReport]) -> None:
+    def add_load_reports(self, reports: Iterable[LoadReport]) -> None:
         """Load reports have come."""
-        self.stepper.events += reports
+        self.stepper.pending_events += reports
 
-    def delivered(self, proxy: int, number: int) -> None:
+    def confirm_delivery(self, proxy: int, number: int) -> None:
         """Message ``number`` of a proxy, and all before it, have been delivered."""
         sent = self.sent.get(proxy)
         while sent and sent.undelivered and sent.undelivered[0].number <= number:
@@ -168,7 +168,7 @@
             self.acknowledgements_since_us = self.now
         self.acknowledgements += [model.Acknowledged(proxy, nonce, delay_us) for nonce in nonces]
 
-    def poll(self, proxy: int) -> tuple[int, Way]:
+    def poll(self, proxy: int) -> tuple[int, Delta]:
         """A proxy polls: the number of the answer, and the lines that are new in it."""
         delta = self.tables.advance(proxy)
         number = self.sent[proxy].add(self.channel.remove(proxy), self.now)
@@ -199,7 +199,7 @@
     def due_us(self) -> int | None:
         """When ``advance`` is next wanted, if nothing happens before."""
         times = [self.stepper.due_us(), self.channel.due_us(self.now)]
-        if self.stepper.events:
+        if self.stepper.pending_events:
             times.append(self.now)
         elif self.acknowledgements:
             times.append(self.acknowledgements_since_us + ACKNOWLEDGEMENT_DELAY_US)
@@ -208,9 +208,9 @@
     def advance(self, now: int) -> Iterator[Write]:
         """Hand the decisions all that waits, in one step; then the messages that leave now, one by one."""
         self.now = max(self.now, now)
-        self.stepper.ring(self.now)
+        self.stepper.fire_timers(self.now)
         overdue = self.now >= self.acknowledgements_since_us + ACKNOWLEDGEMENT_DELAY_US
-        if self.stepper.events or self.acknowledgements and overdue:
+        if self.stepper.pending_events or self.acknowledgements and overdue:
             acknowledgements, self.acknowledgements = self.acknowledgements, []
             self.carry_out(self.stepper.step(self.now, acknowledgements))
         while (message := self.channel.dequeue(self.now)) is not None:
@@ -255,7 +255,7 @@
         before = proxy.snapshot
         delta = self.tables.advance(message.proxy)
         commands = self.new_commands(message.proxy)
-        lines = len(delta.shut) + len(delta.rest) + (commands is not None)
+        lines = len(delta.withdrawn) + len(delta.others) + (commands is not None)
         if not lines:
             # The delivery of the earlier message, if that is still to come, answers these nonces too.
             if sent.undelivered:
