--- a/rainpick/simhost/__init__.py
+++ b/rainpick/simhost/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter for the operators' bench: directors hosted behind the simulator's binary protocol.
+"""Adapter for the operators' simulator: runs directors behind the simulator's binary protocol.
 
-``framing`` reads batches and writes replies, ``events`` and ``commands`` decode and encode the records in
-them, and ``host`` runs one director for each simulated instance.
+``framing`` reads batches and encodes replies, ``events`` decodes the records of a batch, ``commands`` encodes
+the records of a reply, and ``host`` runs one director for each simulated instance.
 """
--- a/rainpick/simhost/__main__.py
+++ b/rainpick/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Host directors for the simulator on standard input and output: ``python -m rainpick.simhost``."""
+"""Run directors for the simulator over standard input and output: ``python -m rainpick.simhost``."""
 
 import sys
 
@@ -7,13 +7,13 @@
 
 
 def main() -> None:
-    """Serve until the input ends; one line on standard error says why if it ends in another way."""
+    """Serve until the input ends; after an error, exit with one line on standard error."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedError as error:
         sys.exit(f"rainpick.simhost: {error}")
     except BrokenPipeError:
-        sys.exit("rainpick.simhost: the reader of the replies has gone")
+        sys.exit("rainpick.simhost: standard output was closed by its reader")
 
 
 if __name__ == "__main__":
--- a/rainpick/simhost/commands.py
+++ b/rainpick/simhost/commands.py
@@ -1,6 +1,6 @@
 """Encodes a director's commands as the records of a reply.
 
-A record is its code, the number of the instance that gave the command, and the fields of that code.
+A record consists of its code, the number of the instance that issued the command, and the code's fields.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 MAX_TEXT_BYTES = 65_535
 MAX_TIMER_DELAY_US = 0xFFFFFFFF
-ALL_PEERS = 65_535  # on the wire, where the model has None
+ALL_PEERS = 65_535  # peer number of a broadcast; None in the model
 PEER_MESSAGE_CODE = 1100
 FAILURE_CODE = 1090
 TEXT_HEADER = Struct(">HIH")  # code, instance, length of the text
@@ -23,36 +23,36 @@
 
 
 def fixed_layout(code: int, layout: str, fields: Callable[[Any], Iterable[Any]] = tuple) -> CommandEncoder:
-    """Make an encoder for a fixed layout; ``fields`` gives a command's values, else they are its own."""
+    """Return an encoder for a fixed layout; ``fields`` returns the values to pack, by default all fields."""
     pack = Struct(">HI" + layout).pack
     return lambda instance, command: pack(code, instance, *fields(command))
 
 
 def encode_text(code: int, instance: int, text: str) -> bytes:
-    """Encode a record of one text, cut off where its length would not fit."""
+    """Encode a record that holds one text, truncated to ``MAX_TEXT_BYTES``."""
     data = text.encode()[:MAX_TEXT_BYTES]
     return TEXT_HEADER.pack(code, instance, len(data)) + data
 
 
 def encode_log_message(instance: int, command: model.LogMessage) -> bytes:
-    """Encode a line for the log."""
+    """Encode a log message."""
     return encode_text(1010, instance, command.text)
 
 
 def encode_failure(instance: int, reason: str) -> bytes:
-    """Encode the report that an instance's step raised an exception."""
+    """Encode the report of an exception that an instance's step raised."""
     return encode_text(FAILURE_CODE, instance, reason)
 
 
 def encode_peer_message(instance: int, command: model.SendPeerMessage) -> bytes:
-    """Encode bytes for another director or for all of them."""
+    """Encode a message to another director or to all of them."""
     peer = ALL_PEERS if command.peer is None else command.peer
     header = PEER_MESSAGE_HEADER.pack(PEER_MESSAGE_CODE, instance, peer, len(command.data))
     return header + command.data
 
 
 def timer_fields(command: model.SetTimer) -> tuple[int, int]:
-    """Keep the delay within what the record can hold."""
+    """Return the token and the delay, clamped to the range of its 32-bit field."""
     return command.token, max(0, min(command.delay_us, MAX_TIMER_DELAY_US))
 
 
--- a/rainpick/simhost/events.py
+++ b/rainpick/simhost/events.py
@@ -1,7 +1,8 @@
 """Decodes the event records of a batch into the model's events.
 
-A record is its code, the number of the instance that it is for, and the fields of that code. Endpoint lists
-come in records of their own, each under a number; updates for any instance refer to a list by its number.
+A record consists of its code, the number of the receiving instance, and the code's fields. Endpoint lists are
+sent in records of their own, each under a list number; an update for any instance refers to a list by its
+number.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
     | model.KeyRangeWeight
     | model.EndpointUpdate
 )
-# The number of an instance and its event; None says that the instance was killed.
+# Instance number and event; the event is None if the instance was killed.
 InstanceEvent: TypeAlias = tuple[int, Event | None]
 EndpointLists: TypeAlias = dict[int, tuple[model.Endpoint, ...]]
 RecordDecoder: TypeAlias = Callable[[Batch], InstanceEvent]
@@ -38,26 +39,26 @@
 ENDPOINT_LIST_CODE = 1140
 ENDPOINT_UPDATE_CODE = 1010
 
-# Each begins with the number of the instance, except for a list, which is for all of them.
+# Each layout begins with the instance number, except ``ENDPOINT_LIST``: all instances share the lists.
 STARTED = Struct(">IQI")  # seed, length of the settings
 PEER_MESSAGE = Struct(">IHH")  # peer, length of the data
 PROBE_COMPLETED = Struct(">II6sB")  # duration, server, outcome; the load values follow
-SERVER_LOAD = Struct(">IB6sIIII")  # zone, server, failures, latency, interval, attempts; the values follow
-ENDPOINT_UPDATE = Struct(">IBIQ")  # kind, number of the list, version
-ENDPOINT_LIST = Struct(">II")  # number of the list, count of its entries
-ENDPOINT = Struct(">fBQHH6sB")  # in the order of ``model.Endpoint``
+SERVER_LOAD = Struct(">IB6sIIII")  # zone, server, failures, latency, interval, attempts; load values follow
+ENDPOINT_UPDATE = Struct(">IBIQ")  # kind, list number, version
+ENDPOINT_LIST = Struct(">II")  # list number, number of entries
+ENDPOINT = Struct(">fBQHH6sB")  # the fields of ``model.Endpoint``, in its order
 
 ENDPOINT_STATES = (model.EndpointState.GONE, model.EndpointState.READY, model.EndpointState.DRAINING)
 
 
 def fixed_layout(fields: str, build: Callable[..., InstanceEvent]) -> RecordDecoder:
-    """Make a decoder for records of a fixed layout; ``build`` gets the instance and the fields."""
+    """Return a decoder for a fixed layout; ``build`` receives the instance number and the fields."""
     layout = Struct(">I" + fields)
     return lambda batch: build(*batch.unpack(layout))
 
 
 def decode_started(batch: Batch) -> InstanceEvent:
-    """Decode the start of an instance; its settings come as ``path=value`` lines in UTF-8."""
+    """Decode the start of an instance; its settings are ``path=value`` lines in UTF-8."""
     instance, seed, length = batch.unpack(STARTED)
     try:
         text = batch.read_bytes(length).decode()
@@ -67,19 +68,19 @@
 
 
 def decode_peer_message(batch: Batch) -> InstanceEvent:
-    """Decode a message of another director."""
+    """Decode a message from another director."""
     instance, peer, length = batch.unpack(PEER_MESSAGE)
     return instance, model.PeerMessageReceived(peer, batch.read_bytes(length))
 
 
 def decode_probe(batch: Batch) -> InstanceEvent:
-    """Decode the end of a health check."""
+    """Decode the result of a health check."""
     instance, duration_us, server, outcome = batch.unpack(PROBE_COMPLETED)
     return instance, model.ProbeCompleted(server, outcome, duration_us, batch.read_floats())
 
 
 def decode_server_load(batch: Batch) -> InstanceEvent:
-    """Decode a load report on a server."""
+    """Decode a load report about a server."""
     instance, zone, server, failures, mean_latency_us, interval_us, attempts = batch.unpack(SERVER_LOAD)
     return instance, model.ServerLoadReport(
         server, zone, attempts, failures, mean_latency_us, interval_us, batch.read_floats()
@@ -87,7 +88,7 @@
 
 
 def build_proxy_joined(instance: int, new: int, rate: float, proxy: int, zone: int) -> InstanceEvent:
-    """Put the fields of a joining proxy in the model's order."""
+    """Build the event of a joining proxy, whose fields have another order in the record."""
     return instance, model.ProxyJoined(proxy, new != 0, rate, zone)
 
 
@@ -112,7 +113,7 @@
 
 
 def build_endpoint(fields: tuple[Any, ...]) -> model.Endpoint:
-    """Make an endpoint of its fields; raise ``MalformedError`` if its state is unknown."""
+    """Build an endpoint from its fields; raise ``MalformedError`` if its state is unknown."""
     endpoint = model.Endpoint(*fields)
     if endpoint.state not in ENDPOINT_STATES:
         raise MalformedError(f"a server cannot be in state {endpoint.state}")
@@ -120,24 +121,24 @@
 
 
 def decode_endpoint_list(batch: Batch, endpoint_lists: EndpointLists) -> None:
-    """Put a list under its number, in place of an earlier one of this number."""
-    number, count = batch.unpack(ENDPOINT_LIST)
+    """Store an endpoint list under its number, replacing an earlier list with the same number."""
+    list_number, count = batch.unpack(ENDPOINT_LIST)
     entries = ENDPOINT.iter_unpack(batch.read_bytes(count * ENDPOINT.size))
-    endpoint_lists[number] = tuple(map(build_endpoint, entries))
+    endpoint_lists[list_number] = tuple(map(build_endpoint, entries))
 
 
 def decode_endpoint_update(batch: Batch, endpoint_lists: EndpointLists) -> InstanceEvent:
-    """Decode an update that refers to a list by its number; a failed one refers to none."""
-    instance, kind, number, version = batch.unpack(ENDPOINT_UPDATE)
+    """Decode an endpoint update, which refers to a list by its number; a failed update refers to none."""
+    instance, kind, list_number, version = batch.unpack(ENDPOINT_UPDATE)
     if kind == model.UpdateKind.FAILED:
         return instance, model.EndpointUpdate(kind, (), version)
-    if kind > model.UpdateKind.FAILED or number not in endpoint_lists:
-        raise MalformedError(f"a REGISTRY of kind {kind} names list {number}, which was never sent")
-    return instance, model.EndpointUpdate(kind, endpoint_lists[number], version)
+    if kind > model.UpdateKind.FAILED or list_number not in endpoint_lists:
+        raise MalformedError(f"a REGISTRY of kind {kind} names list {list_number}, which was never sent")
+    return instance, model.EndpointUpdate(kind, endpoint_lists[list_number], version)
 
 
 def decode_events(batch: Batch, endpoint_lists: EndpointLists) -> Iterator[InstanceEvent]:
-    """Decode a batch's events in order. ``endpoint_lists`` outlives the batch and is updated."""
+    """Decode a batch's events in order; update ``endpoint_lists``, which is kept between batches."""
     for _ in range(batch.record_count):
         (code,) = batch.unpack(RECORD_CODE)
         if code == ENDPOINT_LIST_CODE:
--- a/rainpick/simhost/framing.py
+++ b/rainpick/simhost/framing.py
@@ -1,7 +1,7 @@
-"""The simulator's framing: batches of event records come in, and each is answered by one reply.
+"""The simulator's framing: each batch of event records is answered by one reply.
 
-All integers are big-endian. A batch has a header with its length in bytes, header included, the number of its
-records and the virtual time in microseconds; a reply has one with its length and the number of its records.
+All integers are big-endian. The header of a batch holds its length in bytes, header included, its number of
+records and the virtual time in microseconds; the header of a reply holds its length and number of records.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 MAX_BATCH_BYTES = 1 << 30
 
 COUNT_BYTE = Struct(">B")
-FLOAT_ARRAYS = [Struct(f">{count}f") for count in range(256)]  # by the number of values
+FLOAT_ARRAYS = [Struct(f">{count}f") for count in range(256)]  # indexed by the number of values
 
 
 class MalformedError(Exception):
-    """The input is not what the protocol allows."""
+    """The input violates the protocol."""
 
 
 class Batch:
-    """A batch, with a cursor over the records in its body."""
+    """A batch and the read position in its body; ``now`` is the virtual time in microseconds."""
 
     def __init__(self, body: bytes, record_count: int, now: int):
         self.body, self.record_count, self.now = body, record_count, now
         self.position = 0
 
     def unpack(self, layout: Struct) -> tuple[Any, ...]:
-        """Read the fields of a layout at the cursor."""
+        """Read the fields of a layout at the current position."""
         try:
             fields = layout.unpack_from(self.body, self.position)
         except error:
@@ -39,14 +39,14 @@
         return fields
 
     def read_bytes(self, length: int) -> bytes:
-        """Read a field of so many bytes."""
+        """Read a field of ``length`` bytes."""
         if self.position + length > len(self.body):
             raise MalformedError(f"a field of {length} bytes runs past the end of its frame")
         self.position += length
         return self.body[self.position - length : self.position]
 
     def read_floats(self) -> tuple[float, ...]:
-        """Read an array of 32-bit floats after the byte with its length."""
+        """Read an array of 32-bit floats, which is preceded by one byte with its length."""
         (count,) = self.unpack(COUNT_BYTE)
         return self.unpack(FLOAT_ARRAYS[count])
 
@@ -59,7 +59,7 @@
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """Read one batch, or None at the end of the input."""
+    """Read one batch; return None at the end of the input."""
     header = stream.read(BATCH_HEADER.size)
     if not header:
         return None
@@ -76,6 +76,6 @@
 
 
 def encode_reply(records: Sequence[bytes]) -> bytes:
-    """Frame the records that answer one batch."""
+    """Encode the reply to one batch from its records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(records)) + body
--- a/rainpick/simhost/host.py
+++ b/rainpick/simhost/host.py
@@ -11,58 +11,59 @@
 from rainpick.simhost.events import EndpointLists, Event, InstanceEvent, decode_events
 from rainpick.simhost.framing import MalformedError, encode_reply, read_batch
 
-Inbox: TypeAlias = dict[int, list[Event]]  # by instance, in the order in which it was first heard of
+# By instance number; instances are in the order in which they first occur in the batch.
+EventsByInstance: TypeAlias = dict[int, list[Event]]
 
 
 class DecisionModule(Protocol):
-    """What the host needs of a director."""
+    """The interface of a director that the host uses."""
 
     def step(self, now: int, events: list[Event]) -> Iterable[Any]:
-        """Handle the events of a batch, and give the commands."""
+        """Process the events of a batch and return the commands."""
 
 
 class InstanceHost:
-    """The running instances, each with a director of its own."""
+    """The running instances and the director of each."""
 
     def __init__(self) -> None:
         self.directors: dict[int, DecisionModule] = {}
 
-    def sort(self, events: Iterable[InstanceEvent]) -> Inbox:
-        """Sort a batch's events by instance, and drop the directors of killed ones."""
-        inbox: Inbox = {}
+    def group_events(self, events: Iterable[InstanceEvent]) -> EventsByInstance:
+        """Group a batch's events by instance and remove the directors of killed instances."""
+        events_by_instance: EventsByInstance = {}
         for instance, event in events:
-            if event is None:  # killed: its state and its events of this batch are void
+            if event is None:  # killed: its state and its earlier events in the batch are discarded
                 self.directors.pop(instance, None)
-                inbox.pop(instance, None)
+                events_by_instance.pop(instance, None)
             elif type(event) is Started:
-                inbox[instance] = [event]
-            elif instance in inbox:
-                inbox[instance].append(event)
+                events_by_instance[instance] = [event]
+            elif instance in events_by_instance:
+                events_by_instance[instance].append(event)
             elif instance in self.directors:
-                inbox[instance] = [event]
+                events_by_instance[instance] = [event]
             else:
                 raise MalformedError(f"an event came for instance {instance}, which was never born")
-        return inbox
+        return events_by_instance
 
-    def step(self, inbox: Inbox, now: int) -> list[bytes]:
-        """Step each instance that has events; give the records of their commands."""
+    def step(self, events_by_instance: EventsByInstance, now: int) -> list[bytes]:
+        """Run one step of each instance that has events; return the encoded commands."""
         records: list[bytes] = []
-        for instance, events in inbox.items():
+        for instance, events in events_by_instance.items():
             try:
                 if type(events[0]) is Started:
                     self.directors[instance] = Director()
                 commands = self.directors[instance].step(now, events)
                 records += [ENCODERS[type(command)](instance, command) for command in commands]
-            except Exception as error:  # noqa: BLE001 - the reply reports it; the other instances go on
+            except Exception as error:  # noqa: BLE001 - sent in the reply; other instances continue
                 records.append(encode_failure(instance, f"{type(error).__name__}: {error}"))
         return records
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raise ``MalformedError`` if it is not what it may be."""
+    """Answer batches until the input ends; raise ``MalformedError`` if it violates the protocol."""
     host = InstanceHost()
     endpoint_lists: EndpointLists = {}
     while (batch := read_batch(source)) is not None:
-        inbox = host.sort(decode_events(batch, endpoint_lists))
-        sink.write(encode_reply(host.step(inbox, batch.now)))
+        events_by_instance = host.group_events(decode_events(batch, endpoint_lists))
+        sink.write(encode_reply(host.step(events_by_instance, batch.now)))
         sink.flush()
--- a/tests/compat/operations_simhost.py
+++ b/tests/compat/operations_simhost.py
@@ -1,4 +1,4 @@
-"""What the data file of the bench's adapter is read and written by today."""
+"""The operations on the simulator adapter that the cases in ``wire/simhost.jsonl`` name."""
 
 import io
 
@@ -8,47 +8,47 @@
 from rainpick.simhost.host import serve
 
 
-def batch(data):
-    """All records of a stream of batches: each batch's time, then instance and event of each record."""
-    source, lists, found = io.BytesIO(data), {}, []
-    while (frame := read_batch(source)) is not None:
-        found.append([frame.now, list(decode_events(frame, lists))])
-    return found
+def decode_batches(data):
+    """Decode a stream of batches: the time of each batch, and instance and event of each record."""
+    source, endpoint_lists, batches = io.BytesIO(data), {}, []
+    while (batch := read_batch(source)) is not None:
+        batches.append([batch.now, list(decode_events(batch, endpoint_lists))])
+    return batches
 
 
-def begun(data):
-    """A record of a begun instance; of the settings only the values are shown."""
-    [[now, [[instance, event]]]] = batch(data)
+def decode_started(data):
+    """Decode the start of an instance; of its settings only the values are returned."""
+    [[now, [[instance, event]]]] = decode_batches(data)
     seed, settings = event
     return [now, instance, seed, list(settings.values())]
 
 
-def order(words):
-    instance, value = words
-    return ENCODERS[type(value)](instance, value)
+def encode_command(arguments):
+    instance, command = arguments
+    return ENCODERS[type(command)](instance, command)
 
 
-def failure(words):
-    return encode_failure(*words)
+def encode_failure_report(arguments):
+    return encode_failure(*arguments)
 
 
-def reply(written):
-    return encode_reply(list(written))
+def encode_reply_to_batch(records):
+    return encode_reply(list(records))
 
 
-def conversation(data):
-    """All that the adapter answers to all that it is sent."""
+def serve_input(data):
+    """Return all replies of the adapter to its whole input."""
     sink = io.BytesIO()
     serve(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
 OPERATIONS = {
-    "batch": batch,
-    "begun": begun,
-    "order": order,
-    "failure": failure,
-    "reply": reply,
-    "conversation": conversation,
+    "batch": decode_batches,
+    "begun": decode_started,
+    "order": encode_command,
+    "failure": encode_failure_report,
+    "reply": encode_reply_to_batch,
+    "conversation": serve_input,
 }
 ERRORS = {MalformedError: "malformed"}
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter's codec against frames written out by hand, and the adapter as a process."""
+"""The simulator adapter: codec against hand-written records; process on valid and on malformed input."""
 
 import io
 import subprocess
@@ -11,7 +11,7 @@
 from rainpick.simhost.events import decode_events
 from rainpick.simhost.framing import BATCH_HEADER, read_batch
 
-HOST = bytes.fromhex("0a124a072bc3")
+SERVER = bytes.fromhex("0a124a072bc3")
 
 
 def encode_batch(*records):
@@ -23,15 +23,15 @@
     return list(decode_events(read_batch(io.BytesIO(encode_batch(*records))), {}))
 
 
-LISTS = (
+ENDPOINT_UPDATES = (
     "0474 00000000 00000001 3f800000 00 0000000000000000 0000 0000 0a124a07 2bc3 01",
     "03f2 00000003 02 00000000 0000000000000029",
     "0474 00000000 00000001 3fc00000 01 00000000005d1420 0000 0000 0a9011f2 2bec 02",
     "03f2 00000003 00 00000000 000000000000002a",
 )
-EVENTS = {
+EVENTS_BY_RECORD = {
     "0442 00000003 00 0a124a07 2bc3 00000001 0000bc7a 000f4240 0000000e 02 3f00000040400000": (
-        model.ServerLoadReport(HOST, 0, 14, 1, 48250, 1_000_000, (0.5, 3.0))
+        model.ServerLoadReport(SERVER, 0, 14, 1, 48250, 1_000_000, (0.5, 3.0))
     ),
     "03fc 00000003 000000000000004d": model.TimerFired(77),
     "042e 00000003 0029": model.ProxyLeft(41),
@@ -39,19 +39,19 @@
     "0438 00000003 0029 000000000000000c 00064b54": model.Acknowledged(41, 12, 412500),
     "0456 00000003 0075 00 00000017 00000002 000f4240": model.KeyRangeLoadReport(117, 0, 23, 2, 1_000_000),
     "044c 00000003 0029 00 00000009 00000000 001e8480": model.RouteLoadReport(41, 0, 9, 0, 2_000_000),
-    "046a 00000003 0075 0a124a07 2bc3 3f800000": model.KeyRangeWeight(117, HOST, 1.0),
+    "046a 00000003 0075 0a124a07 2bc3 3f800000": model.KeyRangeWeight(117, SERVER, 1.0),
     "0424 00000003 01 40d00000 0029 00": model.ProxyJoined(41, True, 6.5, 0),
     "0460 00000003 01 0075": model.KeyRangeAssigned(117, True),
-    "0406 00000003 00000578 0a124a07 2bc3 00 01 3f000000": model.ProbeCompleted(HOST, 0, 1400, (0.5,)),
+    "0406 00000003 00000578 0a124a07 2bc3 00 01 3f000000": model.ProbeCompleted(SERVER, 0, 1400, (0.5,)),
     "041a 00000003": None,
     "03e8 00000003 0000000000000009 00000009" + b"az=1\nx=yy".hex(): model.Started(9, {"zone": 1, "x": "yy"}),
 }
-COMMANDS = {
-    "041a 00000003 0075 0a124a07 2bc3 3f400000": model.SetWeight(117, HOST, 0.75),
+COMMANDS_BY_RECORD = {
+    "041a 00000003 0075 0a124a07 2bc3 3f400000": model.SetWeight(117, SERVER, 0.75),
     "03e8 00000003 0075": model.ClearTable(117),
     "0406 00000003 000000000000000c 00": model.RequestAcknowledgement(12, False),
-    "0438 00000003 0a124a07 2bc3": model.ProbeServer(HOST),
-    "03fc 00000003 0a124a07 2bc3 01": model.SetWithdrawn(HOST, True),
+    "0438 00000003 0a124a07 2bc3": model.ProbeServer(SERVER),
+    "03fc 00000003 0a124a07 2bc3 01": model.SetWithdrawn(SERVER, True),
     "0460 00000003 0075 0002 3f400000 01": model.SetAdmission(117, 2, 0.75, model.RetryPolicy.ON_PROOF),
     "042e 00000003": model.FetchEndpoints(),
     "0456 00000003 000000000000004d 0007a120": model.SetTimer(77, 500_000),
@@ -63,12 +63,12 @@
 
 
 def test_events_are_decoded():
-    for text, event in EVENTS.items():
+    for text, event in EVENTS_BY_RECORD.items():
         assert decode(text) == [(3, event)]
 
 
 def test_a_list_number_refers_to_the_list_sent_last():
-    (_, first), (_, second) = decode(*LISTS)
+    (_, first), (_, second) = decode(*ENDPOINT_UPDATES)
     assert (first.kind, [server.state for server in first.endpoints]) == (
         model.UpdateKind.CACHED,
         [model.EndpointState.READY],
@@ -82,7 +82,7 @@
 
 
 def test_commands_are_encoded():
-    for text, command in COMMANDS.items():
+    for text, command in COMMANDS_BY_RECORD.items():
         assert ENCODERS[type(command)](3, command) == bytes.fromhex(text.replace(" ", ""))
     assert encode_failure(3, "oops") == bytes.fromhex("0442 00000003 0004 6f6f7073".replace(" ", ""))
 
@@ -104,7 +104,16 @@
         encode_batch("03fc 00000003 000000000000004d"),
         encode_batch("03e8 00000003 00")[:9],
     ],
-    ids=["cut", "short", "code", "long", "list", "tiny", "unborn", "header"],
+    ids=[
+        "truncated token",
+        "truncated instance number",
+        "unknown code",
+        "trailing byte",
+        "unknown list",
+        "length below header",
+        "unknown instance",
+        "truncated header",
+    ],
 )
 def test_malformed_input_ends_the_process_with_one_line(data):
     process = run_adapter(data)
