--- a/rainpick/sasp/__init__.py
+++ b/rainpick/sasp/__init__.py
@@ -1,5 +1,5 @@
-"""SASP, the Server/Application State Protocol (RFC 4678): messages, codec and sessions, free of I/O.
+"""SASP, the Server/Application State Protocol (RFC 4678): messages, codec and sessions, without I/O.
 
-Modules, each using only those before it: ``constants``, ``errors``, ``addresses``, ``messages``, ``wire``,
-``encoding`` and ``decoding``, ``framing``, ``client``, ``transitions``, ``session``.
+Modules in order of dependency, each importing only earlier ones: ``constants``, ``errors``, ``addresses``,
+``messages``, ``wire``, ``encoding`` and ``decoding``, ``framing``, ``client``, ``transitions``, ``session``.
 """
--- a/rainpick/sasp/addresses.py
+++ b/rainpick/sasp/addresses.py
@@ -1,4 +1,4 @@
-"""IP addresses as SASP carries them: 16 bytes, IPv4 mapped into IPv6."""
+"""IP addresses in the encoding of SASP: 16 bytes, IPv4 as an IPv4-mapped IPv6 address."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 MAPPED_PREFIX = b"\0" * 10 + b"\xff\xff"
 COMPATIBLE_PREFIX = b"\0" * 12
-UNSPECIFIED_AND_LOOPBACK = (b"\0\0\0\0", b"\0\0\0\1")  # the ends of ``::`` and ``::1``
+UNSPECIFIED_AND_LOOPBACK = (b"\0\0\0\0", b"\0\0\0\1")  # the last four bytes of ``::`` and ``::1``
 
 IPAddress = ipaddress.IPv4Address | ipaddress.IPv6Address
 
 
 def pack_address(host: str) -> bytes:
-    """The 16 bytes of an address; ``ValueError`` if it is none.
+    """Encode a textual IP address in 16 bytes; raise ``ValueError`` if it is malformed.
 
     >>> pack_address("127.0.0.1").hex()
     '00000000000000000000ffff7f000001'
@@ -22,9 +22,9 @@
 
 
 def unpack_address(data: bytes) -> IPAddress:
-    """The address of 16 bytes.
+    """Decode an address from 16 bytes.
 
-    IPv4 comes mapped or, from older members, with zeros before it (IPv4-compatible).
+    An IPv4 address is IPv4-mapped or, from older members, IPv4-compatible (preceded by zeros).
 
     >>> unpack_address(bytes(12) + bytes([127, 0, 0, 2]))
     IPv4Address('127.0.0.2')
--- a/rainpick/sasp/client.py
+++ b/rainpick/sasp/client.py
@@ -1,4 +1,4 @@
-"""The client's end of a SASP stream, without I/O: that of a member or a load balancer."""
+"""The client side of a SASP stream, for members and load balancers, without I/O."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A message for a client, with the request that it answers; none for pushed weights."""
+    """A message received by a client and the request that it answers; None for pushed weights."""
 
     request: Message | None
     message: Message
 
 
 class ClientSession:
-    """The end of a member or a load balancer: numbers its requests and pairs them with their replies."""
+    """State of a member's or load balancer's stream: numbers requests and matches replies to them."""
 
     def __init__(self, max_message_bytes: int = 1 << 24):
         self._reader = FrameReader(max_message_bytes)
@@ -27,13 +27,16 @@
         self._unanswered: dict[int, Message] = {}
 
     def encode_request(self, message: Message) -> bytes:
-        """The bytes of a request, with the next message id."""
+        """Encode a request with the next message id."""
         self._last_message_id += 1
         self._unanswered[self._last_message_id] = message
         return encode_message(message, self._last_message_id)
 
     def receive(self, data: bytes) -> list[ReceivedMessage]:
-        """What the bytes bring, in order; ``SaspError`` for anything but replies and pushed weights."""
+        """Decode the messages that ``data`` completes, in order.
+
+        Raises ``SaspError`` for any message other than a reply to a request or pushed weights.
+        """
         self._reader.feed(data)
         received: list[ReceivedMessage] = []
         while (frame := self._reader.next()) is not None:
@@ -45,7 +48,7 @@
         return received
 
     def _answered_request(self, message_id: int, message: Message) -> Message:
-        """The request that a message answers; ``SaspError`` if there is none."""
+        """Remove and return the request that a message answers; raise ``SaspError`` if there is none."""
         if not isinstance(message, Reply | GetWeightsReply) or message_id not in self._unanswered:
             raise SaspError(f"{type(message).__name__} {message_id} answers no request")
         request = self._unanswered.pop(message_id)
--- a/rainpick/sasp/constants.py
+++ b/rainpick/sasp/constants.py
@@ -5,16 +5,16 @@
 from enum import IntEnum
 
 VERSION = 1
-PORT = 3860  # section 4
-TCP = 6  # protocol number of members
+PORT = 3860  # TCP port of the director (section 4)
+TCP = 6  # IP protocol number of members
 
 MAX_UID_BYTES = 64  # of an LB UID (section 5.2)
-MAX_TEXT_BYTES = 255  # of any text: its length is one byte
+MAX_TEXT_BYTES = 255  # the length field of a text is one byte
 MAX_WEIGHT = 0xFFFF
 
 
-# Types of the components of a message (sections 5.1 to 5.8). Like the flags below they are plain integers and
-# no Enum: they are packed or compared for every weight entry, and access to a member of an Enum is slower.
+# Types of the components of a message (sections 5.1 to 5.8). Like the flags below they are plain integers
+# and not an Enum: they are packed or compared for every weight entry, and Enum member access is slower.
 HEADER_TYPE = 0x2010
 MEMBER_DATA_TYPE = 0x3010
 GROUP_DATA_TYPE = 0x3011
@@ -48,12 +48,12 @@
     MessageType.SET_LB_STATE: MessageType.SET_LB_STATE_REPLY,
     MessageType.SET_MEMBER_STATE: MessageType.SET_MEMBER_STATE_REPLY,
 }
-# Replies that carry nothing but a return code
+# Replies that carry only a return code
 SIMPLE_REPLY_TYPES = frozenset(REPLY_TYPES.values()) - {MessageType.GET_WEIGHTS_REPLY}
 
 
 class ReturnCode(IntEnum):
-    """Return codes of replies (the tables of section 6)."""
+    """Return codes of replies (tables in section 6)."""
 
     SUCCESS = 0x00
     NOT_UNDERSTOOD = 0x10
--- a/rainpick/sasp/decoding.py
+++ b/rainpick/sasp/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes one message whose bytes are complete; every fault of it is a ``SaspError``."""
+"""Decodes one complete message; raises ``SaspError`` if it is malformed."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
     LB_UID,
     MEMBER,
     MEMBER_STATE_TAIL,
-    MIN_GROUP,
-    MIN_GROUP_OF,
-    MIN_MEMBER,
-    MIN_MEMBER_STATE,
-    MIN_WEIGHT_ENTRY,
+    MIN_GROUP_BYTES,
+    MIN_GROUP_OF_BYTES,
+    MIN_MEMBER_BYTES,
+    MIN_MEMBER_STATE_BYTES,
+    MIN_WEIGHT_ENTRY_BYTES,
     WEIGHT_ENTRY_TAIL,
     Cursor,
     unexpected_component,
@@ -59,10 +59,10 @@
 
 
 def decode_body(message_type: int, cursor: Cursor) -> Message:
-    """Decode what follows the header of a message, from its message component on."""
+    """Decode a message after its header, starting at the message component."""
     end = cursor.enter_component(message_type)
     if message_type in SIMPLE_REPLY_TYPES:
-        code = cursor.uint8()
+        code = cursor.read_uint8()
         cursor.expect_end(end, "a message")
         return Reply(message_type, code)
     decoder = MESSAGE_DECODERS.get(message_type)
@@ -72,50 +72,50 @@
 
 
 def _decode_components(
-    cursor: Cursor, end: int, decode: Callable[[Cursor], Component], min_size: int
+    cursor: Cursor, end: int, decode: Callable[[Cursor], Component], min_component_bytes: int
 ) -> tuple[Component, ...]:
-    """Read the count that ends the message component at ``end``, and as many components after it."""
-    count = cursor.component_count(min_size)
+    """Read the count at the end of the message component, then that number of components."""
+    count = cursor.read_component_count(min_component_bytes)
     cursor.expect_end(end, "a message")
     return tuple([decode(cursor) for _ in range(count)])
 
 
 def _decode_registration(cursor: Cursor, end: int) -> Registration:
-    from_lb = bool(cursor.uint8() & FROM_LB)
-    return Registration(_decode_components(cursor, end, _decode_member_group, MIN_GROUP_OF), from_lb)
+    from_lb = bool(cursor.read_uint8() & FROM_LB)
+    return Registration(_decode_components(cursor, end, _decode_member_group, MIN_GROUP_OF_BYTES), from_lb)
 
 
 def _decode_deregistration(cursor: Cursor, end: int) -> Deregistration:
-    from_lb = bool(cursor.uint8() & FROM_LB)
-    reason = cursor.uint8()
-    groups = _decode_components(cursor, end, _decode_member_group, MIN_GROUP_OF)
+    from_lb = bool(cursor.read_uint8() & FROM_LB)
+    reason = cursor.read_uint8()
+    groups = _decode_components(cursor, end, _decode_member_group, MIN_GROUP_OF_BYTES)
     return Deregistration(groups, from_lb, reason)
 
 
 def _decode_set_member_state(cursor: Cursor, end: int) -> SetMemberState:
-    from_lb = bool(cursor.uint8() & FROM_LB)
-    return SetMemberState(_decode_components(cursor, end, _decode_state_group, MIN_GROUP_OF), from_lb)
+    from_lb = bool(cursor.read_uint8() & FROM_LB)
+    return SetMemberState(_decode_components(cursor, end, _decode_state_group, MIN_GROUP_OF_BYTES), from_lb)
 
 
 def _decode_get_weights(cursor: Cursor, end: int) -> GetWeights:
-    return GetWeights(_decode_components(cursor, end, _decode_group, MIN_GROUP))
+    return GetWeights(_decode_components(cursor, end, _decode_group, MIN_GROUP_BYTES))
 
 
 def _decode_get_weights_reply(cursor: Cursor, end: int) -> GetWeightsReply:
-    code = cursor.uint8()
-    interval = cursor.uint16()
-    groups = _decode_components(cursor, end, _decode_weight_group, MIN_GROUP_OF)
+    code = cursor.read_uint8()
+    interval = cursor.read_uint16()
+    groups = _decode_components(cursor, end, _decode_weight_group, MIN_GROUP_OF_BYTES)
     return GetWeightsReply(code, interval, groups)
 
 
 def _decode_send_weights(cursor: Cursor, end: int) -> SendWeights:
-    return SendWeights(_decode_components(cursor, end, _decode_weight_group, MIN_GROUP_OF))
+    return SendWeights(_decode_components(cursor, end, _decode_weight_group, MIN_GROUP_OF_BYTES))
 
 
 def _decode_set_lb_state(cursor: Cursor, end: int) -> SetLbState:
-    uid = cursor.text(LB_UID)
-    health = cursor.uint8()
-    flags = cursor.uint8()
+    uid = cursor.read_text(LB_UID)
+    health = cursor.read_uint8()
+    flags = cursor.read_uint8()
     cursor.expect_end(end, "a message")
     return SetLbState(uid, health, flags)
 
@@ -140,16 +140,16 @@
         raise unexpected_component(component_type, MEMBER_DATA_TYPE)
     label = ""
     if label_length:
-        cursor.position -= 1  # the length of the label belongs to the text
-        label = cursor.text(LABEL)
+        cursor.position -= 1  # ``Cursor.read_text`` reads the length of the label again
+        label = cursor.read_text(LABEL)
     cursor.expect_end(start + length, "a member")
     return Member(address, port, label, protocol)
 
 
 def _decode_group(cursor: Cursor) -> Group:
     end = cursor.enter_component(GROUP_DATA_TYPE)
-    uid = cursor.text(LB_UID)
-    name = cursor.text(GROUP_NAME)
+    uid = cursor.read_text(LB_UID)
+    name = cursor.read_text(GROUP_NAME)
     cursor.expect_end(end, "a group")
     return Group(uid, name)
 
@@ -171,26 +171,30 @@
 
 
 def _decode_group_of(
-    cursor: Cursor, component_type: int, decode: Callable[[Cursor], Component], min_size: int
+    cursor: Cursor, component_type: int, decode: Callable[[Cursor], Component], min_component_bytes: int
 ) -> tuple[Group, tuple[Component, ...]]:
-    """Read a group component of this type: the group and the components that it counts."""
+    """Read a group-of component of this type: its group and its components."""
     end = cursor.enter_component(component_type)
-    count = cursor.component_count(min_size)
+    count = cursor.read_component_count(min_component_bytes)
     cursor.expect_end(end, "a group of components")
     group = _decode_group(cursor)
     return group, tuple([decode(cursor) for _ in range(count)])
 
 
 def _decode_member_group(cursor: Cursor) -> MemberGroup:
-    group, members = _decode_group_of(cursor, GROUP_OF_MEMBERS_TYPE, _decode_member, MIN_MEMBER)
+    group, members = _decode_group_of(cursor, GROUP_OF_MEMBERS_TYPE, _decode_member, MIN_MEMBER_BYTES)
     return MemberGroup(group, members)
 
 
 def _decode_weight_group(cursor: Cursor) -> WeightGroup:
-    group, entries = _decode_group_of(cursor, GROUP_OF_WEIGHTS_TYPE, _decode_weight_entry, MIN_WEIGHT_ENTRY)
+    group, entries = _decode_group_of(
+        cursor, GROUP_OF_WEIGHTS_TYPE, _decode_weight_entry, MIN_WEIGHT_ENTRY_BYTES
+    )
     return WeightGroup(group, entries)
 
 
 def _decode_state_group(cursor: Cursor) -> StateGroup:
-    group, states = _decode_group_of(cursor, GROUP_OF_STATES_TYPE, _decode_member_state, MIN_MEMBER_STATE)
+    group, states = _decode_group_of(
+        cursor, GROUP_OF_STATES_TYPE, _decode_member_state, MIN_MEMBER_STATE_BYTES
+    )
     return StateGroup(group, states)
--- a/rainpick/sasp/encoding.py
+++ b/rainpick/sasp/encoding.py
@@ -1,4 +1,4 @@
-"""Encodes messages, whole or out of parts that are encoded once and shared by many proxies."""
+"""Encodes messages, whole or from parts that are encoded once and shared by many proxies."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     WEIGHT_ENTRY_TAIL,
 )
 
-# The parts that are the same in each component of a kind
+# Constant parts of component and message headers
 _WEIGHT_ENTRY_HEADER = COMPONENT_HEADER.pack(
     WEIGHT_ENTRY_TYPE, COMPONENT_HEADER.size + WEIGHT_ENTRY_TAIL.size
 )
@@ -68,8 +68,8 @@
 # Messages
 
 
-class _Body(NamedTuple):
-    """What follows the header of a message: the message component, and the components that it counts."""
+class _MessageBody(NamedTuple):
+    """A message without its header: the message component and the components that follow it."""
 
     message_type: int
     fixed_part: bytes
@@ -77,13 +77,13 @@
 
 
 def encode_message(message: Message, message_id: int = 0) -> bytes:
-    """The bytes of one message; ``ValueError`` or ``struct.error`` if a value has no encoding."""
+    """Encode one message; raise ``ValueError`` or ``struct.error`` if a value cannot be encoded."""
     body = _encode_body(message)
     return encode_frame(message_id, body.message_type, body.fixed_part, b"".join(body.components))
 
 
 def encode_reply(message_type: int, message_id: int, code: int) -> bytes:
-    """The reply to a request of this type with a return code; nothing for a type that has no reply."""
+    """Encode the reply to a request of this type; return no bytes if the type has no reply."""
     reply_type = REPLY_TYPES.get(message_type)
     if reply_type is None:
         return b""
@@ -92,7 +92,7 @@
     return encode_message(GetWeightsReply(code), message_id)
 
 
-def _encode_body(message: Message) -> _Body:
+def _encode_body(message: Message) -> _MessageBody:
     match message:
         case Registration(groups, from_lb):
             members = [_encode_member_group(group) for group in groups]
@@ -112,25 +112,25 @@
             return _counted_body(MessageType.GET_WEIGHTS_REPLY, fields, weights)
         case SetLbState(uid, health, flags):
             fields = _encode_text(uid, MAX_UID_BYTES) + UINT8.pack(health) + UINT8.pack(flags)
-            return _Body(MessageType.SET_LB_STATE, fields, [])
+            return _MessageBody(MessageType.SET_LB_STATE, fields, [])
         case SetMemberState(groups, from_lb):
             states = [_encode_state_group(group) for group in groups]
             return _counted_body(MessageType.SET_MEMBER_STATE, _sender_flags(from_lb), states)
         case Reply(message_type, code):
-            return _Body(message_type, UINT8.pack(code), [])
+            return _MessageBody(message_type, UINT8.pack(code), [])
 
 
 def _sender_flags(from_lb: bool) -> bytes:
     return UINT8.pack(FROM_LB if from_lb else 0)
 
 
-def _counted_body(message_type: int, fields: bytes, components: list[bytes]) -> _Body:
-    """A body whose fixed part ends with the number of the components."""
-    return _Body(message_type, fields + UINT16.pack(len(components)), components)
+def _counted_body(message_type: int, fields: bytes, components: list[bytes]) -> _MessageBody:
+    """Build a body whose fixed part ends with the number of components."""
+    return _MessageBody(message_type, fields + UINT16.pack(len(components)), components)
 
 
 def encode_frame(message_id: int, message_type: int, fixed_part: bytes, components: bytes = b"") -> bytes:
-    """A message out of the fixed part of its message component and the encoded components after it."""
+    """Encode a message from the fixed part of its message component and the encoded components."""
     length = COMPONENT_HEADER.size + len(fixed_part)
     body = COMPONENT_HEADER.pack(message_type, length) + fixed_part + components
     header = MESSAGE_HEADER.pack(
@@ -140,9 +140,9 @@
 
 
 def encode_send_weights(message_id: int, group: bytes, count: int, entries: bytes) -> bytes:
-    """Send Weights for one group, out of the encoded group and its ``count`` encoded weight entries.
+    """Encode Send Weights for one group from the encoded group and its ``count`` encoded weight entries.
 
-    Proxies share the encoded parts: only the header differs between them.
+    Proxies share the encoded parts: only the header differs.
     """
     header = SEND_WEIGHTS_HEADER.pack(
         HEADER_TYPE,
@@ -164,7 +164,7 @@
 
 
 def encode_member(member: Member) -> bytes:
-    """Member data; ``struct.error`` if the label is longer than 255 bytes."""
+    """Encode member data; raise ``struct.error`` if the label is longer than 255 bytes."""
     label = member.label.encode()
     length = MEMBER.size + len(label)
     return (
@@ -174,13 +174,13 @@
 
 
 def encode_group(group: Group) -> bytes:
-    """Group data; ``ValueError`` if the UID or the name is too long."""
+    """Encode group data; raise ``ValueError`` if the UID or the name is too long."""
     fixed_part = _encode_text(group.uid, MAX_UID_BYTES) + _encode_text(group.name, MAX_TEXT_BYTES)
     return COMPONENT_HEADER.pack(GROUP_DATA_TYPE, COMPONENT_HEADER.size + len(fixed_part)) + fixed_part
 
 
 def encode_weight_entry(entry: WeightEntry) -> bytes:
-    """A weight entry. Only its tail depends on the weight: the rest may be encoded once and shared."""
+    """Encode a weight entry; only its tail depends on the weight, so the rest can be encoded once."""
     return (
         _WEIGHT_ENTRY_HEADER
         + encode_member(entry.member)
@@ -189,7 +189,7 @@
 
 
 def encode_weight_group(group: bytes, count: int, entries: bytes) -> bytes:
-    """A group of weights, out of the encoded group and its ``count`` encoded entries: proxies share both."""
+    """Encode a group of weights from the encoded group and ``count`` encoded entries, shared by proxies."""
     return GROUP_OF_HEADER.pack(GROUP_OF_WEIGHTS_TYPE, GROUP_OF_HEADER.size, count) + group + entries
 
 
@@ -222,7 +222,7 @@
 
 
 def _encode_text(text: str, max_bytes: int) -> bytes:
-    """A text with its length, one byte, before it."""
+    """Encode a text, preceded by one byte with its length."""
     encoded = text.encode()
     if len(encoded) > max_bytes:
         raise ValueError(f"{text!r} takes {len(encoded)} bytes, at most {max_bytes} are allowed")
--- a/rainpick/sasp/errors.py
+++ b/rainpick/sasp/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with the bytes or messages of a SASP stream."""
+"""Exceptions for malformed or unexpected data on a SASP stream."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class SaspError(Exception):
     """A malformed or unexpected message.
 
-    ``code`` is the return code for the reply. ``message_type`` and ``message_id`` name the message that the
-    reply refers to; both are 0 if they could not be read.
+    ``code`` is the return code for the reply. ``message_type`` and ``message_id`` identify the message to
+    reply to; each is 0 if it could not be read.
     """
 
     def __init__(
@@ -22,4 +22,4 @@
 
 
 class FramingError(SaspError):
-    """It cannot be told where the next message begins: the stream must be closed."""
+    """The start of the next message cannot be determined; the stream must be closed."""
--- a/rainpick/sasp/framing.py
+++ b/rainpick/sasp/framing.py
@@ -1,4 +1,4 @@
-"""Cuts a byte stream into messages."""
+"""Splits a byte stream into messages."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class FrameReader:
-    """Buffers the bytes of a stream and gives its messages.
+    """Buffers the bytes of a stream and decodes its messages.
 
-    ``next`` is called after each ``feed`` until it gives None; then less than one message, of at most
-    ``max_message_bytes``, stays in the buffer.
+    After each ``feed`` the caller calls ``next`` until it returns None. The buffer then holds less than one
+    message, and a message has at most ``max_message_bytes``.
     """
 
     def __init__(self, max_message_bytes: int):
@@ -30,14 +30,14 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Append what was read from the stream."""
+        """Append bytes that were read from the stream."""
         self.buffer += data
 
     def next(self) -> Frame | None:
-        """The next complete message; None until more bytes have come.
+        """Decode the next complete message; return None if it is incomplete.
 
-        ``SaspError``: the message is malformed within its own length; the next call goes on after it.
-        ``FramingError``: the header cannot be trusted, and the stream is of no more use.
+        Raises ``SaspError`` if the message is malformed but its length is valid; the next call continues
+        after it. Raises ``FramingError`` if the header is invalid; the stream is then unusable.
         """
         if len(self.buffer) < MESSAGE_HEADER.size:
             return None
@@ -58,7 +58,7 @@
         return Frame(message_id, message)
 
     def _check_header(self) -> tuple[int, int]:
-        """Length and id of the first message in the buffer; ``FramingError`` if they are not usable."""
+        """Return length and id of the first buffered message; ``FramingError`` if its header is invalid."""
         component_type, size, version, length, message_id = MESSAGE_HEADER.unpack_from(self.buffer)
         if component_type != HEADER_TYPE or size != MESSAGE_HEADER.size:
             raise FramingError(f"a message begins with component {component_type:#06x} of {size} bytes")
--- a/rainpick/sasp/messages.py
+++ b/rainpick/sasp/messages.py
@@ -1,4 +1,4 @@
-"""The components and messages of SASP as values (RFC 4678, sections 5 and 6)."""
+"""Types for the components and messages of SASP (RFC 4678, sections 5 and 6)."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
     @classmethod
     def at(cls, host: str, port: int, label: str = "") -> Member:
-        """The TCP server at a textual IP address."""
+        """Create a TCP member from a textual IP address."""
         return cls(pack_address(host), port, label)
 
     def host(self) -> IPAddress:
-        """The address as an object of ``ipaddress``."""
+        """Return the decoded IP address."""
         return unpack_address(self.address)
 
     def key(self) -> tuple[str, int]:
-        """Host and port: what tells members apart."""
+        """Return host and port, which identify a member."""
         return str(self.host()), self.port
 
 
 class Group(NamedTuple):
-    """A group is identified by the load balancer's UID and a name."""
+    """A group, identified by the load balancer's UID and a name."""
 
     uid: str
     name: str
@@ -50,7 +50,7 @@
 
 
 class MemberState(NamedTuple):
-    """A member with its state, opaque to the protocol; ``quiesce``: it wants no new work."""
+    """A member with its state, opaque to the protocol; ``quiesce`` if it is to get no new work."""
 
     member: Member
     state: int = 0
@@ -82,14 +82,14 @@
 
 
 class Registration(NamedTuple):
-    """Members register; from a load balancer: it announces which members it knows."""
+    """Registers members; from a load balancer, it announces the members that the load balancer knows."""
 
     groups: tuple[MemberGroup, ...]
     from_lb: bool = False
 
 
 class Deregistration(NamedTuple):
-    """Members leave; a group without members means all of its members."""
+    """Deregisters members; a group without members stands for all members of the group."""
 
     groups: tuple[MemberGroup, ...]
     from_lb: bool = False
@@ -97,19 +97,19 @@
 
 
 class GetWeights(NamedTuple):
-    """A load balancer polls the weights of its groups."""
+    """Poll by a load balancer for the weights of its groups."""
 
     groups: tuple[Group, ...] = ()
 
 
 class SendWeights(NamedTuple):
-    """The director pushes weights to a load balancer; there is no reply."""
+    """Weights that the director pushes to a load balancer; there is no reply."""
 
     groups: tuple[WeightGroup, ...]
 
 
 class SetLbState(NamedTuple):
-    """A load balancer identifies itself and says how it wants to be served."""
+    """Identifies a load balancer and sets its health and its flags, such as polling or push."""
 
     uid: str
     health: int = 0x7F
@@ -117,21 +117,21 @@
 
 
 class SetMemberState(NamedTuple):
-    """Members report their states."""
+    """Reports the states of members."""
 
     groups: tuple[StateGroup, ...]
     from_lb: bool = False
 
 
 class Reply(NamedTuple):
-    """The reply to any request but Get Weights: a return code."""
+    """The reply to any request except Get Weights: a return code."""
 
     message_type: int
     code: int
 
 
 class GetWeightsReply(NamedTuple):
-    """The reply to Get Weights; ``interval``: seconds until the load balancer should poll again."""
+    """The reply to Get Weights; ``interval`` is the time until the next poll, in seconds."""
 
     code: int
     interval: int = 0
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -1,8 +1,8 @@
-"""The director's end of a SASP stream as a state machine without I/O (RFC 4678, section 7).
+"""The director's side of a SASP stream as a state machine without I/O (RFC 4678, section 7).
 
-The director is the RFC's group workload manager. ``DirectorSession.receive`` takes the bytes of a member or a
-load balancer and gives what they mean. ``transitions`` has the table of what is legal in which state; what an
-accepted request changes is for the caller to do.
+The director is the RFC's group workload manager. ``DirectorSession.receive`` turns the bytes of a member or a
+load balancer into events. ``transitions`` has the table of requests that are legal in each state. The caller
+carries out accepted requests.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     SendWeights,
     SetLbState,
 )
-from rainpick.sasp.transitions import TRANSITIONS, Illegal, Rejection, SessionState, request_kind
+from rainpick.sasp.transitions import TRANSITIONS, IllegalTransition, Rejection, SessionState, request_kind
 
-DIRECTOR_MESSAGES = (SendWeights, Reply, GetWeightsReply)  # that only a director sends
+DIRECTOR_MESSAGES = (SendWeights, Reply, GetWeightsReply)  # sent only by a director
 
 
 class AcceptedRequest(NamedTuple):
-    """A request that is legal; the caller carries it out and answers it with ``encode_reply``."""
+    """A legal request; the caller carries it out and replies with ``encode_reply``."""
 
     message_id: int
     message: Request
 
 
 class RejectedRequest(NamedTuple):
-    """A request that is not legal, or malformed; the caller writes ``reply`` and logs the reason and code."""
+    """An illegal or malformed request; the caller sends ``reply`` and logs the reason and the code."""
 
     reply: bytes
     reason: str
@@ -47,13 +47,13 @@
 
 
 class DirectorSession:
-    """One stream as the director sees it."""
+    """The director's state of one stream."""
 
-    MAX_FAULTS = 8  # consecutive malformed messages; all but the last are answered, then the stream ends
+    MAX_MALFORMED_MESSAGES = 8  # without an accepted request in between; the last one ends the stream
 
     def __init__(self, max_message_bytes: int):
         self._reader = FrameReader(max_message_bytes)
-        self._faults = 0  # malformed messages since the last accepted one
+        self._malformed_messages = 0  # since the last accepted request
         self.state = SessionState.UNIDENTIFIED
         self.uid: str | None = None  # of the load balancer, once it has sent Set LB State
 
@@ -63,7 +63,7 @@
         return self.state is SessionState.MEMBER
 
     def receive(self, data: bytes) -> list[DirectorEvent]:
-        """What the bytes bring, in order. Nothing more comes after ``StreamEnded``."""
+        """Return the events of the messages completed by ``data``, in order; ``StreamEnded`` is the last."""
         self._reader.feed(data)
         events: list[DirectorEvent] = []
         while (event := self._next_event()) is not None:
@@ -73,51 +73,51 @@
         return events
 
     def _next_event(self) -> DirectorEvent | None:
-        """The event of the next complete message; None until more bytes have come."""
+        """Return the event of the next complete message, None if it is incomplete."""
         try:
             frame = self._reader.next()
         except FramingError as error:
-            return self._framing_failed(error)
+            return self._end_after_framing_error(error)
         except SaspError as error:
-            return self._malformed(error)
+            return self._reject_malformed(error)
         if frame is None:
             return None
         return self._handle(frame.message_id, frame.message)
 
     @staticmethod
-    def _framing_failed(error: FramingError) -> StreamEnded:
-        """End the stream. The message's type is not known: its reply is given as one to Registration."""
+    def _end_after_framing_error(error: FramingError) -> StreamEnded:
+        """End the stream; if the type of the message is unknown, the reply is one to Registration."""
         reply = b""
         if error.message_id:
             message_type = error.message_type or MessageType.REGISTRATION
             reply = encode_reply(message_type, error.message_id, error.code)
         return StreamEnded(reply, str(error))
 
-    def _malformed(self, error: SaspError) -> RejectedRequest | StreamEnded:
-        """Answer a malformed message, unless it has no reply or there were too many in a row."""
-        self._faults += 1
+    def _reject_malformed(self, error: SaspError) -> RejectedRequest | StreamEnded:
+        """Reject a malformed message; end the stream if it has no reply or there were too many."""
+        self._malformed_messages += 1
         reply = encode_reply(error.message_type, error.message_id, error.code)
-        if self._faults >= self.MAX_FAULTS or not reply:
+        if self._malformed_messages >= self.MAX_MALFORMED_MESSAGES or not reply:
             return StreamEnded(reply, str(error))
         return RejectedRequest(reply, str(error), error.code)
 
     def _handle(self, message_id: int, message: Message) -> DirectorEvent:
-        """Accept or reject a message by the table of transitions."""
+        """Accept or reject a message according to the table of transitions."""
         if isinstance(message, DIRECTOR_MESSAGES):
             return StreamEnded(b"", f"{type(message).__name__} is not for a director")
         transition = TRANSITIONS[request_kind(message)][self.state]
-        if isinstance(transition, Illegal):
-            return self._rejected(message_id, message, transition.rejection(message))
+        if isinstance(transition, IllegalTransition):
+            return self._reject(message_id, message, transition.rejection(message))
         rejection = transition.check(message, self.uid)
         if rejection is not None:
-            return self._rejected(message_id, message, rejection)
-        self._faults = 0
+            return self._reject(message_id, message, rejection)
+        self._malformed_messages = 0
         self.state = transition.next_state
         if isinstance(message, SetLbState):
             self.uid = message.uid
         return AcceptedRequest(message_id, message)
 
     @staticmethod
-    def _rejected(message_id: int, message: Request, rejection: Rejection) -> RejectedRequest:
+    def _reject(message_id: int, message: Request, rejection: Rejection) -> RejectedRequest:
         reply = encode_reply(REQUEST_TYPES[type(message)], message_id, rejection.code)
         return RejectedRequest(reply, rejection.reason, rejection.code)
--- a/rainpick/sasp/transitions.py
+++ b/rainpick/sasp/transitions.py
@@ -1,7 +1,7 @@
-"""Which requests are legal in which state of a director's stream (RFC 4678, section 7).
+"""The table of requests that are legal in each state of a director's stream (RFC 4678, section 7).
 
-A stream is that of members or of one load balancer. Its first accepted request decides which, so that no
-load balancer can change what members say of themselves.
+A stream belongs to members or to one load balancer; its first accepted request decides which. A load balancer
+therefore cannot change the registrations and states that members report.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class SessionState(IntEnum):
-    """Whose stream it is; the first accepted request decides, and it stays so."""
+    """The owner of a stream; set by the first accepted request and never changed after it."""
 
     UNIDENTIFIED = auto()
     MEMBER = auto()
@@ -41,9 +41,9 @@
     MEMBER_UPDATE = auto()  # Deregistration or Set Member State, from members
 
 
-LB_REQUESTS = (SetLbState, GetWeights)  # that only a load balancer sends
+LB_REQUESTS = (SetLbState, GetWeights)  # sent only by load balancers
 
-# By the class of the request and whether a load balancer sends it
+# By class of the request and whether a load balancer sends it
 REQUEST_KINDS: dict[tuple[type[Request], bool], RequestKind] = {
     (SetLbState, True): RequestKind.SET_LB_STATE,
     (GetWeights, True): RequestKind.GET_WEIGHTS,
@@ -57,33 +57,33 @@
 
 
 def request_kind(message: Request) -> RequestKind:
-    """The kind of a request; Set LB State and Get Weights always come from a load balancer."""
+    """Return the kind of a request; only load balancers send Set LB State and Get Weights."""
     from_lb = isinstance(message, LB_REQUESTS) or message.from_lb
     return REQUEST_KINDS[type(message), from_lb]
 
 
 class Rejection(NamedTuple):
-    """Why a request is not accepted: the return code, and a reason for the log."""
+    """The return code of a rejected request, and the reason for the log."""
 
     code: ReturnCode
     reason: str
 
 
-class Illegal(NamedTuple):
-    """A request that is not legal in a state; ``{request}`` in the reason stands for the message's name."""
+class IllegalTransition(NamedTuple):
+    """An illegal request in a state; ``{request}`` in the reason is replaced by the message's name."""
 
     code: ReturnCode
     reason: str
 
     def rejection(self, message: Request) -> Rejection:
-        """The rejection of one message."""
+        """Return the rejection of one message."""
         return Rejection(self.code, self.reason.replace("{request}", type(message).__name__))
 
 
 class Transition(NamedTuple):
-    """A request that is legal in a state: the next state, and the check of what it carries.
+    """A legal request in a state: the next state and the check of the request's content.
 
-    The check gets the message and the UID of the stream's load balancer, if it has one.
+    The check receives the message and the UID of the stream's load balancer, or None.
     """
 
     next_state: SessionState
@@ -91,36 +91,38 @@
 
 
 def _check_load_balancer(message: Request, uid: str | None) -> Rejection | None:
-    """A stream belongs to one load balancer: another UID needs a stream of its own."""
+    """Reject another UID: a stream belongs to one load balancer."""
     if isinstance(message, SetLbState) and uid not in (None, message.uid):
-        return Rejection(ReturnCode.NOT_ACCEPTED, f"the stream is that of {uid!r}, not of {message.uid!r}")
+        return Rejection(ReturnCode.NOT_ACCEPTED, f"the stream belongs to {uid!r}, not to {message.uid!r}")
     return None
 
 
 def _check_own_groups(message: Request, uid: str | None) -> Rejection | None:
-    """A load balancer names groups of its own UID, each once."""
+    """Reject groups that are repeated or have another UID than the stream's load balancer."""
     groups = _groups(message)
     if len(set(groups)) < len(groups):
-        return Rejection(ReturnCode.DUPLICATE_GROUP, "a group is named twice")
+        return Rejection(ReturnCode.DUPLICATE_GROUP, "a group occurs twice in the request")
     for group in groups:
         if group.uid != uid:
-            return Rejection(ReturnCode.UNKNOWN_LB, f"a group of {group.uid!r} on the stream of {uid!r}")
+            return Rejection(
+                ReturnCode.UNKNOWN_LB, f"a group of LB UID {group.uid!r} on the stream of {uid!r}"
+            )
     return None
 
 
 def _check_duplicates(message: Request, _uid: str | None) -> Rejection | None:
-    """Members name each group once, and in it each member once."""
+    """Reject repeated groups, and repeated members within a group."""
     groups = _groups(message)
     if len(set(groups)) < len(groups):
-        return Rejection(ReturnCode.DUPLICATE_GROUP, "a group is named twice")
+        return Rejection(ReturnCode.DUPLICATE_GROUP, "a group occurs twice in the request")
     for keys in _member_keys(message):
         if len(set(keys)) < len(keys):
-            return Rejection(ReturnCode.DUPLICATE_MEMBER, "a member is named twice")
+            return Rejection(ReturnCode.DUPLICATE_MEMBER, "a member occurs twice in its group")
     return None
 
 
 def _groups(message: Request) -> Sequence[Group]:
-    """The groups that a request names."""
+    """Return the groups in a request."""
     if isinstance(message, SetLbState):
         return ()
     if isinstance(message, GetWeights):
@@ -129,7 +131,7 @@
 
 
 def _member_keys(message: Request) -> list[list[tuple[str, int]]]:
-    """Host and port of the members that a request names, by group."""
+    """Return host and port of the members in a request, by group."""
     if isinstance(message, SetMemberState):
         return [[state.member.key() for state in group.states] for group in message.groups]
     if isinstance(message, Registration | Deregistration):
@@ -137,43 +139,45 @@
     return []
 
 
-_NOT_SEEN = Illegal(ReturnCode.LB_NOT_SEEN, "{request} of a load balancer before Set LB State")
-_NO_POLL = Illegal(ReturnCode.UNKNOWN_LB, "Get Weights before Set LB State")
-_NOT_FOR_MEMBERS = Illegal(ReturnCode.NOT_ACCEPTED, "a load balancer's stream can't speak for members")
+_LB_NOT_SEEN = IllegalTransition(ReturnCode.LB_NOT_SEEN, "{request} from a load balancer before Set LB State")
+_POLL_BY_UNKNOWN_LB = IllegalTransition(ReturnCode.UNKNOWN_LB, "Get Weights before Set LB State")
+_MEMBER_REQUEST_FROM_LB = IllegalTransition(
+    ReturnCode.NOT_ACCEPTED, "{request} from members on a load balancer's stream"
+)
 
-TRANSITIONS: dict[RequestKind, dict[SessionState, Transition | Illegal]] = {
+TRANSITIONS: dict[RequestKind, dict[SessionState, Transition | IllegalTransition]] = {
     RequestKind.SET_LB_STATE: {
         SessionState.UNIDENTIFIED: Transition(SessionState.LOAD_BALANCER, _check_load_balancer),
-        SessionState.MEMBER: Illegal(
-            ReturnCode.NOT_ACCEPTED, "a member's stream can't become a load balancer's"
-        ),
+        SessionState.MEMBER: IllegalTransition(ReturnCode.NOT_ACCEPTED, "Set LB State on a member's stream"),
         SessionState.LOAD_BALANCER: Transition(SessionState.LOAD_BALANCER, _check_load_balancer),
     },
     RequestKind.GET_WEIGHTS: {
-        SessionState.UNIDENTIFIED: _NO_POLL,
-        SessionState.MEMBER: _NO_POLL,
+        SessionState.UNIDENTIFIED: _POLL_BY_UNKNOWN_LB,
+        SessionState.MEMBER: _POLL_BY_UNKNOWN_LB,
         SessionState.LOAD_BALANCER: Transition(SessionState.LOAD_BALANCER, _check_own_groups),
     },
     RequestKind.LB_REGISTRATION: {
-        SessionState.UNIDENTIFIED: _NOT_SEEN,
-        SessionState.MEMBER: _NOT_SEEN,
+        SessionState.UNIDENTIFIED: _LB_NOT_SEEN,
+        SessionState.MEMBER: _LB_NOT_SEEN,
         SessionState.LOAD_BALANCER: Transition(SessionState.LOAD_BALANCER, _check_own_groups),
     },
     RequestKind.LB_MEMBER_STATE: {
-        SessionState.UNIDENTIFIED: _NOT_SEEN,
-        SessionState.MEMBER: _NOT_SEEN,
-        SessionState.LOAD_BALANCER: Illegal(
-            ReturnCode.NOT_ACCEPTED, "a load balancer does not set the state of members here"
+        SessionState.UNIDENTIFIED: _LB_NOT_SEEN,
+        SessionState.MEMBER: _LB_NOT_SEEN,
+        SessionState.LOAD_BALANCER: IllegalTransition(
+            ReturnCode.NOT_ACCEPTED, "Set Member State from a load balancer is not supported"
         ),
     },
     RequestKind.MEMBER_REGISTRATION: {
         SessionState.UNIDENTIFIED: Transition(SessionState.MEMBER, _check_duplicates),
         SessionState.MEMBER: Transition(SessionState.MEMBER, _check_duplicates),
-        SessionState.LOAD_BALANCER: _NOT_FOR_MEMBERS,
+        SessionState.LOAD_BALANCER: _MEMBER_REQUEST_FROM_LB,
     },
     RequestKind.MEMBER_UPDATE: {
-        SessionState.UNIDENTIFIED: Illegal(ReturnCode.NOT_REGISTERED, "{request} before any Registration"),
+        SessionState.UNIDENTIFIED: IllegalTransition(
+            ReturnCode.NOT_REGISTERED, "{request} before any Registration"
+        ),
         SessionState.MEMBER: Transition(SessionState.MEMBER, _check_duplicates),
-        SessionState.LOAD_BALANCER: _NOT_FOR_MEMBERS,
+        SessionState.LOAD_BALANCER: _MEMBER_REQUEST_FROM_LB,
     },
 }
--- a/rainpick/sasp/wire.py
+++ b/rainpick/sasp/wire.py
@@ -1,9 +1,9 @@
-"""Binary layout of SASP: the fixed structures, and a cursor that reads them with bounds checks.
+"""Binary layout of SASP: fixed structures, and a cursor that reads them with bounds checks.
 
-Everything is big-endian. A message is a header component, then a message component, then the components that
-it counts. A component begins with its type and its length, 16 bits each. The length is that of the
-component's own fixed part, including its type and length and excluding the components that follow it;
-``docs/sasp.md`` lists this and the other places where the RFC can be read in several ways.
+All integers are big-endian. A message consists of a header component, a message component, and the components
+that the message component counts. A component begins with its type and its length, 16 bits each. The length
+covers the component's own fixed part, including its type and length and excluding the components that follow
+it; ``docs/sasp.md`` lists this and the other places where the RFC is ambiguous.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 WEIGHT_ENTRY_TAIL = struct.Struct(">BBH")  # opaque state, flags, weight
 MEMBER_STATE_TAIL = struct.Struct(">BB")  # opaque state, flags
 GROUP_OF_HEADER = struct.Struct(">HHH")  # type, length, number of components
-# Header, message component with the number of its groups, header of a group of weights
+# Message header, message component with the number of groups, header of a group of weights
 SEND_WEIGHTS_HEADER = struct.Struct(">HHBIiHHHHHH")
 
-# Smallest encodings, by which an announced number of components is checked
-MIN_MEMBER = MEMBER.size
-MIN_WEIGHT_ENTRY = COMPONENT_HEADER.size + MEMBER.size + WEIGHT_ENTRY_TAIL.size
-MIN_MEMBER_STATE = COMPONENT_HEADER.size + MEMBER.size + MEMBER_STATE_TAIL.size
-MIN_GROUP = COMPONENT_HEADER.size + 2 * UINT8.size
-MIN_GROUP_OF = GROUP_OF_HEADER.size + MIN_GROUP
+# Smallest encoded sizes in bytes, for checking an announced number of components
+MIN_MEMBER_BYTES = MEMBER.size
+MIN_WEIGHT_ENTRY_BYTES = COMPONENT_HEADER.size + MEMBER.size + WEIGHT_ENTRY_TAIL.size
+MIN_MEMBER_STATE_BYTES = COMPONENT_HEADER.size + MEMBER.size + MEMBER_STATE_TAIL.size
+MIN_GROUP_BYTES = COMPONENT_HEADER.size + 2 * UINT8.size
+MIN_GROUP_OF_BYTES = GROUP_OF_HEADER.size + MIN_GROUP_BYTES
 
 
 class TextField(NamedTuple):
-    """What a text may be: its length in bytes, and name and return code of a violation."""
+    """Limits of a text field in bytes, with the name and the return code for its errors."""
 
     name: str
     min_bytes: int
@@ -48,7 +48,7 @@
 
 
 class Cursor:
-    """Position in one message; every read is checked against the end of the message."""
+    """A read position in one message; each read is checked against the end of the message."""
 
     def __init__(self, data: bytes, position: int):
         self.data = data
@@ -63,18 +63,18 @@
         self.position += layout.size
         return fields
 
-    def uint8(self) -> int:
+    def read_uint8(self) -> int:
         """Read one byte."""
         value: int = self.unpack(UINT8)[0]
         return value
 
-    def uint16(self) -> int:
-        """Read a number of 16 bits."""
+    def read_uint16(self) -> int:
+        """Read a 16-bit integer."""
         value: int = self.unpack(UINT16)[0]
         return value
 
-    def text(self, field: TextField) -> str:
-        """Read a text with its length, one byte, before it."""
+    def read_text(self, field: TextField) -> str:
+        """Read a text, preceded by one byte with its length."""
         (length,) = self.unpack(UINT8)
         if not field.min_bytes <= length <= field.max_bytes:
             raise SaspError(
@@ -91,7 +91,7 @@
             raise SaspError(f"{field.name} is not UTF-8") from None
 
     def enter_component(self, expected_type: int) -> int:
-        """Read the header of a component of this type; the position where its own fixed part ends."""
+        """Read the header of a component of this type; return the end of its fixed part."""
         start = self.position
         component_type, length = self.unpack(COMPONENT_HEADER)
         if component_type != expected_type:
@@ -100,19 +100,19 @@
         return end
 
     def expect_end(self, end: int, description: str) -> None:
-        """Check that a component's length is the true one."""
+        """Raise ``SaspError`` unless the current position is the end that a component's length gives."""
         if self.position != end:
             raise SaspError(f"{description} says it ends at byte {end}, but does at {self.position}")
 
-    def component_count(self, min_size: int) -> int:
-        """Read how many components follow: never more than the rest of the message could hold."""
-        count = self.uint16()
+    def read_component_count(self, min_component_bytes: int) -> int:
+        """Read a number of components; raise ``SaspError`` if the rest of the message cannot hold them."""
+        count = self.read_uint16()
         remaining = len(self.data) - self.position
-        if count * min_size > remaining:
+        if count * min_component_bytes > remaining:
             raise SaspError(f"{count} components are announced in {remaining} bytes")
         return count
 
 
 def unexpected_component(component_type: int, expected_type: int) -> SaspError:
-    """The error of a component of another type than the expected one."""
+    """Build the error for a component of an unexpected type."""
     return SaspError(f"a component {component_type:#06x} stands where {expected_type:#06x} is wanted")
--- a/tests/sasp/test_codec.py
+++ b/tests/sasp/test_codec.py
@@ -1,4 +1,4 @@
-"""The SASP codec: encoding and decoding are inverse, and a malformed message costs only its own frame."""
+"""The SASP codec: decoding inverts encoding, and a malformed message affects only its own frame."""
 
 import contextlib
 import struct
@@ -154,8 +154,8 @@
         read_frame(data, 65_536)
 
 
-def test_an_impossible_component_count_is_rejected_at_once():
-    """A count of 65535 in a frame of 30 bytes must not be believed."""
+def test_a_component_count_beyond_the_message_is_rejected():
+    """A count of 65535 in a frame of 30 bytes must not be trusted."""
     body = COMPONENT_HEADER.pack(MessageType.GET_WEIGHTS, 6) + b"\xff\xff" + b"\0" * 8
     with pytest.raises(SaspError, match="65535 components"):
         read_frame(MESSAGE_HEADER.pack(HEADER_TYPE, 13, 1, 13 + len(body), 3) + body)
@@ -190,7 +190,7 @@
         ),
     ],
 )
-def test_names_of_illegal_length_have_return_codes_of_their_own(message, code):
+def test_names_of_illegal_length_are_rejected_with_specific_return_codes(message, code):
     with pytest.raises(SaspError) as error:
         read_frame(message)
     assert error.value.code == code
--- a/tests/sasp/test_session.py
+++ b/tests/sasp/test_session.py
@@ -1,4 +1,4 @@
-"""The two ends of a stream: which message is legal in which state."""
+"""Both sides of a SASP stream: the messages that are legal in each state."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 def last_event(*messages):
-    """The director's event for the last of these messages."""
+    """Return the director's event for the last of these messages."""
     session = DirectorSession(65_536)
     events = []
     for message_id, message in enumerate(messages, 1):
@@ -40,7 +40,7 @@
 
 
 def return_code(event):
-    """The code in the reply of a rejected request."""
+    """Return the code in the reply to a rejected request."""
     assert isinstance(event, RejectedRequest), event
     reader = FrameReader(1 << 16)
     reader.feed(event.reply)
@@ -79,7 +79,7 @@
     assert return_code(event) == expected and event.code == expected
 
 
-def test_the_table_says_something_of_every_request_in_every_state():
+def test_the_table_has_an_entry_for_every_request_in_every_state():
     assert TRANSITIONS.keys() == set(RequestKind)
     assert all(by_state.keys() == set(SessionState) for by_state in TRANSITIONS.values())
 
@@ -92,15 +92,19 @@
     )
 
 
-def test_a_message_of_a_director_ends_the_stream():
+def test_a_message_that_only_a_director_sends_ends_the_stream():
     assert isinstance(last_event(SendWeights(())), StreamEnded)
     assert isinstance(last_event(Reply(MessageType.SET_LB_STATE_REPLY, 0)), StreamEnded)
 
 
-def test_malformed_messages_are_answered_until_there_are_too_many():
+def test_too_many_consecutive_malformed_messages_end_the_stream():
     session, malformed = DirectorSession(4096), encode_frame(9, MessageType.SET_LB_STATE, b"\5ab")
-    kinds = [type(event) for _ in range(DirectorSession.MAX_FAULTS) for event in session.receive(malformed)]
-    assert kinds == [RejectedRequest] * (DirectorSession.MAX_FAULTS - 1) + [StreamEnded]
+    kinds = [
+        type(event)
+        for _ in range(DirectorSession.MAX_MALFORMED_MESSAGES)
+        for event in session.receive(malformed)
+    ]
+    assert kinds == [RejectedRequest] * (DirectorSession.MAX_MALFORMED_MESSAGES - 1) + [StreamEnded]
 
 
 def test_an_accepted_request_resets_the_count_of_malformed_messages():
@@ -110,13 +114,13 @@
         assert isinstance(session.receive(encode_message(SetLbState("e"), message_id))[0], AcceptedRequest)
 
 
-def test_an_unknown_version_is_answered_and_ends_the_stream():
+def test_an_unknown_version_gets_a_reply_and_ends_the_stream():
     data = encode_message(SetLbState("e"), 3)
     (event,) = DirectorSession(4096).receive(data[:4] + b"\7" + data[5:])
     assert isinstance(event, StreamEnded) and event.data and "version 7" in event.reason
 
 
-def test_a_client_pairs_replies_with_requests_and_tells_pushed_weights_apart():
+def test_a_client_matches_replies_to_requests_and_recognizes_pushed_weights():
     client = ClientSession()
     client.encode_request(SetLbState("e"))
     client.encode_request(GetWeights((EDGE_1,)))
