--- a/rainpick/mqtt/codec.py
+++ b/rainpick/mqtt/codec.py
@@ -1,4 +1,4 @@
-"""The codec's public names, gathered from the modules that define them."""
+"""Public names of the codec, re-exported from the modules that define them."""
 
 from rainpick.mqtt.decoder import PacketFramer
 from rainpick.mqtt.encoder import encode_packet, encode_publish_header
--- a/rainpick/mqtt/decoder.py
+++ b/rainpick/mqtt/decoder.py
@@ -1,6 +1,6 @@
-"""Decoding of control packets: ``PacketFramer`` for a stream, ``decode_packet`` for a single body.
+"""Decoding of control packets: ``PacketFramer`` for a stream, ``decode_packet`` for a single packet.
 
-Whatever violates the standard raises ``MqttError`` with the reason code to disconnect the peer with.
+A violation of the standard raises ``MqttError`` with the reason code for disconnecting the peer.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from rainpick.mqtt.properties import read_properties
 from rainpick.mqtt.wire import ByteReader
 
-_MAX_LENGTH_BYTES = 4  # of the remaining length in the fixed header
+_MAX_LENGTH_BYTES = 4  # encoded size of the remaining length in the fixed header
 _PUBLISH = PacketType.PUBLISH.value
 
 
 class PacketFramer:
-    """Splits a byte stream into packets; ``max_length`` bounds the remaining length of each."""
+    """Splits a byte stream into packets; ``max_length`` limits the remaining length of each, in bytes."""
 
     def __init__(self, max_length: int):
         self.max_length = max_length
@@ -43,7 +43,7 @@
         self.buffer += data
 
     def next(self) -> Packet | None:
-        """Return the next packet, or None until more bytes arrive; ``MqttError`` if it is malformed."""
+        """Return the next packet, or None if it is incomplete; raise ``MqttError`` if it is malformed."""
         remaining_length = 0
         for position in range(1, _MAX_LENGTH_BYTES + 1):
             if position >= len(self.buffer):
@@ -70,7 +70,7 @@
 
 
 def decode_packet(packet_type: int, flag_bits: int, body: bytes) -> Packet:
-    """Decode one packet from its type, its flags and what follows the fixed header."""
+    """Decode one packet from its type, its flags and its body, the bytes after the fixed header."""
     reader = ByteReader(body)
     if packet_type == _PUBLISH:  # the only packet whose flags vary
         return _decode_publish(reader, flag_bits)
@@ -134,7 +134,7 @@
         if flag_bits & flags.CONNECT_WILL_DETAILS:
             raise MqttError("flags of a will without a will")
         return None
-    read_properties(reader)  # checked and not used
+    read_properties(reader)  # validated, then ignored
     topic = reader.read_string()
     payload = reader.read_binary()
     qos = flag_bits >> flags.CONNECT_WILL_QOS_SHIFT & 3
@@ -177,7 +177,7 @@
 
 
 def _read_subscription_header(reader: ByteReader) -> int:
-    """Read the packet identifier and the properties, which are checked and not used."""
+    """Read the packet identifier and the properties; the properties are validated, then ignored."""
     packet_id = reader.read_uint16()
     read_properties(reader)
     return packet_id
--- a/rainpick/mqtt/encoder.py
+++ b/rainpick/mqtt/encoder.py
@@ -35,15 +35,15 @@
     """
     encode_body = _ENCODERS.get(type(packet))
     if encode_body is None:
-        raise TypeError(f"{type(packet).__name__} is no packet")
+        raise TypeError(f"{type(packet).__name__} is not an MQTT packet")
     return encode_body(packet)
 
 
 def encode_publish_header(topic: str, qos: int, retain: bool, payload_length: int) -> bytes:
-    """Encode a PUBLISH without properties up to its packet identifier, which is the recipient's own.
+    """Encode a PUBLISH without properties up to its packet identifier, which differs for each recipient.
 
-    The caller appends the packet identifier (if ``qos`` is 1), an empty property length and the payload, so a
-    payload for many recipients is not copied into a ``Publish`` for each of them.
+    The caller appends the packet identifier (if ``qos`` is 1), a property length of 0 and the payload. The
+    payload is therefore not copied into a ``Publish`` for each recipient.
     """
     packet_id_length = 2 if qos else 0
     remaining_length = 2 + len(topic.encode()) + packet_id_length + len(_NO_PROPERTIES) + payload_length
@@ -52,7 +52,7 @@
 
 
 def _frame(packet_type: PacketType, flag_bits: int, body: bytes) -> bytes:
-    """Put the fixed header (section 2.1.1) before the rest of a packet."""
+    """Prepend the fixed header (section 2.1.1) to the body of a packet."""
     return bytes((packet_type << 4 | flag_bits,)) + encode_variable_byte_integer(len(body)) + body
 
 
@@ -91,7 +91,7 @@
 
 def _encode_puback(packet: Puback) -> bytes:
     body = encode_uint16(packet.packet_id)
-    if packet.reason_code:  # success may be left out (section 3.4.2.1)
+    if packet.reason_code:  # the code may be omitted on success (section 3.4.2.1)
         body += bytes((packet.reason_code,))
     return _frame(PacketType.PUBACK, 0, body)
 
@@ -125,7 +125,7 @@
 
 
 def _encode_disconnect(packet: Disconnect) -> bytes:
-    if not packet.reason_code and not packet.properties:  # both may be left out (section 3.14.2.1)
+    if not packet.reason_code and not packet.properties:  # both may be omitted (section 3.14.2.1)
         return _frame(PacketType.DISCONNECT, 0, b"")
     body = bytes((packet.reason_code,)) + encode_properties(packet.properties)
     return _frame(PacketType.DISCONNECT, 0, body)
--- a/rainpick/mqtt/errors.py
+++ b/rainpick/mqtt/errors.py
@@ -6,9 +6,9 @@
 
 
 class ReasonCode(IntEnum):
-    """Result of an operation, as acknowledgements and DISCONNECT report it; 0x80 and above are failures.
+    """Result of an operation in acknowledgements and DISCONNECT; 0x80 and above are failures.
 
-    A received packet may hold a code that is not listed here, so packet fields are plain integers.
+    A received packet may contain a code that is not listed here, so packet fields are plain integers.
     """
 
     SUCCESS = 0x00
@@ -33,7 +33,7 @@
 
 
 class MqttError(Exception):
-    """The peer violated the standard; ``reason_code`` is what to disconnect it with."""
+    """The peer violated the standard; ``reason_code`` is the code for disconnecting it."""
 
     def __init__(self, message: str, reason_code: int = ReasonCode.MALFORMED_PACKET):
         super().__init__(message)
--- a/rainpick/mqtt/events.py
+++ b/rainpick/mqtt/events.py
@@ -1,4 +1,4 @@
-"""What the packets of a client mean to the server: the results of ``ServerConnection.receive``."""
+"""Events that ``ServerConnection.receive`` returns for the packets of a client."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class ConnectRequested(NamedTuple):
-    """The client asks for a connection: answer with ``accept`` or ``disconnect``."""
+    """The client requested a connection; respond with ``accept`` or ``disconnect``."""
 
     connect: Connect
 
 
 class Subscribed(NamedTuple):
-    """The client subscribed; ``filters`` are those granted, with their QoS."""
+    """The client subscribed; ``filters`` are the granted topic filters with their QoS."""
 
     filters: tuple[tuple[str, int], ...]
 
 
 class Unsubscribed(NamedTuple):
-    """The client gave up subscriptions; ``filters`` are those that it had."""
+    """The client unsubscribed; ``filters`` are the topic filters of the removed subscriptions."""
 
     filters: tuple[str, ...]
 
 
 class MessageReceived(NamedTuple):
-    """The client published a message: answer with ``acknowledge``."""
+    """The client published a message; respond with ``acknowledge``."""
 
     publish: Publish
 
@@ -39,10 +39,10 @@
 
 
 class ConnectionClosed(NamedTuple):
-    """The connection is at its end: send ``data``, then close it.
+    """The connection has ended: send ``data``, then close it.
 
-    ``reason`` is for the log. ``discards_will`` is set if the client ended the connection in order, so that
-    its will must not be published.
+    ``reason`` is for the log. ``discards_will`` is set if the client disconnected normally, so that its
+    will must not be published.
     """
 
     data: bytes
--- a/rainpick/mqtt/packets.py
+++ b/rainpick/mqtt/packets.py
@@ -1,4 +1,4 @@
-"""The control packets (section 3) as values."""
+"""Types for the control packets (section 3)."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Will(NamedTuple):
-    """A message that the server is to publish when the connection of a client ends abnormally."""
+    """A message that the server publishes when a client's connection ends abnormally."""
 
     topic: str
     payload: bytes
@@ -38,7 +38,7 @@
 
 
 class Connect(NamedTuple):
-    """A client's request for a connection; ``keep_alive_s`` 0 turns the keep-alive timeout off."""
+    """A client's request for a connection; a ``keep_alive_s`` of 0 disables the keep-alive timeout."""
 
     client_id: str
     clean_start: bool = True
@@ -50,7 +50,7 @@
 
 
 class Connack(NamedTuple):
-    """The server's answer to CONNECT."""
+    """The server's response to CONNECT."""
 
     reason_code: int
     session_present: bool = False
@@ -58,7 +58,7 @@
 
 
 class Publish(NamedTuple):
-    """An application message; ``packet_id`` is 0 for one of QoS 0, which is not acknowledged."""
+    """An application message; ``packet_id`` is 0 for QoS 0, which is not acknowledged."""
 
     topic: str
     payload: bytes
@@ -77,21 +77,21 @@
 
 
 class Subscribe(NamedTuple):
-    """``filters`` are topic filters with their options; the two lowest bits are the requested QoS."""
+    """Topic filters with their options; the two lowest bits of the options are the requested QoS."""
 
     packet_id: int
     filters: tuple[tuple[str, int], ...]
 
 
 class Suback(NamedTuple):
-    """One reason code for each filter of a SUBSCRIBE; those below 0x80 are the granted QoS."""
+    """One reason code for each filter of a SUBSCRIBE; a code below 0x80 is the granted QoS."""
 
     packet_id: int
     reason_codes: tuple[int, ...]
 
 
 class Unsubscribe(NamedTuple):
-    """Topic filters that a client gives up."""
+    """Topic filters of the subscriptions to remove."""
 
     packet_id: int
     filters: tuple[str, ...]
@@ -111,7 +111,7 @@
 
 
 class Disconnect(NamedTuple):
-    """The last packet that either side sends; DISCONNECT without a failure suppresses the will."""
+    """The last packet that either side sends; reason code 0 from a client discards its will."""
 
     reason_code: int = ReasonCode.SUCCESS
     properties: Properties = {}
--- a/rainpick/mqtt/properties.py
+++ b/rainpick/mqtt/properties.py
@@ -1,6 +1,6 @@
-"""Properties of packets (section 2.2.2): a map from the name of a property to its value.
+"""Properties of packets (section 2.2.2): a mapping from property name to value.
 
-Properties that may occur more than once hold a list of values, all others a single value.
+A property that may occur more than once has a list of values, any other a single value.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class PropertyFormat(IntEnum):
-    """How the value of a property is encoded."""
+    """Encoding of a property value."""
 
     BYTE = auto()
     TWO_BYTE_INTEGER = auto()
@@ -35,21 +35,21 @@
 
 
 class PropertyDefinition(NamedTuple):
-    """Name and format of the property with a certain identifier."""
+    """Name and format of a property, looked up by identifier."""
 
     name: str
     format: PropertyFormat
 
 
 class PropertyCode(NamedTuple):
-    """Identifier and format of the property with a certain name."""
+    """Identifier and format of a property, looked up by name."""
 
     identifier: int
     format: PropertyFormat
 
 
-# Table 2-4 of the standard, by identifier. Names occur in the reason strings of errors, which are sent to
-# clients: renaming one changes what is on the wire.
+# Table 2-4 of the standard, by identifier. The names occur in reason strings of errors, which are sent
+# to clients: renaming one changes the bytes on the wire.
 PROPERTIES = {
     0x01: PropertyDefinition("payload_format", PropertyFormat.BYTE),
     0x02: PropertyDefinition("message_expiry", PropertyFormat.FOUR_BYTE_INTEGER),
@@ -122,7 +122,7 @@
 
 
 def encode_properties(properties: Properties) -> bytes:
-    """Encode properties in the order of the map, with their total length in front."""
+    """Encode properties in the order of the mapping, preceded by their total length."""
     encoded = bytearray()
     for name, value in properties.items():
         identifier, value_format = IDENTIFIERS[name]
@@ -135,7 +135,7 @@
 
 
 def read_properties(reader: ByteReader) -> Properties:
-    """Read the properties of a packet; ``MqttError`` for an unknown or a duplicate one."""
+    """Read the properties of a packet; raise ``MqttError`` for an unknown or duplicate property."""
     properties: Properties = {}
     length = reader.read_variable_byte_integer()
     end = reader.position + length
--- a/rainpick/mqtt/server.py
+++ b/rainpick/mqtt/server.py
@@ -1,7 +1,7 @@
-"""The server's end of a connection as a state machine without I/O.
+"""The server side of a connection as a state machine without I/O.
 
-``PacketReader`` turns received bytes into packets, ``ServerConnection`` turns packets into events for the
-application and into bytes for the client.
+``PacketReader`` decodes received bytes into packets. ``ServerConnection`` turns packets into events for the
+application and bytes for the client.
 """
 
 from __future__ import annotations
@@ -41,30 +41,30 @@
 from rainpick.mqtt.topics import SHARED_PREFIX, is_valid_filter, matches_filter
 from rainpick.mqtt.wire import MAX_VARIABLE_BYTE_INTEGER
 
-DEFAULT_RECEIVE_MAXIMUM = 65_535  # of a client that sends no such property (section 3.1.2.11.3)
-MAX_FILTERS = 64  # of one connection
+DEFAULT_RECEIVE_MAXIMUM = 65_535  # if CONNECT has no such property (section 3.1.2.11.3)
+MAX_FILTERS = 64  # topic filters of one connection
 MAX_REASON_LENGTH = 200  # characters of a reason string in DISCONNECT
 MAX_GRANTED_QOS = 1
 
 
 class PacketReader:
-    """Splits what a client sends into packets; an ``MqttError`` is the last item that it returns."""
+    """Decodes the bytes of a client into packets; a decoding error is returned as the last item."""
 
     def __init__(self, max_packet_length: int):
         self.framer = PacketFramer(max_packet_length)
         self.first_byte_checked = False
 
     def receive(self, data: bytes) -> list[Packet | MqttError]:
-        """Return the packets that are complete after these bytes.
+        """Return the packets that ``data`` completes, followed by the ``MqttError`` if one is malformed.
 
-        The first byte is checked at once: a peer that speaks another protocol may never send enough for
-        what would be the length of a packet.
+        The first byte is checked at once: a peer that uses another protocol may never send enough bytes to
+        complete what its first bytes announce as a packet.
         """
         self.framer.feed(data)
         if not self.first_byte_checked and data:
             self.first_byte_checked = True
             if data[0] != PacketType.CONNECT << 4:
-                return [MqttError("it does not begin with CONNECT", ReasonCode.PROTOCOL_ERROR)]
+                return [MqttError("the first packet is not CONNECT", ReasonCode.PROTOCOL_ERROR)]
         packets: list[Packet | MqttError] = []
         try:
             while (packet := self.framer.next()) is not None:
@@ -75,15 +75,15 @@
 
 
 class ConnectionState(IntEnum):
-    """How far a connection is established; closed connections receive nothing and need no state."""
+    """Progress of connection establishment; a closed connection receives nothing and has no state."""
 
     AWAITING_CONNECT = auto()
-    AWAITING_DECISION = auto()  # CONNECT has arrived, the application has neither accepted nor rejected it
+    AWAITING_DECISION = auto()  # CONNECT was received; the application has not accepted or rejected it
     CONNECTED = auto()
 
 
 class ServerConnection:
-    """One client's connection; ``outgoing`` collects the bytes that are to be sent to it."""
+    """One client's connection; ``outgoing`` buffers the bytes to send to the client."""
 
     def __init__(self) -> None:
         self.state = ConnectionState.AWAITING_CONNECT
@@ -96,7 +96,7 @@
         self.outgoing = bytearray()
 
     def receive(self, packet: Packet | MqttError) -> ServerEvent | None:
-        """Handle a packet or a decoding error; after ``ConnectionClosed`` this must not be called again."""
+        """Handle a packet or a decoding error; must not be called after it returned ``ConnectionClosed``."""
         if isinstance(packet, MqttError):
             return self.disconnect(packet.reason_code, str(packet))
         handler = _HANDLERS[self.state].get(type(packet))
@@ -108,9 +108,9 @@
             return self.disconnect(error.reason_code, str(error))
 
     def disconnect(self, reason_code: int, reason: str) -> ConnectionClosed:
-        """End the connection: with CONNACK before it was accepted, with DISCONNECT after.
+        """End the connection: with CONNACK before it was accepted, with DISCONNECT afterwards.
 
-        A peer that has not sent CONNECT gets an answer only if it may be an MQTT client after all.
+        A peer that has not sent a valid CONNECT gets a response only if it may be an MQTT client.
         """
         if self.state is ConnectionState.CONNECTED:
             last_packet = Disconnect(reason_code, {"reason": reason[:MAX_REASON_LENGTH]})
@@ -120,17 +120,17 @@
         return ConnectionClosed(encode_packet(Connack(reason_code)), reason)
 
     def accept(self, properties: Properties) -> None:
-        """Accept the connection; ``properties`` tell the client what the server supports."""
+        """Accept the connection; ``properties`` announce the server's limits and features to the client."""
         self.state = ConnectionState.CONNECTED
         self.outgoing += encode_packet(Connack(ReasonCode.SUCCESS, False, properties))
 
     def acknowledge(self, publish: Publish, reason_code: int = ReasonCode.SUCCESS) -> None:
-        """Acknowledge a message of the client; one of QoS 0 needs no acknowledgement."""
+        """Acknowledge a message of the client, unless its QoS is 0."""
         if publish.qos:
             self.outgoing += encode_packet(Puback(publish.packet_id, reason_code))
 
     def granted_qos(self, topic: str) -> int | None:
-        """Return the highest QoS at which the client subscribed to a topic, None if it did not."""
+        """Return the highest granted QoS of the client's subscriptions to a topic, None without any."""
         matching = (
             qos for topic_filter, qos in self.subscriptions.items() if matches_filter(topic, topic_filter)
         )
@@ -138,16 +138,16 @@
 
     @property
     def has_send_quota(self) -> bool:
-        """Whether the client allows one more unacknowledged message (section 4.9)."""
+        """Whether one more unacknowledged message is within the client's receive maximum (section 4.9)."""
         return len(self.unacknowledged) < self.receive_maximum
 
     def publish(self, topic: str, payload: bytes, qos: int, retain: bool = False) -> int:
-        """Queue a message for the client; return its packet identifier, 0 for one of QoS 0."""
+        """Queue a message for the client; return its packet identifier, 0 for QoS 0."""
         packet_id = self._reserve_packet_id() if qos else 0
         self.outgoing += encode_publish_header(topic, qos, retain, len(payload))
         if qos:
             self.outgoing += packet_id.to_bytes(2, "big")
-        self.outgoing += b"\0"  # no properties
+        self.outgoing += b"\0"  # property length
         self.outgoing += payload
         return packet_id
 
@@ -159,7 +159,7 @@
                 return self.last_packet_id
 
     def _handle_unexpected(self, packet: Packet) -> ConnectionClosed:
-        """End the connection: the packet is not legal in the present state."""
+        """End the connection after a packet that is illegal in the current state."""
         if self.state is ConnectionState.AWAITING_CONNECT:
             return ConnectionClosed(b"", f"{type(packet).__name__} before CONNECT")
         raise _not_for_a_server(packet)
@@ -219,8 +219,8 @@
         self.outgoing += encode_packet(Ping(is_response=True))
 
     def _handle_disconnect(self, disconnect: Disconnect) -> ConnectionClosed:
-        in_order = disconnect.reason_code == ReasonCode.SUCCESS
-        return ConnectionClosed(b"", "disconnected by the client", discards_will=in_order)
+        is_normal = disconnect.reason_code == ReasonCode.SUCCESS
+        return ConnectionClosed(b"", "disconnected by the client", discards_will=is_normal)
 
 
 def _not_for_a_server(packet: Packet) -> MqttError:
@@ -244,7 +244,7 @@
     Ping: ServerConnection._handle_ping,
     Disconnect: ServerConnection._handle_disconnect,
 }
-# The packets that a client may send in each state. It need not wait for CONNACK before it sends more
+# The packets that a client may send in each state. A client may send packets before it receives CONNACK
 # (section 3.1.4), so the same packets are legal before and after the application's decision.
 _HANDLERS: dict[ConnectionState, _Handlers] = {
     ConnectionState.AWAITING_CONNECT: {Connect: ServerConnection._handle_connect},
--- a/rainpick/mqtt/topics.py
+++ b/rainpick/mqtt/topics.py
@@ -29,7 +29,7 @@
 
 
 def is_valid_filter(topic_filter: str) -> bool:
-    """Whether each wildcard fills a level and ``#`` is in the last one.
+    """Whether each wildcard occupies a whole level and ``#`` is in the last level.
 
     >>> [is_valid_filter(topic_filter) for topic_filter in ("a/+/#", "a/#/b", "a+", "", "#")]
     [True, False, False, False, True]
--- a/rainpick/mqtt/wire.py
+++ b/rainpick/mqtt/wire.py
@@ -9,12 +9,12 @@
 
 from rainpick.mqtt.errors import MqttError
 
-MAX_VARIABLE_BYTE_INTEGER = 268_435_455  # four groups of seven bits
-MAX_FIELD_LENGTH = 65_535  # a string or binary field has a two byte length
+MAX_VARIABLE_BYTE_INTEGER = 268_435_455  # four bytes of seven bits each
+MAX_FIELD_LENGTH = 65_535  # largest two-byte length of a string or binary field
 
 _UINT16 = struct.Struct(">H")
 _UINT32 = struct.Struct(">I")
-_LAST_SHIFT = 21  # of the fourth and last byte of a variable byte integer
+_LAST_SHIFT = 21  # bit position of the fourth and last byte of a variable byte integer
 _TRUNCATED_INTEGER = "a number runs past the end of its packet"
 
 encode_uint16 = _UINT16.pack
@@ -28,7 +28,7 @@
     ['7f', '8001', 'ffffff7f']
     """
     if not 0 <= value <= MAX_VARIABLE_BYTE_INTEGER:
-        raise ValueError(f"{value} is no variable byte integer")
+        raise ValueError(f"{value} is out of the range of a variable byte integer")
     if value < 0x80:  # most packets are this short
         return bytes((value,))
     encoded = bytearray()
@@ -40,21 +40,21 @@
 
 
 def encode_string(value: str) -> bytes:
-    """Encode a UTF-8 string with its two byte length; ``ValueError`` if it is too long."""
+    """Encode a UTF-8 string with its two-byte length; raise ``ValueError`` if it is too long."""
     return encode_binary(value.encode())
 
 
 def encode_binary(value: bytes) -> bytes:
-    """Encode binary data with its two byte length; ``ValueError`` if it is too long."""
+    """Encode binary data with its two-byte length; raise ``ValueError`` if it is too long."""
     if len(value) > MAX_FIELD_LENGTH:
-        raise ValueError("a field of over 65,535 bytes")
+        raise ValueError(f"a field of {len(value)} bytes; at most {MAX_FIELD_LENGTH} are allowed")
     return encode_uint16(len(value)) + value
 
 
 class ByteReader:
-    """Reads the body of one packet from front to back.
+    """Reads the fields of one packet's body in order.
 
-    Every method raises ``MqttError`` if less is left than it is to read.
+    Each read method raises ``MqttError`` if the body has too few bytes left.
     """
 
     def __init__(self, data: bytes):
@@ -62,7 +62,7 @@
         self.position = 0
 
     def read_uint8(self) -> int:
-        """Read a one byte integer."""
+        """Read a one-byte integer."""
         position = self.position
         if position >= len(self.data):
             raise MqttError(_TRUNCATED_INTEGER)
@@ -70,11 +70,11 @@
         return self.data[position]
 
     def read_uint16(self) -> int:
-        """Read a two byte integer."""
+        """Read a two-byte integer."""
         return self._read_integer(2)
 
     def read_uint32(self) -> int:
-        """Read a four byte integer."""
+        """Read a four-byte integer."""
         return self._read_integer(4)
 
     def _read_integer(self, size: int) -> int:
@@ -99,7 +99,7 @@
                 raise MqttError("a variable byte integer of over four bytes")
 
     def read_bytes(self, size: int) -> bytes:
-        """Read ``size`` bytes as they are."""
+        """Read ``size`` raw bytes."""
         start = self.position
         end = start + size
         if end > len(self.data):
@@ -108,7 +108,7 @@
         return self.data[start:end]
 
     def read_binary(self) -> bytes:
-        """Read binary data with its two byte length."""
+        """Read binary data with its two-byte length."""
         return self.read_bytes(self.read_uint16())
 
     def read_string(self) -> str:
@@ -123,7 +123,7 @@
         return decoded
 
     def read_remaining(self) -> bytes:
-        """Read everything up to the end of the packet."""
+        """Read the rest of the packet."""
         return self.read_bytes(len(self.data) - self.position)
 
     @property
--- a/tests/compat/operations_mqtt.py
+++ b/tests/compat/operations_mqtt.py
@@ -1,55 +1,55 @@
-"""What the publish-subscribe front reads and writes today: packets, payloads, topics."""
+"""The MQTT operations that the cases in ``wire/mqtt.jsonl`` name: packets, payloads and topics."""
 
 from rainpick.mqtt import codec
 from rainpick.publish import payloads, topics
 
-NOT_ON_THE_WIRE = ("title", "description")  # of a schema: names and texts of the program's types
+NOT_ON_THE_WIRE = ("title", "description")  # schema keys that hold names and texts of the program's types
 
 
-def packets(data):
-    """All packets of a stream."""
-    framer, found = codec.PacketFramer(1 << 16), []
+def decode_packets(data):
+    """Decode all packets of a stream."""
+    framer, packets = codec.PacketFramer(1 << 16), []
     framer.feed(data)
     while (packet := framer.next()) is not None:
-        found.append(packet)
-    return found
+        packets.append(packet)
+    return packets
 
 
-def packet(value):
-    return codec.encode_packet(value)
+def encode_one_packet(packet):
+    return codec.encode_packet(packet)
 
 
-def publish_head(words):
-    return codec.encode_publish_header(*words)
+def encode_publish_header(arguments):
+    return codec.encode_publish_header(*arguments)
 
 
-def properties(numbers):
-    """All properties of the standard, by number, as they are written."""
-    return codec.encode_properties({codec.PROPERTIES[number][0]: value for number, value in numbers.items()})
+def encode_properties(values):
+    """Encode properties that are given by their identifiers in the standard."""
+    return codec.encode_properties({codec.PROPERTIES[number][0]: value for number, value in values.items()})
 
 
-def payload(value):
-    return payloads.encode(value)
+def encode_payload(payload):
+    return payloads.encode(payload)
 
 
-def payload_up(data):
+def decode_proxy_payload(data):
     return payloads.decode_proxy_message(data)
 
 
-def payload_down(data):
+def decode_director_payload(data):
     return payloads.decode_director_message(data)
 
 
-def place(words):
-    return payloads.format_address(words)
+def format_address(address):
+    return payloads.format_address(address)
 
 
-def place_read(text):
+def parse_address(text):
     return payloads.parse_address(text)
 
 
 def topic_names(_):
-    """Each topic: a proxy's orders, a table, what a proxy says."""
+    """Return the root topic and a topic of each kind: a proxy's assignment, a table, a proxy's messages."""
     return [
         topics.TOPIC_ROOT,
         topics.assignment_topic("edge-1"),
@@ -58,34 +58,34 @@
     ]
 
 
-def unfolded(part, parts):
-    """A schema with what it refers to in place, without the names and texts of types."""
+def unfolded(part, definitions):
+    """Replace the references in a JSON schema by their definitions; drop names and texts of types."""
     if isinstance(part, list):
-        return [unfolded(item, parts) for item in part]
+        return [unfolded(item, definitions) for item in part]
     if not isinstance(part, dict):
         return part
     if "$ref" in part:
-        return unfolded(parts[part["$ref"].removeprefix("#/$defs/")], parts)
-    # A field may itself be called as one of these: below "properties" all names are fields.
+        return unfolded(definitions[part["$ref"].removeprefix("#/$defs/")], definitions)
+    # A field may itself be named "title" or "description": all keys below "properties" are fields.
     return {
-        name: {field: unfolded(item, parts) for field, item in value.items()}
+        name: {field: unfolded(item, definitions) for field, item in value.items()}
         if name == "properties"
-        else unfolded(value, parts)
+        else unfolded(value, definitions)
         for name, value in part.items()
         if name not in NOT_ON_THE_WIRE and name != "mapping"
     }
 
 
 OPERATIONS = {
-    "packets": packets,
-    "packet": packet,
-    "publish head": publish_head,
-    "properties": properties,
-    "payload": payload,
-    "payload up": payload_up,
-    "payload down": payload_down,
-    "place": place,
-    "place read": place_read,
+    "packets": decode_packets,
+    "packet": encode_one_packet,
+    "publish head": encode_publish_header,
+    "properties": encode_properties,
+    "payload": encode_payload,
+    "payload up": decode_proxy_payload,
+    "payload down": decode_director_payload,
+    "place": format_address,
+    "place read": parse_address,
     "topics": topic_names,
 }
 ERRORS = {codec.MqttError: "mqtt", payloads.PayloadError: "payload"}
--- a/tests/mqtt/test_packets.py
+++ b/tests/mqtt/test_packets.py
@@ -1,4 +1,4 @@
-"""MQTT 5 packets: encoding and decoding are inverse; malformed packets are errors, never a crash."""
+"""MQTT 5 packets: decoding inverts encoding, and a malformed packet raises only ``MqttError``."""
 
 import contextlib
 
@@ -113,17 +113,17 @@
         (b"\x30\x06\x00\x01a\x02\x99\x00", ReasonCode.MALFORMED_PACKET),
     ],
     ids=[
-        "length",
-        "large",
-        "qos",
-        "number",
-        "wildcard",
-        "flags",
-        "empty",
-        "text",
-        "version",
-        "auth",
-        "property",
+        "remaining length of five bytes",
+        "packet too large",
+        "QoS 3",
+        "no packet identifier",
+        "wildcard in topic",
+        "wrong flags",
+        "no topic filter",
+        "truncated topic",
+        "protocol version 4",
+        "AUTH",
+        "unknown property",
     ],
 )
 def test_a_malformed_packet_has_its_reason_code(data, reason_code):
--- a/tests/mqtt/test_server.py
+++ b/tests/mqtt/test_server.py
@@ -1,4 +1,4 @@
-"""The server's end of an MQTT connection: which packets are legal in which state, and what they bring."""
+"""The server side of an MQTT connection: the legal packets in each state and their events."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def connection_after(*packets):
-    """A connection that received these packets and accepted the CONNECT, and the last event."""
+    """Return a connection that accepted CONNECT and received these packets, and its last event."""
     connection, event = ServerConnection(), None
     for packet in packets:
         event = connection.receive(packet)
