--- a/rainpick/http1/bodies.py
+++ b/rainpick/http1/bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies, bounded both as received and after decompression."""
+"""Reads request bodies; their size is limited both as received and after decompression."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class BodyError(Exception):
-    """A request body that is rejected, with the status code of the response."""
+    """A rejected request body; ``status`` is the status code of the response."""
 
     def __init__(self, status: int, reason: str):
         super().__init__(reason)
@@ -20,7 +20,7 @@
 
 
 def read_body(protocol: h11.Connection, sock: socket.socket, max_bytes: int) -> bytes:
-    """Read the rest of a request; ``BodyError`` if its body is larger than ``max_bytes``."""
+    """Read the body of a request; raise ``BodyError`` if it is larger than ``max_bytes``."""
     chunks: list[bytes] = []
     size = 0
     while True:
@@ -35,11 +35,11 @@
         elif isinstance(event, h11.EndOfMessage):
             return b"".join(chunks)
         else:
-            raise ConnectionError("the connection was closed within a body")
+            raise ConnectionError("connection closed before the end of the request body")
 
 
 def decode_body(body: bytes, content_encoding: str, max_bytes: int) -> bytes:
-    """Undo the content encoding, if any; ``BodyError`` if it is not supported or the body is malformed."""
+    """Decode the content encoding; raise ``BodyError`` if it is unsupported or the body is malformed."""
     if content_encoding == "gzip":
         return decompress(body, max_bytes)
     if content_encoding != "identity":
@@ -51,8 +51,8 @@
 
 
 def decompress(body: bytes, max_bytes: int) -> bytes:
-    """Decompress gzip to at most ``max_bytes``: a small body must not take a large amount of memory."""
-    decompressor = zlib.decompressobj(zlib.MAX_WBITS | 16)  # 16: with the header and trailer of gzip
+    """Decompress gzip to at most ``max_bytes``, so that a small body cannot take up much memory."""
+    decompressor = zlib.decompressobj(zlib.MAX_WBITS | 16)  # 16: gzip header and trailer
     try:
         data = decompressor.decompress(body, max_bytes + 1)
     except zlib.error as error:
--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client: one connection, one call at a time, reconnecting when the connection has ended."""
+"""An HTTP/1.1 client: one connection, one request at a time, reconnecting after the connection ended."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ClientError(Exception):
-    """The call got no response. ``sent``: whether the server may have seen the request."""
+    """A request got no response; ``sent`` is whether the server may have received the request."""
 
     def __init__(self, text: str, sent: bool):
         super().__init__(text)
@@ -26,7 +26,7 @@
 
 
 class ClientResponse(NamedTuple):
-    """Status code, headers by lower-case name, and the complete body."""
+    """A response: status code, headers by lower-case name, and the complete body."""
 
     status: int
     headers: dict[str, str]
@@ -34,18 +34,18 @@
 
 
 class _Connection(NamedTuple):
-    """A socket and the protocol state of what is sent and received on it."""
+    """A socket and the HTTP protocol state of its connection."""
 
     sock: socket.socket
     protocol: h11.Connection
 
 
 class Client:
-    """Calls one server.
+    """Sends requests to one server.
 
-    ``timeout_s`` limits a whole call, however slowly its bytes arrive; ``connect_timeout_s`` limits
-    connecting, if that should differ. A response body over ``max_body_bytes`` is an error. Only ``abort``
-    may be used by a thread other than the calling one.
+    ``timeout_s`` limits the total time of a request, however slowly the response arrives;
+    ``connect_timeout_s`` limits connecting, by default to the timeout of the request. A response body over
+    ``max_body_bytes`` is an error. Only ``abort`` may be called from a thread other than the requesting one.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the next call can use the connection of the last one."""
+        """Whether a connection is open that the next request can reuse."""
         return self._connection is not None
 
     def call(
@@ -78,7 +78,7 @@
         headers: HeaderFields = (),
         timeout_s: float | None = None,
     ) -> ClientResponse:
-        """Send a request and wait for its response; ``ClientError`` if there is none in time."""
+        """Send a request and wait for its response; raise ``ClientError`` if it fails or times out."""
         timeout_s = timeout_s or self.timeout_s
         deadline = time.monotonic() + timeout_s
         sent = False
@@ -96,7 +96,7 @@
             raise ClientError("%s:%d: %s" % (*self.address, error), sent) from None
 
     def _connect(self, timeout_s: float) -> _Connection:
-        """Open a connection; ``ConnectionAbortedError`` if ``abort`` was called before it was there."""
+        """Open a connection; raise ``ConnectionAbortedError`` if ``abort`` was called before or meanwhile."""
         if self._aborted:
             raise ConnectionAbortedError("aborted")
         sock = socket.create_connection(self.address, self.connect_timeout_s or timeout_s)
@@ -112,7 +112,7 @@
     def _request_bytes(
         self, protocol: h11.Connection, method: str, path: str, body: bytes, headers: HeaderFields
     ) -> bytes:
-        """The complete request as bytes, so that it leaves in one send."""
+        """Encode the complete request, so that it is sent at once."""
         host, port = self.address
         fields = [("host", f"{host}:{port}"), ("content-length", str(len(body))), *headers]
         data = protocol.send(h11.Request(method=method, target=path, headers=fields))
@@ -121,7 +121,7 @@
         return data + protocol.send(h11.EndOfMessage())
 
     def _read_response(self, connection: _Connection, deadline: float) -> ClientResponse:
-        """Read one complete response; errors are ``OSError`` or ``h11.ProtocolError``."""
+        """Read one complete response; raise ``OSError`` or ``h11.ProtocolError`` on failure."""
         status, size = 0, 0
         headers: dict[str, str] = {}
         chunks: list[bytes] = []
@@ -134,19 +134,19 @@
                 chunks.append(bytes(event.data))
                 size += len(event.data)
                 if size > self.max_body_bytes:
-                    raise ConnectionError(f"a body over {self.max_body_bytes} bytes")
+                    raise ConnectionError(f"the response body exceeds {self.max_body_bytes} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 self._finish_exchange(connection.protocol)
                 return ClientResponse(status, headers, b"".join(chunks))
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("closed before the answer")
+                raise ConnectionResetError("connection closed before the response")
 
     @staticmethod
     def _next_event(connection: _Connection, deadline: float) -> object:
-        """The next event of the response, reading from the socket as needed.
+        """Return the next event of the response, reading from the socket as needed.
 
-        After the deadline, bytes that have arrived already are still read: this thread may have been waiting
-        for the processor while they arrived.
+        After the deadline, bytes that already arrived are still read: this thread may not have been scheduled
+        since they arrived.
         """
         sock, protocol = connection
         while (event := protocol.next_event()) is h11.NEED_DATA:
@@ -156,19 +156,19 @@
             except BlockingIOError:
                 raise TimeoutError("timed out") from None
             if not data and protocol.their_state is h11.SEND_RESPONSE:
-                raise ConnectionResetError("closed before the answer")
+                raise ConnectionResetError("connection closed before the response")
             protocol.receive_data(data)
         return event
 
     def _finish_exchange(self, protocol: h11.Connection) -> None:
-        """Make the connection ready for the next call, or close it if either side wants that."""
+        """Prepare the connection for the next request, or close it if either side must close."""
         if h11.MUST_CLOSE in (protocol.our_state, protocol.their_state):
             self.close()
         else:
             protocol.start_next_cycle()
 
     def abort(self) -> None:
-        """From any thread, at any time: fail the call in progress and every later one."""
+        """Fail the current request and all later ones; safe from any thread at any time."""
         with self._lock:
             self._aborted = True
             if self._connection is not None:
@@ -176,7 +176,7 @@
                     self._connection.sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close the connection; the next call opens a new one."""
+        """Close the connection; the next request opens a new one."""
         with self._lock:
             if self._connection is not None:
                 with contextlib.suppress(OSError):
--- a/rainpick/http1/messages.py
+++ b/rainpick/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as the server's handlers see them."""
+"""Types for the requests and responses of the server's handlers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Response(NamedTuple):
-    """A response; content type, content length and connection management are added by the server."""
+    """A response; the server adds the content type, content length and connection headers."""
 
     status: int
     body: bytes = b""
--- a/rainpick/http1/server.py
+++ b/rainpick/http1/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: one small thread per connection, bounded bodies, bounded number of connections."""
+"""An HTTP/1.1 server: one thread per connection, with limits on body size and number of connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rainpick.http1.bodies import READ_SIZE, BodyError, decode_body, read_body
 from rainpick.http1.messages import Handler, Request, Response
 
-MAX_HEAD_BYTES = 16_384  # of the request line and headers together
+MAX_HEAD_BYTES = 16_384  # request line and headers together
 MAX_BACKLOG = 1024
 TOO_MANY_CONNECTIONS = (
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
@@ -21,10 +21,10 @@
 
 
 class Server:
-    """Listens from its construction on and answers with ``handler`` until ``close``.
+    """Starts listening when constructed and answers requests with ``handler`` until ``close``.
 
-    ``address`` is where it really listens. At most ``max_connections`` connections are open at a time;
-    another one is answered with 503. A connection on which nothing arrives for ``idle_timeout_s`` is closed.
+    The attribute ``address`` is the bound address. At most ``max_connections`` connections are open at once;
+    another one is rejected with 503. A connection that receives nothing for ``idle_timeout_s`` is closed.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.thread.start()
 
     def _accept(self) -> None:
-        """Body of the accepting thread."""
+        """Accept connections; runs in the accept thread."""
         while not self.closing:
             try:
                 sock, peer = self.socket.accept()
@@ -68,7 +68,7 @@
             threading.Thread(target=self._serve, args=(sock,), name=self.name, daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        """Body of a connection's thread: one request and response after the other."""
+        """Serve the requests of one connection in sequence; runs in the connection's thread."""
         try:
             sock.settimeout(self.idle_timeout_s)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -76,7 +76,7 @@
             while self._exchange(protocol, sock):
                 protocol.start_next_cycle()
         except (OSError, h11.LocalProtocolError):
-            pass  # the peer closed the connection or was idle too long: it expects no response
+            pass  # the peer closed the connection or was idle too long; no response is due
         finally:
             with self._lock:
                 self._open_sockets.discard(sock)
@@ -84,7 +84,7 @@
             self._slots.release()
 
     def _exchange(self, protocol: h11.Connection, sock: socket.socket) -> bool:
-        """Read one request and send its response; whether the connection can be used again."""
+        """Read one request and send its response; return whether the connection can be reused."""
         close_after = False
         try:
             request = self._read_request(protocol, sock)
@@ -100,13 +100,13 @@
             close_after = error.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE  # the rest of it is not read
         except OSError:
             raise
-        except Exception:  # a fault of the handler must not end the connection's thread without a response
+        except Exception:  # a handler error must not end the thread without a response
             self.log.exception("handler failed")
             response, close_after = Response(HTTPStatus.INTERNAL_SERVER_ERROR, b"", "text/plain"), True
         return self._send_response(protocol, sock, response, close_after)
 
     def _read_request(self, protocol: h11.Connection, sock: socket.socket) -> Request | None:
-        """The next request with its decoded body; None if the peer has closed the connection."""
+        """Read the next request with its decoded body; return None if the peer closed the connection."""
         while (event := protocol.next_event()) is h11.NEED_DATA:
             protocol.receive_data(sock.recv(READ_SIZE))
         if not isinstance(event, h11.Request):
@@ -124,7 +124,7 @@
     def _send_response(
         self, protocol: h11.Connection, sock: socket.socket, response: Response, close_after: bool
     ) -> bool:
-        """Send a response if the protocol still allows one; whether the connection can be used again."""
+        """Send a response if the protocol state allows it; return whether the connection can be reused."""
         if protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return False
         headers = [
@@ -141,7 +141,7 @@
         return protocol.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}
 
     def close(self) -> None:
-        """Stop listening and shut every open connection down."""
+        """Stop listening and shut down all open connections."""
         self.closing = True
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
--- a/rainpick/otlp/decoding.py
+++ b/rainpick/otlp/decoding.py
@@ -1,7 +1,7 @@
 """Decodes ``ExportMetricsServiceRequest`` messages into the points of load reports.
 
-What cannot be used is rejected point by point, with the first reason, as partial success of OTLP asks for:
-one reporter's unknown metric must not cost its other points.
+Unusable points are rejected individually, with the first reason, as the partial success of OTLP requires: an
+unknown metric must not cause the loss of the reporter's other points.
 """
 
 from __future__ import annotations
@@ -19,7 +19,6 @@
 from rainpick.otlp.schema import (
     ADDRESS_ATTRIBUTE,
     ANSWERED,
-    CALLS_METRIC,
     DELTA,
     MAX_COUNT,
     MAX_DURATION_S,
@@ -29,6 +28,7 @@
     PORT_ATTRIBUTE,
     REPORTER_ATTRIBUTE,
     ROUTE_ATTRIBUTE,
+    ROUTE_METRIC,
     SERVER_METRIC,
 )
 
@@ -36,12 +36,12 @@
 
 
 class ReportError(Exception):
-    """The body is not a metrics export request at all."""
+    """The body is not an ``ExportMetricsServiceRequest``."""
 
 
 @dataclass(slots=True)
 class Batch:
-    """The points of one report, how many others were rejected, and the first reason for that."""
+    """The accepted points of one report, the number of rejected points and the first reason."""
 
     points: list[Point] = field(default_factory=list)
     rejected: int = 0
@@ -53,15 +53,15 @@
         self.reason = self.reason or reason
 
 
-class MetricReader(NamedTuple):
-    """How the points of a metric are decoded: the kind of its data and the function for one point."""
+class MetricDecoder(NamedTuple):
+    """The expected kind of a metric's data and the function that decodes one of its points."""
 
     kind: str
     decode_point: Callable[[str, HistogramDataPoint | NumberDataPoint], Point]
 
 
 def decode_report(body: bytes) -> Batch:
-    """Decode a request; ``ReportError`` if it is not one."""
+    """Decode a request; raise ``ReportError`` if the body is not one."""
     request = ExportMetricsServiceRequest()
     try:
         request.ParseFromString(body)
@@ -69,7 +69,7 @@
         raise ReportError(f"not an ExportMetricsServiceRequest: {error}") from None
     batch = Batch()
     for resource in request.resource_metrics:
-        reporter = _attributes(resource.resource.attributes).get(REPORTER_ATTRIBUTE)
+        reporter = _scalar_attributes(resource.resource.attributes).get(REPORTER_ATTRIBUTE)
         for scope in resource.scope_metrics:
             for metric in scope.metrics:
                 _decode_metric(batch, reporter, metric)
@@ -77,29 +77,29 @@
 
 
 def _decode_metric(batch: Batch, reporter: AttributeValue | None, metric: Metric) -> None:
-    """Add the points of a metric to the batch, or reject all of them if the metric is not usable."""
+    """Add the points of a metric to the batch; reject all of them if the metric is unusable."""
     kind = metric.WhichOneof("data")
     data_points = getattr(metric, kind).data_points if kind else ()
     if not isinstance(reporter, str) or not reporter:
         batch.reject(len(data_points), f"the resource has no {REPORTER_ATTRIBUTE}")
         return
-    reader = METRIC_READERS.get(metric.name)
-    if reader is None:
+    decoder = METRIC_DECODERS.get(metric.name)
+    if decoder is None:
         batch.reject(len(data_points), f"metric {metric.name!r} is not known here")
         return
-    mismatch = _schema_mismatch(metric, kind, reader.kind)
+    mismatch = _schema_mismatch(metric, kind, decoder.kind)
     if mismatch is not None:
         batch.reject(len(data_points), f"{metric.name}: {mismatch}")
         return
     for data_point in data_points:
         try:
-            batch.points.append(reader.decode_point(reporter, data_point))
+            batch.points.append(decoder.decode_point(reporter, data_point))
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             batch.reject(1, f"{metric.name}: {error}")
 
 
 def _schema_mismatch(metric: Metric, kind: str | None, expected_kind: str) -> str | None:
-    """Why a known metric does not follow the schema; None if it does."""
+    """Return the reason why a known metric violates the schema, None if it does not."""
     if kind != expected_kind:
         return f"a {expected_kind} is wanted, not a {kind}"
     if getattr(metric, expected_kind).aggregation_temporality != DELTA:
@@ -109,8 +109,8 @@
     return None
 
 
-def _attributes(pairs: Iterable[KeyValue]) -> dict[str, AttributeValue]:
-    """The attributes with a text or integer value; the schema has no others."""
+def _scalar_attributes(pairs: Iterable[KeyValue]) -> dict[str, AttributeValue]:
+    """Return the attributes with a string or integer value; the schema has no others."""
     values: dict[str, AttributeValue] = {}
     for pair in pairs:
         kind = pair.value.WhichOneof("value")
@@ -120,7 +120,7 @@
 
 
 def _outcome(attributes: Mapping[str, AttributeValue]) -> str:
-    """The outcome that a point counts; ``ValueError`` if it names none."""
+    """Return the outcome attribute of a point; raise ``ValueError`` if it is missing or unknown."""
     outcome = attributes.get(OUTCOME_ATTRIBUTE)
     if not isinstance(outcome, str) or outcome not in OUTCOMES:
         raise ValueError(f"{OUTCOME_ATTRIBUTE} is one of {', '.join(OUTCOMES)}, not {outcome!r}")
@@ -128,7 +128,7 @@
 
 
 def _period(point: HistogramDataPoint | NumberDataPoint) -> tuple[int, int]:
-    """Start and end of a point's period, in nanoseconds of the reporter's clock."""
+    """Return start and end of a point's period, in nanoseconds of the reporter's clock."""
     start_ns: int = point.start_time_unix_nano
     end_ns: int = point.time_unix_nano
     if not start_ns or not end_ns or end_ns > MAX_TIME_NS or start_ns > MAX_TIME_NS:
@@ -137,8 +137,8 @@
 
 
 def _decode_server_point(reporter: str, point: HistogramDataPoint) -> Point:
-    """A point of ``rainpick.server.duration``; ``ValueError`` if it does not follow the schema."""
-    attributes = _attributes(point.attributes)
+    """Decode a point of ``rainpick.server.duration``; raise ``ValueError`` if it violates the schema."""
+    attributes = _scalar_attributes(point.attributes)
     outcome = _outcome(attributes)
     start_ns, end_ns = _period(point)
     address, port = attributes.get(ADDRESS_ATTRIBUTE), attributes.get(PORT_ATTRIBUTE)
@@ -162,9 +162,9 @@
     )
 
 
-def _decode_calls_point(reporter: str, point: NumberDataPoint) -> Point:
-    """A point of ``rainpick.calls``; ``ValueError`` if it does not follow the schema."""
-    attributes = _attributes(point.attributes)
+def _decode_route_point(reporter: str, point: NumberDataPoint) -> Point:
+    """Decode a point of ``rainpick.calls``; raise ``ValueError`` if it violates the schema."""
+    attributes = _scalar_attributes(point.attributes)
     outcome = _outcome(attributes)
     start_ns, end_ns = _period(point)
     route = attributes.get(ROUTE_ATTRIBUTE)
@@ -177,7 +177,7 @@
     return Point(reporter, start_ns, end_ns, answered, unanswered, 0, route=route, outcomes=outcome)
 
 
-METRIC_READERS = {
-    SERVER_METRIC: MetricReader("histogram", _decode_server_point),
-    CALLS_METRIC: MetricReader("sum", _decode_calls_point),
+METRIC_DECODERS = {
+    SERVER_METRIC: MetricDecoder("histogram", _decode_server_point),
+    ROUTE_METRIC: MetricDecoder("sum", _decode_route_point),
 }
--- a/rainpick/otlp/encoding.py
+++ b/rainpick/otlp/encoding.py
@@ -1,4 +1,4 @@
-"""Encodes load reports, as a reporter sends them, and the responses to them."""
+"""Encodes the load reports of a reporter and the responses to them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 from rainpick.otlp.schema import (
     ADDRESS_ATTRIBUTE,
-    CALLS_METRIC,
     DELTA,
     OUTCOME_ATTRIBUTE,
     PORT_ATTRIBUTE,
     REPORTER_ATTRIBUTE,
     ROUTE_ATTRIBUTE,
+    ROUTE_METRIC,
     SERVER_METRIC,
 )
 
@@ -26,7 +26,7 @@
 
 
 class ServerOutcome(NamedTuple):
-    """Attempts at one server with one outcome in a period, and how long they took together."""
+    """Attempts at one server with one outcome in a period, and the sum of their durations."""
 
     host: str
     port: int
@@ -36,11 +36,11 @@
 
 
 class RouteOutcome(NamedTuple):
-    """Calls of one route with one outcome in a period."""
+    """Requests of one route with one outcome in a period."""
 
     route: str
     outcome: str
-    calls: int
+    requests: int
 
 
 def encode_report(
@@ -50,7 +50,7 @@
     servers: Iterable[ServerOutcome],
     routes: Iterable[RouteOutcome],
 ) -> bytes:
-    """A report of one period, whose ends are in nanoseconds of the reporter's clock."""
+    """Encode a report of one period; its start and end are in nanoseconds of the reporter's clock."""
     request = ExportMetricsServiceRequest()
     resource = request.resource_metrics.add()
     resource.resource.attributes.add(key=REPORTER_ATTRIBUTE).value.string_value = reporter
@@ -67,14 +67,14 @@
         point.count = server.attempts
         point.sum = server.duration_s
 
-    total = scope.metrics.add(name=CALLS_METRIC, unit="{call}").sum
+    total = scope.metrics.add(name=ROUTE_METRIC, unit="{call}").sum
     total.aggregation_temporality = DELTA
     total.is_monotonic = True
     for route in routes:
         point = total.data_points.add(start_time_unix_nano=start_ns, time_unix_nano=end_ns)
         _add_attribute(point, ROUTE_ATTRIBUTE, route.route)
         _add_attribute(point, OUTCOME_ATTRIBUTE, route.outcome)
-        point.as_int = route.calls
+        point.as_int = route.requests
     return bytes(request.SerializeToString())
 
 
@@ -87,7 +87,7 @@
 
 
 def encode_response(rejected: int, reason: str) -> bytes:
-    """An ``ExportMetricsServiceResponse``; partial success if any point was rejected."""
+    """Encode an ``ExportMetricsServiceResponse``, with partial success if points were rejected."""
     response = ExportMetricsServiceResponse()
     if rejected:
         response.partial_success.rejected_data_points = rejected
--- a/rainpick/otlp/receiver.py
+++ b/rainpick/otlp/receiver.py
@@ -14,20 +14,20 @@
 PROTOBUF_TYPE = "application/x-protobuf"
 METRICS_PATH = "/v1/metrics"
 RETRY_AFTER_S = 1
-# Verdicts of which the reporter is notified, in the order of the message. Points of the other verdicts count
-# as accepted; a duplicate among them was accepted before.
+# Verdicts that the response reports as rejections, in this order. Points with any other verdict count as
+# accepted; a duplicate among them was accepted before.
 REJECTING_VERDICTS = ("late", "overlapping", "ahead", "backwards", "unknown")
 
 
 def metrics_handler(submit: Callable[[Batch], Mapping[str, int] | None]) -> Handler:
-    """A handler for the server.
+    """Return the request handler for the HTTP server.
 
-    ``submit`` gives a batch to the director and returns how many points got which verdict, or None if the
-    director is too busy to take the batch.
+    ``submit`` passes a batch to the director and returns the number of points by verdict, or None if the
+    director is too busy to accept the batch.
     """
 
     def handle(request: Request) -> Response:
-        """Decode a report, submit it and answer by the verdicts."""
+        """Decode a report, submit it and respond according to the verdicts."""
         rejection = _check_request(request)
         if rejection is not None:
             return rejection
@@ -48,7 +48,7 @@
 
 
 def _check_request(request: Request) -> Response | None:
-    """The error response to a request that is not an export of metrics as protobuf."""
+    """Return the error response if the request is not an export of metrics as protobuf, else None."""
     if request.path.partition("?")[0] != METRICS_PATH:
         return _error_response(HTTPStatus.NOT_FOUND, f"{request.path} is not served here; {METRICS_PATH} is")
     if request.method != "POST":
@@ -63,14 +63,14 @@
 
 
 def _error_response(status: int, text: str, headers: tuple[tuple[str, str], ...] = ()) -> Response:
-    """Errors carry a ``google.rpc.Status``, as the specification asks."""
+    """Build an error response with a ``google.rpc.Status`` body, as the specification requires."""
     return Response(status, Status(message=text).SerializeToString(), PROTOBUF_TYPE, headers)
 
 
 def _export_response(batch: Batch, verdicts: Mapping[str, int]) -> Response:
-    """Success, or partial success with the number of rejected points and the reasons.
+    """Build the response for success, or for partial success with the rejected points and the reasons.
 
-    Reporters must not retry after partial success, so rejected points are lost: each reason is named.
+    Reporters must not retry after partial success, so rejected points are lost and each reason is listed.
     """
     rejected = batch.rejected
     reasons = [batch.reason] if batch.reason else []
--- a/rainpick/otlp/schema.py
+++ b/rainpick/otlp/schema.py
@@ -10,7 +10,7 @@
 from opentelemetry.proto.metrics.v1.metrics_pb2 import AggregationTemporality
 
 SERVER_METRIC = "rainpick.server.duration"
-CALLS_METRIC = "rainpick.calls"
+ROUTE_METRIC = "rainpick.calls"
 
 REPORTER_ATTRIBUTE = "service.instance.id"
 ADDRESS_ATTRIBUTE = "server.address"
@@ -22,6 +22,6 @@
 OUTCOMES = (ANSWERED, DROPPED, THROTTLED)
 
 DELTA = AggregationTemporality.AGGREGATION_TEMPORALITY_DELTA
-MAX_COUNT = 1 << 40  # of one period; more is a fault of the reporter
-MAX_DURATION_S = 1e12  # of all answered calls of one period together
+MAX_COUNT = 1 << 40  # of one period; a larger count is an error of the reporter
+MAX_DURATION_S = 1e12  # sum over all answered attempts of one period
 MAX_TIME_NS = 1 << 62
--- a/tests/compat/operations_otlp.py
+++ b/tests/compat/operations_otlp.py
@@ -1,18 +1,18 @@
-"""What the data file of the reports' front is read and written by today."""
+"""The operations on OTLP load reports that the cases in ``wire/otlp.jsonl`` name."""
 
 from rainpick.otlp.decoding import ReportError, decode_report
 from rainpick.otlp.encoding import RouteOutcome, ServerOutcome, encode_report, encode_response
 from rainpick.otlp.receiver import metrics_handler
 
 
-def read(body):
-    """The points of a report, how many were rejected, and why."""
+def decode_body(body):
+    """Decode a report: its points, the number of rejected points and the reason."""
     batch = decode_report(body)
     return [batch.points, batch.rejected, batch.reason]
 
 
-def write(words):
-    reporter, start_ns, end_ns, servers, routes = words
+def encode_body(arguments):
+    reporter, start_ns, end_ns, servers, routes = arguments
     return encode_report(
         reporter,
         start_ns,
@@ -22,15 +22,20 @@
     )
 
 
-def answer(words):
-    return encode_response(*words)
+def encode_export_response(arguments):
+    return encode_response(*arguments)
 
 
-def handled(words):
-    """The answer to a request, if the core gives these verdicts; none: it is too busy."""
-    asked, verdicts = words
-    return metrics_handler(lambda _: verdicts)(asked)
+def handle_request(arguments):
+    """Return the response to a request if the director returns these verdicts; None: it is too busy."""
+    request, verdicts = arguments
+    return metrics_handler(lambda _: verdicts)(request)
 
 
-OPERATIONS = {"read": read, "write": write, "answer": answer, "handled": handled}
+OPERATIONS = {
+    "read": decode_body,
+    "write": encode_body,
+    "answer": encode_export_response,
+    "handled": handle_request,
+}
 ERRORS = {ReportError: "report"}
