--- a/rainpick/publish/follower.py
+++ b/rainpick/publish/follower.py
@@ -1,4 +1,4 @@
-"""A proxy's side: ``TableFollower`` applies snapshots and deltas, and finds out if it lost track."""
+"""Proxy side of table distribution: ``TableFollower`` applies snapshots and deltas and detects faults."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class TableFollower:
-    """What a proxy holds of its table, brought up to date message by message.
+    """A proxy's copy of its table, which the messages of the director keep up to date.
 
-    ``weights`` is the weight by server address, 0 for a withdrawn server. A follower is in sync until a delta
-    does not fit or a digest differs. It reports that once and keeps its entries until the next snapshot;
-    meanwhile it applies only the withdrawals of deltas.
+    ``weights`` maps server addresses to weights; the weight of a withdrawn server is 0. A follower is in sync
+    until the base version of a delta or a digest does not match. It reports this fault once and keeps its
+    entries until the next snapshot; until then it applies only the withdrawals in deltas.
     """
 
     def __init__(self, weights: dict[str, int] | None = None):
@@ -40,24 +40,24 @@
         self.admissions: tuple[RouteAdmission, ...] = ()
 
     def apply(self, message: DirectorMessage) -> SyncFault | None:
-        """Apply a message; return what to report to the director if it can't be applied."""
+        """Apply a message; return the fault to report to the director if this is not possible."""
         if isinstance(message, ProxyAssignment):
             return self._apply_assignment(message)
         if message.table != self.table or message.epoch != self.epoch:
-            return None  # of a table that it is not assigned to
+            return None  # for a table to which this proxy is not assigned
         if isinstance(message, TableSnapshot):
             return self._apply_snapshot(message)
         return self._apply_delta(message)
 
     def report_fault(self, cause: FaultCause) -> SyncFault | None:
-        """Wait for a snapshot from here on; return the report, None if it has been made before."""
+        """Wait for a snapshot from now on; return the fault to report, None if it was already reported."""
         if self.awaiting_snapshot:
             return None
         self.awaiting_snapshot = True
         return SyncFault(cause, self.epoch, self.table, self.version)
 
     def available_servers(self) -> dict[str, int]:
-        """Return the weights of the servers that may be picked."""
+        """Return the weights of the servers that are not withdrawn."""
         return {server: weight for server, weight in self.weights.items() if weight}
 
     def _apply_assignment(self, assignment: ProxyAssignment) -> SyncFault | None:
@@ -77,7 +77,7 @@
 
     def _apply_snapshot(self, snapshot: TableSnapshot) -> SyncFault | None:
         if snapshot.version < self.version and not self.awaiting_snapshot:
-            return None  # older than what it holds
+            return None  # older than the current version
         weights = _by_server(snapshot.lines)
         if canonical_digest(weights) != snapshot.digest:
             return self.report_fault("digest")
@@ -90,7 +90,7 @@
             self._apply_withdrawals(delta)
             return None
         if delta.version <= self.version:
-            return None  # a duplicate, or overtaken by a newer one
+            return None  # a duplicate, or received after a newer one
         if delta.base_version != self.version:
             self._apply_withdrawals(delta)
             return self.report_fault("gap")
@@ -109,7 +109,7 @@
         self.digest = update.digest
 
     def _apply_withdrawals(self, delta: TableDelta) -> None:
-        """Withdraw servers even if the delta does not fit, since a newer version does not use them."""
+        """Apply only the withdrawals of a delta that does not match; no newer version uses these servers."""
         for server in delta.removed:
             self.weights.pop(server, None)
         for entry in delta.updated:
--- a/rainpick/publish/payloads.py
+++ b/rainpick/publish/payloads.py
@@ -1,7 +1,7 @@
-"""JSON payloads of the MQTT front, their encoding and their JSON Schema.
+"""JSON payloads of the MQTT frontend, their encoding and their JSON Schema.
 
-``docs/tables.md`` says what a proxy does with each. The names in the JSON are part of the protocol: where an
-attribute has another name here, ``field(name=...)`` keeps that of the protocol.
+``docs/tables.md`` specifies how a proxy handles each of them. The names in the JSON are part of the protocol:
+``field(name=...)`` sets the protocol's name of an attribute that has a different name here.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 
 class PayloadError(ValueError):
-    """A payload does not match the schema; the message names the position in it."""
+    """The payload does not match the schema; the message states the position in the payload."""
 
 
 class ServerWeight(Struct, array_like=True, frozen=True):
-    """A server and its weight; 0 means that it is withdrawn, though it is an entry of the table."""
+    """An entry of a table: a server and its weight, which is 0 if the server is withdrawn."""
 
     server: Address
     weight: UInt16
 
 
 class TableSnapshot(Struct, tag="whole", tag_field="kind", frozen=True):
-    """Snapshot of one version of a table; ``digest`` is that of its canonical form."""
+    """Snapshot of one version of a table; ``digest`` is the digest of its canonical form."""
 
     epoch: str
     table: UInt16
@@ -46,7 +46,7 @@
 
 
 class TableDelta(Struct, tag="change", tag_field="kind", frozen=True):
-    """Delta between two versions of a table: new or changed entries, and servers that are removed."""
+    """Delta between two versions of a table: new or changed entries, and removed servers."""
 
     epoch: str
     table: UInt16
@@ -58,7 +58,7 @@
 
 
 class RouteAdmission(Struct, frozen=True):
-    """The admitted share of a route's requests (by ``proxies.admit``), and when another server is tried."""
+    """Admission rate of a route, in the unit that ``proxies.admit`` selects, and its retry policy."""
 
     route: RouteName
     rate: float = field(name="level")
@@ -66,10 +66,10 @@
 
 
 class ProxyAssignment(Struct, tag="orders", tag_field="kind", frozen=True):
-    """For one proxy alone: its table (null: it keeps what it has), its admission rates, its table's update.
+    """Assignment of one proxy: its table, its admission rates and the update of the table.
 
-    Without a table ``updated`` and ``removed`` are withdrawals from, and returns to, what the proxy holds
-    from before.
+    If the table is null, the proxy keeps its current servers, and ``updated`` and ``removed`` are withdrawals
+    and readmissions of these servers.
     """
 
     epoch: str
@@ -81,7 +81,7 @@
 
 
 class Presence(Struct, tag="presence", tag_field="kind", frozen=True):
-    """A proxy joins or leaves, and what it holds: a version of a table, or servers of unknown weight."""
+    """A proxy joins or leaves. It holds a version of a table, or servers whose weights are unknown."""
 
     state: Literal["here", "gone"]
     epoch: str = ""
@@ -92,7 +92,7 @@
 
 
 class SyncFault(Struct, tag="trouble", tag_field="kind", frozen=True):
-    """A proxy can't follow its table: a version is missing, or the digests differ. It needs a snapshot."""
+    """A proxy needs a snapshot of its table, since a version is missing or the digests differ."""
 
     cause: FaultCause = field(name="why")
     epoch: str = ""
@@ -101,7 +101,7 @@
 
 
 class ServerAttempts(Struct, array_like=True, frozen=True):
-    """Attempts at one server with the same outcome, and how many seconds they took together."""
+    """Attempts at one server with the same outcome, and their total duration in seconds."""
 
     server: Address
     outcome: Outcome
@@ -110,7 +110,7 @@
 
 
 class RouteRequests(Struct, array_like=True, frozen=True):
-    """Requests of clients to one route with the same outcome."""
+    """Client requests of one route with the same outcome."""
 
     route: RouteName
     outcome: Outcome
@@ -118,7 +118,7 @@
 
 
 class LoadReport(Struct, tag="met", tag_field="kind", frozen=True):
-    """What a proxy measured in a period; times are nanoseconds of its clock."""
+    """Measurements of a proxy in an interval; times are nanoseconds of the proxy's clock."""
 
     start_ns: TimestampNs
     end_ns: TimestampNs
@@ -136,7 +136,7 @@
 
 
 def decode_proxy_message(data: bytes) -> ProxyMessage:
-    """Decode what a proxy published; ``PayloadError`` if it does not match the schema."""
+    """Decode a message of a proxy; ``PayloadError`` if it does not match the schema."""
     try:
         return _proxy_decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -144,7 +144,7 @@
 
 
 def decode_director_message(data: bytes) -> DirectorMessage:
-    """Decode what a director published; ``PayloadError`` if it does not match the schema."""
+    """Decode a message of a director; ``PayloadError`` if it does not match the schema."""
     try:
         return _director_decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -152,7 +152,7 @@
 
 
 def format_address(key: tuple[str, int]) -> str:
-    """Return the address of a server as it is in payloads.
+    """Format the address of a server for payloads.
 
     >>> format_address(("127.0.0.1", 9001))
     '127.0.0.1:9001'
@@ -161,7 +161,7 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``HOST:PORT``; ``PayloadError`` for anything else.
+    """Parse ``HOST:PORT``; ``PayloadError`` for any other text.
 
     >>> parse_address("127.0.0.1:9001")
     ('127.0.0.1', 9001)
@@ -173,7 +173,7 @@
 
 
 _REFERENCE_PREFIX = "#/$defs/"
-# Names of types in the published schema. Authors of proxies may refer to them, so they stay.
+# Names of types in the published schema. They must not change, since implementations of proxies may use them.
 _SCHEMA_NAMES = {
     "TableSnapshot": "Whole",
     "TableDelta": "Change",
@@ -188,7 +188,7 @@
 
 
 def schema() -> dict[str, Any]:
-    """Return the JSON Schema of all payloads: ``down`` from the director, ``up`` from a proxy."""
+    """Return the JSON Schema of all payloads: ``down`` to proxies, ``up`` to the director."""
     (director, proxy), definitions = msgspec.json.schema_components(
         [DirectorMessage, ProxyMessage], ref_template=_REFERENCE_PREFIX + "{name}"
     )
@@ -200,7 +200,7 @@
 
 
 def _renamed(node: Any) -> Any:
-    """Replace the names of types in references and titles, at any depth of a schema."""
+    """Replace type names in references and titles at any depth of a schema."""
     if isinstance(node, dict):
         return {name: _renamed(value) for name, value in node.items()}
     if isinstance(node, list):
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -1,8 +1,9 @@
-"""Tables that operators pinned to an earlier version, and which of its entries may still be published.
+"""Tables that operators pinned to an earlier version.
 
-A pin becomes a new version with the old content, less the servers that were withdrawn or left the endpoint
-list since. A server that is not warmed up never gets more weight than the decisions give it. When no
-available server is left of a pin, the ordinary table is published.
+A pinned table is published as a new version with the entries of the earlier one. Servers that have been
+withdrawn since then stay withdrawn, and servers that have left the endpoint list since then are omitted. A
+server that is not warmed up gets at most the weight that the decision modules give it. If no available server
+of the pin is left, the unpinned table is published.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class PinnedVersion(NamedTuple):
-    """The content of an earlier version of a table, and who pinned it, why and when."""
+    """The entries of a pinned version of a table; operator, reason and time of the pin."""
 
     table: int
     version: int
@@ -29,14 +30,14 @@
 
 
 class PinError(Exception):
-    """A table can't be pinned or released; the message says why."""
+    """A table can't be pinned or released; the message states the reason."""
 
 
 class TablePins:
     """All pinned tables of a director.
 
-    The callbacks say of a server, as of now, whether the endpoint list holds it, whether it is withdrawn and
-    whether it is warmed up.
+    The callbacks return the current state of a server: whether it is in the endpoint list, whether it is
+    withdrawn, and whether it is warmed up.
     """
 
     def __init__(
@@ -49,19 +50,19 @@
         self.is_withdrawn = is_withdrawn
         self.is_warmed_up = is_warmed_up
         self.by_table: dict[int, PinnedVersion] = {}
-        self.idle_tables: set[int] = set()  # pinned, but no available server was left of the pin
+        self.idle_tables: set[int] = set()  # pinned, but the pin has no available servers
 
     def pin(
         self, table: int, snapshot: Snapshot | None, operator: str, reason: str, now_us: int
     ) -> PinnedVersion:
-        """Pin a table to a version; ``PinError`` if that is unknown (None) or nothing of it can be used."""
+        """Pin a table to a version; ``PinError`` if it is unknown (None) or has no available servers."""
         if snapshot is None:
-            raise PinError(f"that version of table {table} is not kept any more")
+            raise PinError(f"the requested version of table {table} is no longer retained")
         if not operator or not reason:
-            raise PinError("who does it, and why, must be said")
+            raise PinError("the operator (who) and the reason (why) of a pin must not be empty")
         pin = PinnedVersion(table, snapshot.version, dict(snapshot.lines), operator, reason, now_us)
         if not _has_available_server(self._publishable_lines(pin, {})):
-            raise PinError(f"every server of version {snapshot.version} has drained or gone, or is cold")
+            raise PinError(f"all servers of version {snapshot.version} are withdrawn, gone or not warmed up")
         self.by_table[table] = pin
         return pin
 
@@ -72,19 +73,19 @@
         self.idle_tables.discard(table)
         return self.by_table.pop(table)
 
-    def overlay(self, table: int, ordinary_lines: Lines) -> Lines:
-        """Return what to publish of a table whose content by the decisions is ``ordinary_lines``."""
+    def overlay(self, table: int, unpinned_lines: Lines) -> Lines:
+        """Return the entries to publish for a table; ``unpinned_lines`` are those of the decision modules."""
         pin = self.by_table.get(table)
         if pin is None:
-            return ordinary_lines
-        lines = self._publishable_lines(pin, ordinary_lines)
+            return unpinned_lines
+        lines = self._publishable_lines(pin, unpinned_lines)
         if _has_available_server(lines):
             self.idle_tables.discard(table)
             return lines
         self.idle_tables.add(table)
-        return ordinary_lines
+        return unpinned_lines
 
-    def _publishable_lines(self, pin: PinnedVersion, ordinary_lines: Lines) -> Lines:
+    def _publishable_lines(self, pin: PinnedVersion, unpinned_lines: Lines) -> Lines:
         lines: Lines = {}
         for server, pinned in pin.lines.items():
             if not self.is_listed(server):
@@ -93,18 +94,18 @@
                 lines[server] = WITHDRAWN_ENTRY
             elif pinned[0] and self.is_warmed_up(server):
                 lines[server] = pinned
-            elif server in ordinary_lines:
-                lines[server] = _limited_entry(pinned, ordinary_lines[server])
+            elif server in unpinned_lines:
+                lines[server] = _limited_entry(pinned, unpinned_lines[server])
         return lines
 
 
-def _limited_entry(pinned: Entry, ordinary: Entry) -> Entry:
+def _limited_entry(pinned: Entry, unpinned: Entry) -> Entry:
     """Return the entry of a server that is not warmed up, or that was withdrawn in the pinned version."""
     pinned_weight, _ = pinned
     if not pinned_weight:
         return WITHDRAWN_ENTRY
-    ordinary_weight, ordinary_flags = ordinary
-    return min(pinned_weight, ordinary_weight), ordinary_flags
+    unpinned_weight, unpinned_flags = unpinned
+    return min(pinned_weight, unpinned_weight), unpinned_flags
 
 
 def _has_available_server(lines: Lines) -> bool:
--- a/rainpick/publish/table_updates.py
+++ b/rainpick/publish/table_updates.py
@@ -1,7 +1,7 @@
-"""The director's side: from the version of a table that a subscriber holds to the newest one.
+"""Director side of table distribution: updates from a subscriber's version of a table to the newest one.
 
-A subscriber that is behind is sent a single update, whatever it missed: a delta where that is shorter, else a
-snapshot.
+A subscriber that is behind gets a single update, no matter how many versions it missed: a delta if that is
+shorter, otherwise a snapshot.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 
 
 class EncodedUpdate(NamedTuple):
-    """A table update and its bytes."""
+    """A table update and its encoded payload."""
 
     update: TableUpdate
     payload: bytes
 
 
 class TableUpdateEncoder:
-    """Makes and encodes table updates, once for all subscribers that need the same one."""
+    """Creates and encodes table updates. Subscribers that need the same update share one."""
 
     def __init__(self, epoch: str):
         self.epoch = epoch
-        # By table, base (None for a snapshot) and newest version, which have the identity of their objects.
+        # By table, base version (None for a snapshot) and newest version; versions compare by identity.
         self._shared: OrderedDict[tuple[int, Snapshot | None, Snapshot], EncodedUpdate] = OrderedDict()
 
     def update(self, table: int, held: Snapshot | None, newest: Snapshot) -> EncodedUpdate:
-        """Return the update for a subscriber that holds ``held``; None stands for nothing that is known."""
+        """Return the update for a subscriber with the version ``held``, None if its version is unknown."""
         is_base = held is not None and held.known and held.table == table
         base = held if is_base else None
         shared_key = (table, base, newest)
@@ -53,7 +53,7 @@
         return encoded
 
     def snapshot(self, table: int, newest: Snapshot) -> TableSnapshot:
-        """Return a version of a table with all its entries, those of weight 0 first."""
+        """Return a snapshot of a version of a table, with withdrawn servers first."""
         return TableSnapshot(
             self.epoch, table, newest.version, newest.digest, _server_weights(newest.whole())
         )
@@ -68,7 +68,7 @@
         return TableDelta(self.epoch, table, base.version, newest.version, newest.digest, updated, removed)
 
     def unbound_weights(self, delta: Delta) -> tuple[ServerWeight, ...]:
-        """Return withdrawals and returns for a proxy without a table."""
+        """Return withdrawals and readmissions for a proxy without a table."""
         return _server_weights(delta.lines)
 
     def _shorter_update(self, table: int, base: Snapshot | None, newest: Snapshot) -> TableUpdate:
--- a/rainpick/publish/topics.py
+++ b/rainpick/publish/topics.py
@@ -1,4 +1,4 @@
-"""Topics of the MQTT front; ``docs/tables.md`` says who publishes what on each."""
+"""Topics of the MQTT frontend; ``docs/tables.md`` specifies the publisher and the payload of each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def proxy_topic(uid: str, message_kind: str) -> str:
-    """Return the topic of a proxy's own messages of one kind, such as ``presence`` or ``report``."""
+    """Return the topic of one kind of messages to or from a proxy, such as ``presence`` or ``report``."""
     return f"{TOPIC_ROOT}/proxy/{uid}/{message_kind}"
 
 
