--- a/rainpick/record/__init__.py
+++ b/rainpick/record/__init__.py
@@ -1,7 +1,9 @@
-"""Recording of a director's decisions step by step, and replay of such records.
+"""Recording of the steps of a director, and replay of the records.
 
-``recorder`` writes a record into a ``rainpick.store``; ``steps`` and ``schema`` are its bytes and stored
-names. ``incarnations`` and ``clock`` read records, ``replay`` feeds them to the decisions again, ``compare``
-(with ``view``, ``limits`` and ``series``) shows the differences in users' terms, ``page`` as HTML.
-``load`` and ``folder_package`` load other texts of the decisions, ``exchange`` exports and imports records.
+``recorder`` writes a record to a ``rainpick.store``; ``steps`` encodes and decodes its payloads, ``schema``
+holds the stored names. ``incarnations`` and ``clock`` read records. ``replay`` feeds the recorded events to
+the decision modules again, ``compare`` (with ``view``, ``limits`` and ``series``) measures the effect of
+differing commands on requests, and ``page`` renders the result as HTML. ``inspect`` reports the state of a
+director at a point in time. ``load`` and ``folder_package`` load other versions of the decision modules,
+``digest`` identifies a version, and ``exchange`` exports and imports records.
 """
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -1,4 +1,4 @@
-"""Records of several directors on one wall clock, and load reports by the time that they cover."""
+"""Steps of several records merged by wall clock, and load reports ordered by the interval they cover."""
 
 from __future__ import annotations
 
@@ -14,102 +14,105 @@
 from rainpick.store import read
 
 
-class Moment(NamedTuple):
-    """A step of one of several records."""
+class TimedStep(NamedTuple):
+    """A recorded step with its wall clock time and its position."""
 
     wall_us: int  # microseconds since 1970
-    record: int  # index of the record
+    record: int  # from 0, in the order of the record folders
     position: int  # of the step in its record, from 1, in the order of writing
     number: int  # of the incarnation in its record, from 0
     incarnation: Incarnation
     step: Step | MissingSteps
 
 
-def read_moments(folder: Path, record: int = 0) -> Iterator[Moment]:
-    """A record's steps in the order of writing. Missing steps have the time of the step before them."""
+def read_timed_steps(folder: Path, record: int = 0) -> Iterator[TimedStep]:
+    """Yield the steps of a record in writing order. Missing steps get the time of the previous step."""
     position, wall_us = 0, 0
     for number, (incarnation, steps) in enumerate(read_incarnations(read(folder))):
         for step in steps:
             position += 1
             if isinstance(step, Step):
                 wall_us = step.now - incarnation.now + incarnation.wall_us
-            yield Moment(wall_us, record, position, number, incarnation, step)
+            yield TimedStep(wall_us, record, position, number, incarnation, step)
 
 
-def merge_by_wall_clock(folders: list[Path]) -> Iterator[Moment]:
-    """All records on one clock. Each keeps its own order, even where the wall clock was set back.
+def merge_by_wall_clock(folders: list[Path]) -> Iterator[TimedStep]:
+    """Merge the steps of all records by wall clock time. Each record keeps its own order.
 
-    A merge takes the least of the next moments: one whose clock was set back comes at once, and does not
-    change the order of the others.
+    The merge always yields the earliest of the records' next steps. A step that was written after the wall
+    clock was set back is therefore yielded at once, and the order of the other records does not change.
     """
-    streams = [read_moments(folder, index) for index, folder in enumerate(folders)]
-    return heapq.merge(*streams, key=lambda moment: moment.wall_us)
+    streams = [read_timed_steps(folder, index) for index, folder in enumerate(folders)]
+    return heapq.merge(*streams, key=lambda timed_step: timed_step.wall_us)
 
 
 def replay_together(
     folders: list[Path],
-    make_director: Callable[[], Director] = Director,
-    changes: dict[str, Any] | None = None,
-    replace: dict[str, Any] | None = None,
+    director_factory: Callable[[], Director] = Director,
+    setting_overrides: dict[str, Any] | None = None,
+    replacement_settings: dict[str, Any] | None = None,
     compare: bool = False,
 ) -> list[ReplayResult]:
-    """Replay all incarnations of all records side by side; the other parameters are those of ``Replay``."""
+    """Replay all incarnations of all records in wall clock order; for the other parameters see ``Replay``."""
     replays: dict[tuple[int, int], Replay] = {}
-    for moment in merge_by_wall_clock(folders):
-        key = moment.record, moment.number
+    for timed_step in merge_by_wall_clock(folders):
+        key = timed_step.record, timed_step.number
         if key not in replays:
-            replays[key] = Replay(moment.incarnation, make_director, changes, replace, compare)
-        replays[key].apply(moment.step)
+            replays[key] = Replay(
+                timed_step.incarnation, director_factory, setting_overrides, replacement_settings, compare
+            )
+        replays[key].apply(timed_step.step)
     return [replays[key].result() for key in sorted(replays)]
 
 
 def replay_until(
-    folders: list[Path], second: float | None, make_director: Callable[[], Director] = Director
+    folders: list[Path], until_s: float | None, director_factory: Callable[[], Director] = Director
 ) -> list[Replay]:
-    """The incarnations that ran at one moment of the wall clock, one for each record that had begun.
+    """Replay up to a point in time and return the incarnation that was running then, for each started record.
 
-    ``second`` counts from the first step of all records; None is the end.
+    ``until_s``: seconds since the earliest step of all records; None replays to the end.
     """
     begin_us: int | None = None
-    numbers: dict[int, int] = {}  # of the incarnation that runs, by record
+    running_numbers: dict[int, int] = {}  # of the running incarnation, by record
     replays: dict[int, Replay] = {}  # by record
-    for moment in merge_by_wall_clock(folders):
+    for timed_step in merge_by_wall_clock(folders):
         if begin_us is None:
-            begin_us = moment.wall_us
-        if second is not None and moment.wall_us > begin_us + second * 1e6:
+            begin_us = timed_step.wall_us
+        if until_s is not None and timed_step.wall_us > begin_us + until_s * 1e6:
             break
-        if numbers.get(moment.record) != moment.number:
-            numbers[moment.record] = moment.number
-            replays[moment.record] = Replay(moment.incarnation, make_director)
-        replays[moment.record].apply(moment.step)
+        if running_numbers.get(timed_step.record) != timed_step.number:
+            running_numbers[timed_step.record] = timed_step.number
+            replays[timed_step.record] = Replay(timed_step.incarnation, director_factory)
+        replays[timed_step.record].apply(timed_step.step)
     return [replays[record] for record in sorted(replays)]
 
 
 class TimedReport(NamedTuple):
-    """A load report and the time that it covers: it began this long ago at the latest when it came."""
+    """A load report, the time at which it was received, and the latest possible begin of its interval."""
 
     received_us: int
-    began_us: int
+    began_us: int  # if the interval ended on receipt; it may have ended earlier
     event: Any
 
 
 class OrderedReport(NamedTuple):
-    """A load report with its position by the time that it covers and by the time when it came, from 1."""
+    """A load report with its position in both orders, counted from 1."""
 
-    position: int
-    received_position: int
+    position: int  # by the begin of its interval
+    received_position: int  # by the time of receipt
     report: TimedReport
 
 
 def reports_by_time(
-    steps: Iterator[Step | MissingSteps], window_us: int = 60_000_000
+    steps: Iterator[Step | MissingSteps], reorder_window_us: int = 60_000_000
 ) -> Iterator[OrderedReport]:
-    """Load reports in the order in which the intervals that they cover began.
+    """Yield load reports ordered by the begin of the interval that each of them covers.
 
-    An interval ends before its report comes, so a report that comes later may cover an earlier one. A report
-    that comes more than ``window_us`` after its interval began is placed after those that were given out.
+    Reports may be received in another order, since an interval ends before its report is received. A report
+    that is received more than ``reorder_window_us`` after the begin of its interval is yielded after reports
+    that were already yielded, even if their intervals began later.
     """
-    heap: list[tuple[int, int, TimedReport]] = []  # by begin, then by the order of receipt
+    heap: list[tuple[int, int, TimedReport]] = []  # by begin of the interval, then by order of receipt
     received = position = 0
     for step in steps:
         if isinstance(step, MissingSteps):
@@ -121,7 +124,7 @@
             received += 1
             report = TimedReport(step.now, step.now - interval_us, event)
             heapq.heappush(heap, (report.began_us, received, report))
-        while heap and heap[0][0] < step.now - window_us:
+        while heap and heap[0][0] < step.now - reorder_window_us:
             position += 1
             yield OrderedReport(position, *heapq.heappop(heap)[1:])
     while heap:
--- a/rainpick/record/digest.py
+++ b/rainpick/record/digest.py
@@ -1,4 +1,4 @@
-"""A digest of the decisions' text: a record says by it which text gave its orders."""
+"""Digest of the decision modules. A record stores it to identify the version that issued its commands."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def decisions_digest(folder: Path = Path(decisions.__file__).parent) -> str:
-    """XXH3 (128 bits, in hexadecimal) of all decision modules in a folder: their names and contents."""
+    """Return the XXH3 digest (128 bits, hexadecimal) of the names and contents of a folder's modules."""
     digest = xxh3_128()
     for path in sorted(folder.rglob("*.py")):
-        text = path.read_bytes()
-        # The length separates a name from the text that follows, and that from the next name.
-        digest.update(b"%s\0%d\0%s" % (path.relative_to(folder).as_posix().encode(), len(text), text))
+        source = path.read_bytes()
+        # The length delimits the source text, so that different splits into files have different digests.
+        digest.update(b"%s\0%d\0%s" % (path.relative_to(folder).as_posix().encode(), len(source), source))
     return digest.hexdigest()
--- a/rainpick/record/exchange.py
+++ b/rainpick/record/exchange.py
@@ -1,7 +1,7 @@
-"""Export of a record as lines of JSON, to hand to others or to other programs, and import of such a file.
+"""Export of a record as JSON lines for use by other programs, and import of such a file.
 
-Nothing is lost on the way. The keys of the lines, and the names of types and fields in them, are stored
-names: they never change.
+Export and import are lossless. The keys of the lines, and the names of types and fields in them, are part of
+the file format and never change.
 """
 
 from __future__ import annotations
@@ -19,41 +19,41 @@
     Incarnation,
     RecordKind,
     Step,
+    StepDecoder,
     StepError,
-    StepReader,
-    read_incarnation,
-    write_incarnation,
-    write_step,
+    decode_incarnation,
+    encode_incarnation,
+    encode_step,
 )
 from rainpick.store import Log, Record
 
 FORMAT = "rainpick-record-1"
-LINE_MOST = 16 << 20  # bytes of a line that is read
-FLUSH_RECORDS = 500  # records that go into one block of an imported record
-BYTES_FIELDS = {"PeerSaid": 1, "Tell": 1}  # by stored name: the index of the field that holds bytes
+MAX_LINE_BYTES = 16 << 20
+RECORDS_PER_BLOCK = 500  # of an imported record
+BYTES_FIELDS = {"PeerSaid": 1, "Tell": 1}  # by stored name: index of the field of type bytes
 CODES_BY_NAME = {STORED_NAMES[kind]: code for kind, code in CODES.items()}
 encoder = msgspec.json.Encoder()
 
 
 class ExchangeError(ValueError):
-    """The file is no export, or the folder can't take one; the text says in which line, and why."""
+    """The file is not a valid export, or the folder already has a store; the message states the reason."""
 
 
 def export_lines(entries: Iterable[StoreEntry]) -> Iterator[bytes]:
-    """A record's lines. What is damaged or missing is a line too: ``{"hole": ...}``."""
+    """Yield the lines of an export. Damaged or missing parts are lines of the form ``{"hole": ...}``."""
     yield encoder.encode({"form": FORMAT}) + b"\n"
-    reader = StepReader()
+    decoder = StepDecoder()
     for entry in entries:
         if not isinstance(entry, Record):
             yield encoder.encode({"hole": f"{type(entry).__name__.lower()} {entry._asdict()}"}) + b"\n"
         elif entry.kind == RecordKind.INCARNATION:
-            incarnation = read_incarnation(entry.payload)
-            reader = StepReader(incarnation.types)
+            incarnation = decode_incarnation(entry.payload)
+            decoder = StepDecoder(incarnation.types)
             yield encoder.encode({"t": entry.time_us, "life": incarnation_fields(incarnation)}) + b"\n"
         elif entry.kind == RecordKind.LOST:
             yield encoder.encode({"t": entry.time_us, "lost": int(entry.payload)}) + b"\n"
         elif entry.kind == RecordKind.STEP:
-            step = reader.read_step(entry.payload)
+            step = decoder.decode_step(entry.payload)
             line = {
                 "t": entry.time_us,
                 "now": step.now,
@@ -64,7 +64,7 @@
 
 
 def incarnation_fields(incarnation: Incarnation) -> dict[str, Any]:
-    """An incarnation by its stored names. An export names the types of its values, so it declares none."""
+    """Return an incarnation by stored names; it declares no types, since rows in an export name theirs."""
     return {
         "director": incarnation.director,
         "epoch": incarnation.epoch,
@@ -77,63 +77,63 @@
 
 
 def named_rows(values: list[Any]) -> list[list[Any]]:
-    """Events or orders as rows: stored name of the type, then the fields."""
+    """Convert events or commands to rows: the stored name of the type, then the fields."""
     return [[STORED_NAMES[type(value)], *value] for value in values]
 
 
-def read_row(row: list[Any], reader: StepReader) -> Any:
-    """An event or order from its row; ``LookupError`` for a name that is not known."""
+def decode_row(row: list[Any], decoder: StepDecoder) -> Any:
+    """Decode an event or command from its row; ``LookupError`` if the name of the type is unknown."""
     name, *fields = row
     if name in BYTES_FIELDS:
         index = BYTES_FIELDS[name]
         fields[index] = base64.b64decode(fields[index])
-    return reader.read_value([CODES_BY_NAME[name], *fields])
+    return decoder.decode_value([CODES_BY_NAME[name], *fields])
 
 
-class _Import:
-    """Puts the lines of an export into a store, one after the other."""
+class _Importer:
+    """Appends the lines of an export to a store."""
 
     def __init__(self, log: Log):
         self.log = log
-        self.reader = StepReader()
-        self.gaps = 0  # lines that tell of damage
+        self.decoder = StepDecoder()
+        self.gaps = 0  # number of lines that report damaged or missing parts
 
     def add(self, line: dict[str, Any]) -> None:
-        """Add a decoded line; errors of any kind if it is none of an export."""
+        """Append a decoded line. If it is malformed, exceptions of several types are possible."""
         if "hole" in line:
             self.gaps += 1
             self.log.append(0, RecordKind.LOST, b"%d" % self.gaps)
         elif "life" in line:
             fields = {name: value for name, value in dict(line["life"]).items() if name != "types"}
-            self.log.append(line["t"], RecordKind.INCARNATION, write_incarnation(Incarnation(**fields)))
+            self.log.append(line["t"], RecordKind.INCARNATION, encode_incarnation(Incarnation(**fields)))
         elif "lost" in line:
             self.log.append(line["t"], RecordKind.LOST, b"%d" % line["lost"])
         else:
             events, orders = (
-                [read_row(row, self.reader) for row in line[part]] for part in ("events", "orders")
+                [decode_row(row, self.decoder) for row in line[part]] for part in ("events", "orders")
             )
-            self.log.append(line["t"], RecordKind.STEP, write_step(Step(line["now"], events, orders)))
+            self.log.append(line["t"], RecordKind.STEP, encode_step(Step(line["now"], events, orders)))
 
 
 def import_lines(lines: Iterable[bytes], log: Log) -> int:
-    """Put an export into an empty store and return the number of records.
+    """Import an export into an empty store and return the number of records.
 
-    ``ExchangeError`` names the line that is wrong.
+    ``ExchangeError`` states the number of the malformed line.
     """
-    importer = _Import(log)
+    importer = _Importer(log)
     count = 0
     for number, line in enumerate(lines, 1):
         try:
-            if len(line) > LINE_MOST:
-                raise ValueError(f"more than {LINE_MOST} bytes")
+            if len(line) > MAX_LINE_BYTES:
+                raise ValueError(f"the line is longer than {MAX_LINE_BYTES} bytes")
             decoded = msgspec.json.decode(line)
             if number == 1:
                 if not isinstance(decoded, dict) or decoded.get("form") != FORMAT:
-                    raise ValueError(f"an export begins with the form {FORMAT!r}")
+                    raise ValueError(f"the first line of an export must have the form {FORMAT!r}")
                 continue
             importer.add(decoded)
             count += 1
-            if count % FLUSH_RECORDS == 0:
+            if count % RECORDS_PER_BLOCK == 0:
                 log.flush()
         except (msgspec.MsgspecError, StepError, ValueError, TypeError, LookupError, RecursionError) as error:
             raise ExchangeError(f"line {number}: {type(error).__name__}: {error}") from None
@@ -142,16 +142,17 @@
 
 
 def import_file(path: Path, folder: Path) -> int:
-    """Make a new store from an export and return the number of records.
+    """Create a store from an export and return the number of records.
 
-    The folder must hold no store, and nothing is left in it if the file is wrong: ``ExchangeError``.
+    ``ExchangeError`` if the folder already contains a store or the file is malformed; a malformed file leaves
+    no segments in the folder.
     """
     if folder.exists() and any(folder.glob("*.seg")):
-        raise ExchangeError(f"{folder} holds a record already")
+        raise ExchangeError(f"{folder} already contains a record")
     log = Log(folder, sync=False)
     try:
         with open(path, "rb") as file:
-            count = import_lines(iter(lambda: file.readline(LINE_MOST + 1), b""), log)
+            count = import_lines(iter(lambda: file.readline(MAX_LINE_BYTES + 1), b""), log)
     except ExchangeError as error:
         log.close()
         for segment in folder.glob("*.seg"):
--- a/rainpick/record/folder_package.py
+++ b/rainpick/record/folder_package.py
@@ -1,4 +1,4 @@
-"""A folder of decision modules as a package beside the installed one, for replays by another text."""
+"""Import of a folder of decision modules next to the installed package, for replays with another version."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 import rainpick
 
-INSTALLED = "rainpick.decisions"
+INSTALLED_PACKAGE = "rainpick.decisions"
 
 
 class RainpickView(ModuleType):
-    """The package ``rainpick`` as modules of a loaded folder see it: its ``decisions`` are the folder's."""
+    """The package ``rainpick`` for the modules of a loaded folder, with the folder as its ``decisions``."""
 
     def __init__(self, package: ModuleType):
         super().__init__("rainpick", rainpick.__doc__)
@@ -37,34 +37,37 @@
         self.import_function = import_function
 
     def get_code(self, fullname: str) -> CodeType:
-        """Compile the text itself: a cached file may stem from a text of the same size and second."""
+        """Compile the source without the bytecode cache.
+
+        A cached file may belong to an earlier source of the same size and modification second.
+        """
         path = self.get_filename(fullname)
         return self.source_to_code(self.get_data(path), path)
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run the module with its own ``__import__``; import statements within functions use it, too."""
+        """Execute the module with its own ``__import__``, also for import statements in functions."""
         vars(module)["__builtins__"] = vars(builtins) | {"__import__": self.import_function}
         super().exec_module(module)
 
 
 class FolderPackage(MetaPathFinder):
-    """A folder of decision modules as a package under a private name, beside the installed package.
+    """Imports a folder of decision modules as a package under a private name, next to the installed package.
 
-    Its modules import each other as ``rainpick.decisions.NAME`` or relatively. Both give the folder's own
-    modules; one that the folder lacks can't be imported, even if it is installed. ``sys.modules`` gets
-    entries under the private name alone, so the installed decisions stay as they are.
+    Its modules import each other as ``rainpick.decisions.NAME`` or relatively. Both forms resolve to modules
+    of the folder; a module that the folder lacks can't be imported, even if it is installed. Entries in
+    ``sys.modules`` are only added under the private name, so the installed modules are not affected.
     """
 
     def __init__(self, name: str, folder: Path):
         self.name, self.folder = name, folder
 
     def load(self, module_name: str) -> ModuleType:
-        """Import a module of the folder; whatever its text raises passes through, see ``unload``."""
-        sys.meta_path.insert(0, self)  # it stays there: functions may import when they are called
+        """Import a module of the folder. Exceptions of its code are propagated; call ``unload`` after one."""
+        sys.meta_path.insert(0, self)  # not removed, since functions may import when they are called
         return importlib.import_module(f"{self.name}.{module_name}")
 
     def unload(self) -> None:
-        """Remove every trace of the folder from the import system."""
+        """Remove the folder and its modules from the import system."""
         sys.meta_path.remove(self)
         for name in [name for name in sys.modules if f"{name}.".startswith(f"{self.name}.")]:
             del sys.modules[name]
@@ -75,7 +78,7 @@
         path: Sequence[str] | None,  # noqa: ARG002 - the import system's signature
         target: ModuleType | None = None,  # noqa: ARG002 - the import system's signature
     ) -> ModuleSpec | None:
-        """The folder itself and the modules in it; None for every other name."""
+        """Return the spec of the folder or of a module in it; None for all other names."""
         if fullname == self.name:
             return self.package_spec(fullname, self.folder)
         if not fullname.startswith(f"{self.name}."):
@@ -91,7 +94,7 @@
         )
 
     def package_spec(self, fullname: str, folder: Path) -> ModuleSpec:
-        """A folder need not have an ``__init__.py``."""
+        """Return the spec of a folder, with or without an ``__init__.py``."""
         file = folder / "__init__.py"
         loader = FolderLoader(fullname, file, self.import_module) if file.is_file() else None
         spec = ModuleSpec(fullname, loader, origin=str(file), is_package=True)
@@ -106,19 +109,19 @@
         fromlist: Sequence[str] | None = (),
         level: int = 0,
     ) -> ModuleType:
-        """What an import statement of the folder's modules calls; see ``builtins.__import__``."""
+        """Replace ``builtins.__import__`` for the modules of the folder."""
         if level or name.partition(".")[0] != "rainpick":
             return builtins.__import__(name, globals, locals, fromlist or (), level)
-        if name == INSTALLED or name.startswith(f"{INSTALLED}."):
-            private_name = self.name + name.removeprefix(INSTALLED)
+        if name == INSTALLED_PACKAGE or name.startswith(f"{INSTALLED_PACKAGE}."):
+            private_name = self.name + name.removeprefix(INSTALLED_PACKAGE)
             if fromlist:
                 return builtins.__import__(private_name, globals, locals, fromlist, 0)
             importlib.import_module(private_name)
             return self.rainpick_view()
-        others = [each for each in fromlist or () if (name, each) != ("rainpick", "decisions")]
-        module = builtins.__import__(name, globals, locals, others, 0)
+        other_names = [item for item in fromlist or () if (name, item) != ("rainpick", "decisions")]
+        module = builtins.__import__(name, globals, locals, other_names, 0)
         return module if fromlist and name != "rainpick" else self.rainpick_view()
 
     def rainpick_view(self) -> ModuleType:
-        """The module that is bound to the name ``rainpick``."""
+        """Return the module that import statements bind to the name ``rainpick``."""
         return RainpickView(importlib.import_module(self.name))
--- a/rainpick/record/incarnations.py
+++ b/rainpick/record/incarnations.py
@@ -1,4 +1,4 @@
-"""The incarnations in a record, each with its steps and with the places where steps are missing."""
+"""Reading of the incarnations in a record, each with its steps and the positions of missing steps."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
 
-from rainpick.record.steps import Incarnation, RecordKind, Step, StepError, StepReader, read_incarnation
+from rainpick.record.steps import Incarnation, RecordKind, Step, StepDecoder, StepError, decode_incarnation
 from rainpick.store import Damage, Gap, Record, Torn
 
 StoreEntry = Record | Damage | Torn | Gap
 
 
 class MissingSteps(NamedTuple):
-    """Steps are missing here: the decisions can't be brought to the state in which they were."""
+    """Marks a position at which steps are missing, so that the director's later state can't be reproduced."""
 
     reason: str
 
 
 class _Cursor:
-    """A position in a record: the entries that are left, and the incarnation that begins next."""
+    """Position in a record: the remaining entries, and the next incarnation once its record was read."""
 
     def __init__(self, entries: Iterable[StoreEntry]):
         self.entries = iter(entries)
         self.next: Record | None = None
 
-    def steps(self, reader: StepReader) -> Iterator[Step | MissingSteps]:
-        """Steps up to the next incarnation or the end of the record."""
+    def steps(self, decoder: StepDecoder) -> Iterator[Step | MissingSteps]:
+        """Yield the steps up to the next incarnation or the end of the record."""
         for entry in self.entries:
             if isinstance(entry, Torn):
-                continue  # what a crash cut off was never known to be written
+                continue  # a block that a crash truncated was never reported as written
             if not isinstance(entry, Record):
                 yield MissingSteps(f"{type(entry).__name__.lower()}: {tuple(entry)}")
             elif entry.kind == RecordKind.INCARNATION:
@@ -39,7 +39,7 @@
                 yield MissingSteps(f"{entry.payload.decode()} steps were not recorded")
             elif entry.kind == RecordKind.STEP:
                 try:
-                    yield reader.read_step(entry.payload)
+                    yield decoder.decode_step(entry.payload)
                 except StepError as error:
                     yield MissingSteps(str(error))
 
@@ -47,31 +47,33 @@
 def read_incarnations(
     entries: Iterable[StoreEntry],
 ) -> Iterator[tuple[Incarnation, Iterator[Step | MissingSteps]]]:
-    """The incarnations in a record, each with its steps; read one to its end before the next."""
+    """Yield the incarnations in a record with their steps. Exhaust the steps of one before the next."""
     cursor = _Cursor(entries)
-    # Steps of an incarnation whose beginning is no longer kept.
-    deque(cursor.steps(StepReader()), maxlen=0)
+    # Skip the steps of an incarnation whose first record is no longer retained.
+    deque(cursor.steps(StepDecoder()), maxlen=0)
     while cursor.next is not None:
-        incarnation = read_incarnation(cursor.next.payload)
+        incarnation = decode_incarnation(cursor.next.payload)
         cursor.next = None
-        yield incarnation, cursor.steps(StepReader(incarnation.types))
+        yield incarnation, cursor.steps(StepDecoder(incarnation.types))
 
 
 def select_incarnation(
     open_record: Callable[[], Iterable[StoreEntry]], number: int
 ) -> tuple[Incarnation, Iterator[Step | MissingSteps]]:
-    """An incarnation of a record by its number, from the end if it is negative.
+    """Return an incarnation of a record by its number; negative numbers count from the end.
 
-    The record is opened twice: to count, and to read. ``LookupError`` if there is no such number.
+    The record is opened twice, first to count the incarnations. ``LookupError`` if the number does not exist.
     """
     count = 0
     for _, steps in read_incarnations(open_record()):
         count += 1
         deque(steps, maxlen=0)
     if not -count <= number < count:
-        raise LookupError(f"there are {count} lives, none has number {number}")
+        raise LookupError(
+            f"incarnations in the record: {count} (numbered from 0); there is no number {number}"
+        )
     for index, (incarnation, steps) in enumerate(read_incarnations(open_record())):
         if index == number % count:
             return incarnation, steps
         deque(steps, maxlen=0)
-    raise LookupError("the record was cut meanwhile")
+    raise LookupError("incarnations were deleted from the record while it was being read")
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -1,8 +1,9 @@
-"""What a director knew at a moment of a recorded day, and why a weight is what it is.
+"""State of a director at a point in time of a record, and the factors behind each weight.
 
-The factors of a weight are asked of the decisions themselves: they are given the same state without a cause,
-and what changes is that cause's factor. Nothing of their arithmetic is written here a second time. The names
-in what is returned are those that ``--inspect --json`` has always printed.
+The factors come from the decision modules themselves, so that their arithmetic is not duplicated here: the
+percentage is computed with the state of one cause reset and then again with its actual state, and the ratio
+is the factor of this cause. The keys of the returned dicts are the output of ``--inspect --json`` and must
+not change.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 
 
 class InspectError(LookupError):
-    """No such server, table or proxy is held at that moment, or the moment can't be reached."""
+    """The subject does not exist at the requested time, or the record does not cover this time."""
 
 
 class Factor(NamedTuple):
-    """A cause and what it multiplies the weight by; 1.0: it did not bind."""
+    """A cause and the factor by which it changes the weight; 1.0 means that it had no effect."""
 
     cause: str
-    times: float
+    multiplier: float
 
 
 def reach(
@@ -45,7 +46,7 @@
     until_us: int,
     director_factory: Callable[[], Director] = Director,
 ) -> Director:
-    """The director as it was after the last step at or before ``until_us``, by its own clock."""
+    """Replay up to ``until_us`` of the director's own clock and return the director after the last step."""
     replay = Replay(incarnation, director_factory)
     for step in steps:
         if isinstance(step, Step) and step.now > until_us:
@@ -57,14 +58,14 @@
 
 
 def completed(replay: Replay) -> Director:
-    """The director of a replay without missing steps; ``InspectError`` if some are missing."""
+    """Return the director of a replay; ``InspectError`` if steps were missing."""
     if replay.missing is not None:
         raise InspectError(f"steps are missing before that moment: {replay.missing.reason}")
     return replay.director
 
 
 def inspect_subject(director: Director, subject: str) -> dict[str, Any]:
-    """What is known of ``fleet``, ``server=HOST:PORT``, ``table=N`` or ``proxy=N``."""
+    """Return the state of a subject: ``fleet``, ``server=HOST:PORT``, ``table=N`` or ``proxy=N``."""
     kind, _, name = subject.partition("=")
     if kind == "fleet":
         return fleet(director)
@@ -75,37 +76,40 @@
     raise InspectError(f"{subject!r} is not fleet, server=HOST:PORT, table=N or proxy=N")
 
 
-def find(director: Director, address_text: str) -> ServerState:
-    """The server whose address is printed so; ``InspectError`` if there is none."""
+def find_server(director: Director, address_text: str) -> ServerState:
+    """Return the server with this formatted address; ``InspectError`` if there is none."""
     servers = director.fleet.servers
     for address, server_state in servers.items():
         if format_address(address) == address_text:
             return server_state
-    raise InspectError(f"no server {address_text!r} is held; there are " + some(map(format_address, servers)))
+    raise InspectError(
+        f"no server {address_text!r} is held; there are " + abbreviated(map(format_address, servers))
+    )
 
 
-def some(names: Iterable[Any]) -> str:
-    """The first few names, for an error message."""
+def abbreviated(names: Iterable[Any]) -> str:
+    """Join names for an error message, with at most eight of them."""
     names = [str(name) for name in names]
     return ", ".join(names[:8]) + (f" and {len(names) - 8} more" if len(names) > 8 else "") or "none"
 
 
 def percentage(director: Director, server: ServerState, conditions: Conditions) -> float:
-    """The percentage that the decisions give a server under some conditions; asking leaves no trace."""
+    """Compute the percentage of a server under given conditions, without a change to the server."""
     return director.slow_start.advance(copy.copy(server), conditions)
 
 
 def factors(director: Director, server: ServerState) -> list[Factor]:
-    """The causes of a server's percentage, in the decisions' order; their product is the percentage.
+    """Return the factors of a server's percentage in the order of the decision modules.
 
-    A cause is put back into a copy of the server, or into the conditions, after another.
+    Their product is the percentage. All causes are first reset in a copy of the server and in the conditions,
+    and then restored one after the other.
     """
     actual = director.conditions()
     conditions = Conditions({}, 1.0, 0.0, 1.0)
-    probe = copy.copy(server)
-    probe.endpoint = probe.endpoint._replace(started_us=0)
-    probe.status, probe.capacity_factor = EndpointState.READY, 1.0
-    probe.recovering_since_us, probe.ejected_until_us = None, 0
+    server_copy = copy.copy(server)
+    server_copy.endpoint = server_copy.endpoint._replace(started_us=0)
+    server_copy.status, server_copy.capacity_factor = EndpointState.READY, 1.0
+    server_copy.recovering_since_us, server_copy.ejected_until_us = None, 0
     recovery = {
         "recovering_since_us": server.recovering_since_us,
         "consecutive_ejections": server.consecutive_ejections,
@@ -121,33 +125,36 @@
         ("cold, and the fleet is in a jam", {}, congestion),
         ("cold, and few are warm", {}, {"warming_fraction": actual.warming_fraction}),
     )
-    result, before = [], 1.0
-    for cause, of_server, of_conditions in causes:
-        for name, value in of_server.items():
-            setattr(probe, name, value)
-        conditions = conditions._replace(**of_conditions)
-        now = percentage(director, probe, conditions)
-        result.append(Factor(cause, now / before if before else 1.0))
-        before = now
+    result, previous = [], 1.0
+    for cause, server_fields, condition_fields in causes:
+        for name, value in server_fields.items():
+            setattr(server_copy, name, value)
+        conditions = conditions._replace(**condition_fields)
+        current = percentage(director, server_copy, conditions)
+        result.append(Factor(cause, current / previous if previous else 1.0))
+        previous = current
     return result
 
 
 def table_factors(director: Director, server: ServerState, table: Table) -> list[Factor]:
-    """What a table multiplies a server's weight by, beside its percentage."""
+    """Return the factors of a server's weight in a table that its percentage does not include."""
     effective_weight = server.effective_weight()
     if not effective_weight:
         return []
     without_warming = copy.copy(table)
     without_warming.warming_fraction = 1.0
-    local = director.assignment.weight(server, without_warming) / effective_weight
+    locality_factor = director.assignment.weight(server, without_warming) / effective_weight
     weight = director.assignment.weight(server, table)
-    rest = weight / effective_weight / local if local else 1.0
-    return [Factor("of another zone", local), Factor("cold, and few of the table are warm", rest)]
+    warming_factor = weight / effective_weight / locality_factor if locality_factor else 1.0
+    return [
+        Factor("of another zone", locality_factor),
+        Factor("cold, and few of the table are warm", warming_factor),
+    ]
 
 
 def server(director: Director, address_text: str) -> dict[str, Any]:
-    """All that is known of a server. ``address_text``: its address as it is printed."""
-    state = find(director, address_text)
+    """Return the state of a server. ``address_text``: its address as formatted by ``format_address``."""
+    state = find_server(director, address_text)
     clock, entry = director.fleet.clock, state.endpoint
     now = clock.now
     attempts, failures, latency_us = state.observations.sums(clock.bucket)
@@ -181,7 +188,7 @@
 
 
 def table(director: Director, number: int) -> dict[str, Any]:
-    """All that is known of a table."""
+    """Return the state of a table."""
     tables = director.fleet.tables
     state = next((table for table in tables if table.number == number), None)
     if state is None:
@@ -206,11 +213,11 @@
 
 
 def proxy(director: Director, number: int) -> dict[str, Any]:
-    """All that is known of a proxy."""
+    """Return the state of a proxy."""
     fleet = director.fleet
     state = fleet.proxies.get(number)
     if state is None:
-        raise InspectError(f"proxy {number} has not joined; there are {some(sorted(fleet.proxies))}")
+        raise InspectError(f"proxy {number} has not joined; there are {abbreviated(sorted(fleet.proxies))}")
     available = director.publisher.available_messages(copy.copy(state))
     return {
         "proxy": number,
@@ -225,7 +232,7 @@
 
 
 def fleet(director: Director) -> dict[str, Any]:
-    """How the fleet stands as a whole."""
+    """Return the state of the fleet as a whole."""
     fleet, load, capacity = director.fleet, director.load, director.capacity
     states = [STATES.get(server.status, "missing") for server in fleet.servers.values()]
     factors = director.overload.machine_type_factors
--- a/rainpick/record/limits.py
+++ b/rainpick/record/limits.py
@@ -1,4 +1,4 @@
-"""How near the orders of a day came to the limits of the rules."""
+"""How closely the commands of a day approached the limits of the rules."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 
 
 class LimitApproach(NamedTuple):
-    """The nearest approach to a limit."""
+    """The closest approach to a limit."""
 
-    fraction: float  # of the limit; 1.0 is at it
-    at_us: int
+    fraction: float  # of the limit; 1.0 if it was reached, more if it was exceeded
+    at_us: int  # of the director's clock
     subject: str  # a server, a proxy or a number of lines
 
 
-class Limits:
-    """The limits by the decisions' settings, and the nearest approach to each of them.
+class LimitTracker:
+    """Tracks the closest approach to each limit that the decision settings define.
 
-    The keys of ``approaches`` are the names that are printed.
+    The keys of ``approaches`` are part of the output.
     """
 
     def __init__(self, settings: dict[str, Any]):
-        self.pending_most = settings.get("proxies.pending_max") or 0  # lines; 0: no limit
-        self.messages_most = settings.get("proxies.pushes_allowed") or 0  # per proxy; 0: no limit
-        self.messages_over_us = settings.get("proxies.counted_over_us") or 1
-        self.grace_us = settings.get("rules.drain_grace_us") or 0  # 0: no limit
-        self.warm_us = settings.get("rules.warm_after_us") or 0
+        self.max_pending_lines = settings.get("proxies.pending_max") or 0  # 0: no limit
+        self.max_messages = settings.get("proxies.pushes_allowed") or 0  # per proxy; 0: no limit
+        self.message_window_us = settings.get("proxies.counted_over_us") or 1
+        self.drain_grace_us = settings.get("rules.drain_grace_us") or 0  # 0: no limit
+        self.warm_after_us = settings.get("rules.warm_after_us") or 0
         self.start_capacity = settings.get("rules.start_capacity", 1.0)
         self.approaches: dict[str, LimitApproach] = {}
 
-    def note(self, limit: str, fraction: float, now: int, subject: str) -> None:
-        """Keep the nearest approach to a limit; of equals the first."""
+    def observe(self, limit: str, fraction: float, now: int, subject: str) -> None:
+        """Keep the closest approach to a limit; of equal ones the first."""
         if limit not in self.approaches or fraction > self.approaches[limit].fraction:
             self.approaches[limit] = LimitApproach(fraction, now, subject)
 
-    def note_drain(self, now: int, address: Any, ended_us: int) -> None:
-        """Calls are kept from a server that is draining or gone since ``ended_us``."""
-        if self.grace_us:
-            self.note("drain", (now - ended_us) / self.grace_us, now, format_address(address))
+    def observe_drain(self, now: int, address: Any, ended_us: int) -> None:
+        """Observe the end of requests to a server that has been draining or gone since ``ended_us``."""
+        if self.drain_grace_us:
+            self.observe("drain", (now - ended_us) / self.drain_grace_us, now, format_address(address))
 
-    def note_message(self, now: int, proxy: int, sent_us: deque[int]) -> None:
-        """A message is sent to a proxy. ``sent_us``: when it was sent earlier ones; this one is added."""
-        while sent_us and sent_us[0] <= now - self.messages_over_us:
+    def observe_message(self, now: int, proxy: int, sent_us: deque[int]) -> None:
+        """Observe a message to a proxy and add it to ``sent_us``, the times of the recent messages to it."""
+        while sent_us and sent_us[0] <= now - self.message_window_us:
             sent_us.popleft()
         sent_us.append(now)
-        if self.messages_most:
-            self.note("messages", len(sent_us) / self.messages_most, now, f"proxy {proxy}")
+        if self.max_messages:
+            self.observe("messages", len(sent_us) / self.max_messages, now, f"proxy {proxy}")
 
-    def note_queue(self, now: int, waiting: int) -> None:
-        """So many lines are not acknowledged."""
-        if self.pending_most:
-            self.note("queue", waiting / self.pending_most, now, f"{waiting} lines")
+    def observe_queue(self, now: int, waiting: int) -> None:
+        """Observe the number of lines that are not acknowledged."""
+        if self.max_pending_lines:
+            self.observe("queue", waiting / self.max_pending_lines, now, f"{waiting} lines")
 
-    def note_warming(self, now: int, entry: model.Endpoint, weight: float) -> None:
-        """A server in slow start: the weight that proxies were sent, over what it surely can do."""
+    def observe_warming(self, now: int, entry: model.Endpoint, weight: float) -> None:
+        """Observe a published weight in slow start, relative to the weight that the server can handle."""
         age_us = now - entry.started_us
-        capacity = self.start_capacity + (1 - self.start_capacity) * age_us / self.warm_us
-        self.note("cold", weight / max(entry.weight * capacity, 1e-9), now, format_address(entry.address))
+        capacity = self.start_capacity + (1 - self.start_capacity) * age_us / self.warm_after_us
+        self.observe("cold", weight / max(entry.weight * capacity, 1e-9), now, format_address(entry.address))
--- a/rainpick/record/load.py
+++ b/rainpick/record/load.py
@@ -1,4 +1,4 @@
-"""Other texts of the decisions, and other settings, for a replay."""
+"""Loading of other versions of the decision modules, and parsing of changed settings, for a replay."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from rainpick.decisions.director import Director
 from rainpick.record.folder_package import FolderPackage
 
-_numbers = itertools.count(1)  # every load gets a name of its own: a text may be edited and loaded again
+_load_numbers = itertools.count(1)  # for unique module names: an edited file may be loaded again
 
 
 class ModuleError(ValueError):
-    """The file or folder holds no director; the text says why."""
+    """The file or folder does not provide a director; the message states the reason."""
 
 
-def _director_of(module: ModuleType, path: Path) -> Callable[[], Director]:
+def _director_class(module: ModuleType, path: Path) -> Callable[[], Director]:
     if not callable(getattr(module, "Director", None)):
         raise ModuleError(f"{path} has no Director")
     director: Callable[[], Director] = module.Director
@@ -30,10 +30,10 @@
 def _load_file(name: str, path: Path) -> Callable[[], Director]:
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
-        raise ModuleError(f"{path} is no Python file")
+        raise ModuleError(f"{path} is not a Python file")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    return _director_of(module, path)
+    return _director_class(module, path)
 
 
 def _load_folder(name: str, folder: Path) -> Callable[[], Director]:
@@ -41,31 +41,31 @@
         raise ModuleError(f"{folder} has no director.py")
     package = FolderPackage(name, folder.resolve())
     try:
-        return _director_of(package.load("director"), folder)
+        return _director_class(package.load("director"), folder)
     except BaseException:
         package.unload()
         raise
 
 
 def load_decisions(path: Path) -> Callable[[], Director]:
-    """``Director`` of another text of the decisions. It is run as it stands: play only texts that you trust.
+    """Load ``Director`` from another version of the decision modules. Its code is run and must be trusted.
 
-    ``path``: a file that defines ``Director`` and imports the installed modules, or a folder of decision
-    modules with ``director.py`` among them, which import each other. ``ModuleError`` if there is none.
+    ``path`` is a file that defines ``Director`` and imports the installed modules, or a folder of decision
+    modules that import each other, including ``director.py``. ``ModuleError`` if it provides no director.
     """
-    name = f"_rainpick_replayed_{next(_numbers)}"
+    name = f"_rainpick_replayed_{next(_load_numbers)}"
     try:
         return _load_folder(name, path) if path.is_dir() else _load_file(name, path)
     except ModuleError:
         raise
-    except Exception as error:  # noqa: BLE001 - the text may raise anything; its author is to read it
+    except Exception as error:  # noqa: BLE001 - loaded code may raise anything; the error is shown to its author
         raise ModuleError(f"{path}: {type(error).__name__}: {error}") from None
 
 
 def parse_changes(arguments: list[str]) -> dict[str, Any]:
-    """Settings from NAME=VALUE, by the decisions' names; a value is JSON, or else text.
+    """Parse decision settings from NAME=VALUE arguments. A value that is not valid JSON is a string.
 
-    ``ValueError`` names the argument that is wrong.
+    ``ValueError`` states the malformed argument.
 
     >>> parse_changes(["rules.warm_after_us=20000000", "proxies.admit=ratio"])
     {'rules.warm_after_us': 20000000, 'proxies.admit': 'ratio'}
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -1,4 +1,4 @@
-"""A replay as one HTML page with charts: nothing else is loaded, so it can be sent to others."""
+"""Rendering of replays as one HTML page with charts. The page loads no other files."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     font_family="sans-serif",
     colors=("#7a7a7a", "#c0392b", "#2471a3", "#229954", "#b9770e", "#7d3c98"),
 )
-CHARTS_MOST = 8  # servers that get one
-ORDERS_MOST = 8  # events or orders that are listed of a step
+MAX_SHARE_CHARTS = 8  # one per server
+MAX_LISTED_VALUES = 8  # events or commands of a step
 TEMPLATES = jinja2.Environment(autoescape=True, trim_blocks=True, lstrip_blocks=True)
 PAGE = TEMPLATES.from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
@@ -76,7 +76,7 @@
 
 
 def chart(lines: list[tuple[str, list[Point]]], y_title: str, valid_until_s: float | None = None) -> str:
-    """An SVG of some lines over the seconds; a dashed line marks the second until which a replay is valid."""
+    """Return an SVG chart of lines over time; a dashed line marks the time until which a replay is valid."""
     figure = pygal.XY(
         style=STYLE,
         show_dots=False,
@@ -97,7 +97,7 @@
         figure.add(
             "tells until", [(valid_until_s, 0), (valid_until_s, top)], stroke_style={"dasharray": "4, 4"}
         )
-    # The library writes its settings as a script, for tooltips that are not loaded.
+    # pygal embeds its settings as a script for tooltips, which the page does not use.
     return re.sub(
         r"<script.*?</script>",
         "",
@@ -107,11 +107,11 @@
 
 
 def charts(compared: ComparisonResult) -> list[tuple[str, str]]:
-    """Title and SVG of each chart."""
+    """Return the title and the SVG of each chart."""
     until_s = compared.valid_until_s
 
     def share_chart(change: ShareChange) -> str:
-        """One server's share of the calls on both sides."""
+        """Return a chart of a server's share of the requests, recorded and replayed."""
         recorded, replayed = compared.share_series[change.server]
         return chart([("recorded", recorded), ("replayed", replayed)], "share", until_s)
 
@@ -120,24 +120,24 @@
         ("Calls that would go elsewhere", diverted),
         *(
             (f"{change.server}: its share of the calls", share_chart(change))
-            for change in compared.share_changes[:CHARTS_MOST]
+            for change in compared.share_changes[:MAX_SHARE_CHARTS]
         ),
     ]
 
 
 def approach_text(approach: LimitApproach | None, begin_us: int) -> str:
-    """How near a limit was, when, and who was there."""
+    """Format the closest approach to a limit: fraction, time and subject."""
     if approach is None:
         return "-"
     return f"{approach.fraction:.0%} at {(approach.at_us - begin_us) / 1e6:.1f} s ({approach.subject})"
 
 
 def difference_fields(difference: Difference, begin_us: int) -> dict[str, Any]:
-    """What the template needs of the first difference."""
+    """Return the template fields of the first difference."""
     return {
         "first_s": f"{(difference.now - begin_us) / 1e6:.2f}",
         "first": [
-            (title, [describe(value) for value in values[:ORDERS_MOST]])
+            (title, [describe(value) for value in values[:MAX_LISTED_VALUES]])
             for title, values in (
                 ("heard before", difference.events_before),
                 ("heard", difference.events),
@@ -149,7 +149,7 @@
 
 
 def comparison_fields(compared: ComparisonResult, begin_us: int) -> dict[str, Any]:
-    """What the template needs of a comparison."""
+    """Return the template fields of a comparison."""
     until_s = compared.valid_until_s
     recorded_s, replayed_s = compared.throttled_s
     return {
@@ -168,7 +168,7 @@
 
 
 def replay_fields(result: ReplayResult) -> dict[str, Any]:
-    """What the template needs of a replay."""
+    """Return the template fields of a replay."""
     incarnation, compared = result.incarnation, result.comparison
     started = datetime.fromtimestamp(incarnation.wall_us / 1e6, UTC).isoformat(sep=" ", timespec="seconds")
     fields: dict[str, Any] = {
@@ -189,5 +189,5 @@
 
 
 def page(title: str, results: list[ReplayResult]) -> str:
-    """The whole page, of replays that were compared."""
+    """Render the page for compared replays."""
     return PAGE.render(title=title, replays=[replay_fields(result) for result in results])
--- a/rainpick/record/recorder.py
+++ b/rainpick/record/recorder.py
@@ -1,4 +1,4 @@
-"""Writes the steps of a director's decisions in a thread of its own: the core never waits for a disk."""
+"""Recording of a director's steps in a separate thread, so that the core never waits for the disk."""
 
 from __future__ import annotations
 
@@ -10,51 +10,53 @@
 
 import structlog
 
-from rainpick.record.steps import Incarnation, RecordKind, Step, write_incarnation, write_step
+from rainpick.record.steps import Incarnation, RecordKind, Step, encode_incarnation, encode_step
 from rainpick.store import FullError, Log
 
-QUEUE_MOST = 4_096  # steps
-FLUSH_S = 0.5
+MAX_QUEUED_STEPS = 4_096
+FLUSH_INTERVAL_S = 0.5
 
 
 class Recorder:
-    """A record of one director. When its queue or the disk is full, steps are lost, counted and logged.
+    """Writes the record of one director.
 
-    ``segment_most`` and ``keep_most`` are in bytes, ``keep_us`` in microseconds; see ``store.Log``.
+    If the queue or the disk is full, steps are lost and counted; those lost on a full disk are also logged.
+    ``max_segment_bytes``, ``max_total_bytes`` and ``max_age_us`` are those of ``store.Log``.
     """
 
     def __init__(
         self,
         folder: Path,
         incarnation: Incarnation,
-        segment_most: int,
-        keep_most: int,
-        keep_us: int,
+        max_segment_bytes: int,
+        max_total_bytes: int,
+        max_age_us: int,
         sync: bool,
     ):
         self.log = structlog.get_logger(front="record")
-        self.store = Log(folder, segment_most, keep_most, keep_us, sync)
+        self.store = Log(folder, max_segment_bytes, max_total_bytes, max_age_us, sync)
         if self.store.torn is not None:
             self.log.warning("incomplete block at the end of the record cut off", **self.store.torn._asdict())
-        self.offset_us = incarnation.wall_us - incarnation.now  # from the director's clock to the wall clock
-        self.queue: queue.Queue[Step | None] = queue.Queue(QUEUE_MOST)  # None: close
-        self.steps = 0  # steps handed to the store
-        self.lost = 0  # steps lost
-        self.lost_recorded = 0  # of the lost ones, how many the record tells of
-        self.store.append(incarnation.wall_us, RecordKind.INCARNATION, write_incarnation(incarnation))
+        # Difference between the wall clock and the director's clock.
+        self.wall_offset_us = incarnation.wall_us - incarnation.now
+        self.queue: queue.Queue[Step | None] = queue.Queue(MAX_QUEUED_STEPS)  # None ends the thread
+        self.steps = 0  # steps appended to the store
+        self.lost = 0  # steps
+        self.lost_recorded = 0  # value of ``lost`` in the latest record of kind LOST
+        self.store.append(incarnation.wall_us, RecordKind.INCARNATION, encode_incarnation(incarnation))
         self.thread = threading.Thread(target=self.run, name="recorder", daemon=True)
         self.thread.start()
 
-    def step(self, now: int, events: list[Any], orders: list[Any]) -> None:
-        """For the core: hand a step over, or lose it; never wait."""
+    def step(self, now: int, events: list[Any], commands: list[Any]) -> None:
+        """Queue a step without waiting; if the queue is full, the step is lost. Called by the core."""
         try:
-            self.queue.put_nowait(Step(now, events, orders))
+            self.queue.put_nowait(Step(now, events, commands))
         except queue.Full:
             self.lost += 1
 
     def run(self) -> None:
-        """The recorder's thread: write steps as they come, flush twice a second, until ``close``."""
-        due = time.monotonic() + FLUSH_S
+        """Write queued steps and flush twice a second until ``close``. Runs in the recorder's thread."""
+        due = time.monotonic() + FLUSH_INTERVAL_S
         while True:
             try:
                 step = self.queue.get(timeout=max(0.0, due - time.monotonic()))
@@ -64,31 +66,34 @@
             except queue.Empty:
                 pass
             if time.monotonic() >= due:
-                due = time.monotonic() + FLUSH_S
+                due = time.monotonic() + FLUSH_INTERVAL_S
                 self.flush()
         self.flush()
         self.store.close()
 
     def write(self, step: Step) -> None:
-        """Add a step to the store, and before it how many were lost: a replay can't pass over a gap."""
-        time_us = step.now + self.offset_us
+        """Append a step to the store, preceded by the number of lost steps if it has grown.
+
+        A replay must end at a gap, so the record has to show it.
+        """
+        time_us = step.now + self.wall_offset_us
         if self.lost > self.lost_recorded:
             self.lost_recorded = self.lost
             self.store.append(time_us, RecordKind.LOST, b"%d" % self.lost)
-        self.store.append(time_us, RecordKind.STEP, write_step(step))
+        self.store.append(time_us, RecordKind.STEP, encode_step(step))
         self.steps += 1
 
     def flush(self) -> None:
-        """Write what the store holds in memory; on a full disk it is lost, counted and logged."""
-        waiting = len(self.store.waiting)
+        """Flush the store. If the disk is full, the buffered records are lost, counted and logged."""
+        unwritten = len(self.store.waiting)
         try:
             self.store.flush()
         except FullError as error:
-            self.lost += waiting
+            self.lost += unwritten
             self.log.error("steps of the record are lost", error=str(error), lost=self.lost)
 
     def close(self) -> None:
-        """Write what is queued and end the thread; wait for some seconds at most."""
+        """Write the queued steps and end the thread; waits for a few seconds at most."""
         try:
             self.queue.put(None, timeout=2)
             self.thread.join(5)
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -1,6 +1,6 @@
-"""Replay of a recorded day: its events go to the decisions again, and the orders are compared one by one.
+"""Replay of a record: its events are fed to the decision modules, and the commands are compared step by step.
 
-Free of sockets and clocks.
+Uses no sockets and no clocks.
 """
 
 from __future__ import annotations
@@ -16,47 +16,47 @@
 
 
 class Difference(NamedTuple):
-    """The first step of an incarnation in which the orders are not the same."""
+    """The first step of an incarnation in which the replayed commands differ from the recorded ones."""
 
-    step: int  # its number, from 1
-    now: int
+    step: int  # its number in the incarnation, from 1
+    now: int  # microseconds of the director's clock
     events_before: list[Any]  # of the previous step
     events: list[Any]
-    recorded: list[Any]  # orders that were given and are not in the replay
-    replayed: list[Any]  # orders of the replay that were not given
+    recorded: list[Any]  # commands that are only in the record
+    replayed: list[Any]  # commands that are only in the replay
 
 
 class ReplayResult(NamedTuple):
-    """What the replay of an incarnation gave."""
+    """Result of the replay of an incarnation."""
 
     incarnation: Incarnation
     steps: int
-    orders: int  # recorded ones
-    differing: int  # steps with other orders
+    orders: int  # number of recorded commands
+    differing: int  # number of steps with different commands
     first_difference: Difference | None
-    comparison: ComparisonResult | None  # None unless it was asked for
-    missing: MissingSteps | None  # where the replay ended early
+    comparison: ComparisonResult | None  # None if it was not requested
+    missing: MissingSteps | None  # where the replay ended early, if it did
     last_us: int  # the director's clock at the last step
 
 
 class Replay:
-    """The replay of one incarnation, step by step.
+    """Replays one incarnation step by step.
 
-    ``make_director`` makes the decisions that replay it. ``changes`` are settings, by the decisions' names,
-    that replace recorded ones; ``replace`` takes the place of all of them. With ``compare`` the two streams
-    of orders are compared in users' terms.
+    ``director_factory`` creates the director that processes the events. ``replacement_settings`` replace all
+    recorded settings of the decision modules; ``setting_overrides`` then override single settings by name.
+    With ``compare``, a ``Comparison`` measures the effect of the differing commands on requests.
     """
 
     def __init__(
         self,
         incarnation: Incarnation,
-        make_director: Callable[[], Director] = Director,
-        changes: dict[str, Any] | None = None,
-        replace: dict[str, Any] | None = None,
+        director_factory: Callable[[], Director] = Director,
+        setting_overrides: dict[str, Any] | None = None,
+        replacement_settings: dict[str, Any] | None = None,
         compare: bool = False,
     ):
-        self.incarnation, self.director, self.compare = incarnation, make_director(), compare
-        self.changes, self.replace = changes or {}, replace
+        self.incarnation, self.director, self.compare = incarnation, director_factory(), compare
+        self.setting_overrides, self.replacement_settings = setting_overrides or {}, replacement_settings
         self.steps = self.orders = self.differing = 0
         self.first_difference: Difference | None = None
         self.missing: MissingSteps | None = None
@@ -64,7 +64,7 @@
         self.last_step: Step | None = None
 
     def apply(self, step: Step | MissingSteps) -> None:
-        """Replay the next step. After missing steps the rest of the incarnation is left out."""
+        """Replay the next step. Steps that follow missing steps are ignored."""
         if self.missing is not None:
             return
         if isinstance(step, MissingSteps):
@@ -85,25 +85,27 @@
         self.last_step = step
 
     def start(self, now: int, event: model.Started) -> model.Started:
-        """The first event, with the settings of the replay."""
+        """Begin the comparison, and return the first event with the settings of the replay."""
         recorded = event.settings
-        replayed = (recorded if self.replace is None else self.replace) | self.changes
+        replayed = (
+            recorded if self.replacement_settings is None else self.replacement_settings
+        ) | self.setting_overrides
         self.comparison = Comparison(now, recorded, replayed) if self.compare else None
         return event._replace(settings=replayed)
 
     def difference(self, step: Step, events: list[Any], replayed: list[Any]) -> Difference:
-        """How the orders of a step differ."""
+        """Return the commands that differ in a step, with its events and those of the previous step."""
         return Difference(
             self.steps,
             step.now,
             self.last_step.events if self.last_step else [],
             events,
-            [order for order in step.orders if order not in replayed],
-            [order for order in replayed if order not in step.orders],
+            [command for command in step.orders if command not in replayed],
+            [command for command in replayed if command not in step.orders],
         )
 
     def result(self) -> ReplayResult:
-        """The result up to the last step that was applied."""
+        """Return the result up to the last applied step."""
         return ReplayResult(
             self.incarnation,
             self.steps,
@@ -119,13 +121,13 @@
 def replay_incarnation(
     incarnation: Incarnation,
     steps: Iterable[Step | MissingSteps],
-    make_director: Callable[[], Director] = Director,
-    changes: dict[str, Any] | None = None,
-    replace: dict[str, Any] | None = None,
+    director_factory: Callable[[], Director] = Director,
+    setting_overrides: dict[str, Any] | None = None,
+    replacement_settings: dict[str, Any] | None = None,
     compare: bool = False,
 ) -> ReplayResult:
-    """Replay an incarnation from its start to its end; the parameters are those of ``Replay``."""
-    replay = Replay(incarnation, make_director, changes, replace, compare)
+    """Replay an incarnation from start to end; for the parameters see ``Replay``."""
+    replay = Replay(incarnation, director_factory, setting_overrides, replacement_settings, compare)
     for step in steps:
         replay.apply(step)
     return replay.result()
--- a/rainpick/record/schema.py
+++ b/rainpick/record/schema.py
@@ -1,8 +1,8 @@
-"""The names under which events and commands are stored, apart from what the program calls them.
+"""Stored names of events and commands, independent of the names in the program.
 
-Records and exports hold type and field names. They are the names of the first records and never change: a
-type or a field that is renamed in the program keeps its stored name here. A new type goes to the end, since
-its position is its number in records; a new field goes to the end of its type.
+Records and exports contain type and field names. These are the names of the first records and never change:
+if a type or a field is renamed in the program, it keeps its stored name here. Append new types at the end of
+the table, since the position of a type is its code in records, and new fields at the end of their type.
 """
 
 from __future__ import annotations
@@ -14,62 +14,62 @@
 
 
 class StoredType(NamedTuple):
-    """A type as records have it: the class, its stored name, and the stored names of its fields in order."""
+    """A class of the model with its stored name and the stored names of its fields, in order."""
 
     type: type[Any]
     name: str
     fields: tuple[str, ...]
 
 
-def stored(kind: type[Any], name: str, fields: str = "") -> StoredType:
-    """A row of the table; ``ValueError`` if the class has another number of fields."""
+def stored_type(value_type: type[Any], name: str, fields: str = "") -> StoredType:
+    """Return a row of the table; ``ValueError`` if the class has a different number of fields."""
     names = tuple(fields.split())
-    if len(names) != len(kind._fields):
-        raise ValueError(f"{name}: {len(names)} stored fields, {len(kind._fields)} in the program")
-    return StoredType(kind, name, names)
+    if len(names) != len(value_type._fields):
+        raise ValueError(f"{name}: {len(names)} stored fields, {len(value_type._fields)} in the program")
+    return StoredType(value_type, name, names)
 
 
-# The position of a type is its number in records.
+# The position of a type is its code in records.
 STORED_TYPES = (
-    stored(model.Started, "Started", "seed settings"),
-    stored(model.EndpointUpdate, "Listed", "kind servers version"),
-    stored(model.TimerFired, "TimerDue", "token"),
-    stored(model.ProbeCompleted, "ProbeEnded", "server outcome took_us load"),
-    stored(model.PeerMessageReceived, "PeerSaid", "peer data"),
-    stored(model.ProxyJoined, "ProxyJoined", "proxy fresh rate zone"),
-    stored(model.ProxyLeft, "ProxyLeft", "proxy"),
-    stored(model.Acknowledged, "Applied", "proxy number took_us"),
-    stored(model.ServerLoadReport, "ServerMet", "server zone tries dropped mean_us span_us load"),
-    stored(model.RouteLoadReport, "ProxyMet", "proxy route calls dropped span_us"),
-    stored(model.KeyRangeLoadReport, "SliceMet", "slice route calls dropped span_us"),
-    stored(model.KeyRangeAssigned, "SliceGiven", "slice on"),
-    stored(model.KeyRangeWeight, "SliceLine", "slice server weight"),
-    stored(model.SetWeight, "SetLine", "table server weight"),
-    stored(model.ClearTable, "ClearTable", "table"),
-    stored(model.SetWithdrawn, "Withdraw", "server on"),
-    stored(model.RequestAcknowledgement, "Mark", "number everyone"),
-    stored(model.BindProxy, "Bind", "table routes proxy"),
-    stored(model.SetAdmission, "Admit", "table routes level retry"),
-    stored(model.ProbeServer, "Probe", "server"),
-    stored(model.SendPeerMessage, "Tell", "peer data"),
-    stored(model.SetTimer, "SetTimer", "token delay_us"),
-    stored(model.Subscribe, "Subscribe", "on"),
-    stored(model.FetchEndpoints, "FetchList"),
-    stored(model.LogMessage, "Note", "text"),
-    stored(model.Retransmitted, "Repeated", "number"),
+    stored_type(model.Started, "Started", "seed settings"),
+    stored_type(model.EndpointUpdate, "Listed", "kind servers version"),
+    stored_type(model.TimerFired, "TimerDue", "token"),
+    stored_type(model.ProbeCompleted, "ProbeEnded", "server outcome took_us load"),
+    stored_type(model.PeerMessageReceived, "PeerSaid", "peer data"),
+    stored_type(model.ProxyJoined, "ProxyJoined", "proxy fresh rate zone"),
+    stored_type(model.ProxyLeft, "ProxyLeft", "proxy"),
+    stored_type(model.Acknowledged, "Applied", "proxy number took_us"),
+    stored_type(model.ServerLoadReport, "ServerMet", "server zone tries dropped mean_us span_us load"),
+    stored_type(model.RouteLoadReport, "ProxyMet", "proxy route calls dropped span_us"),
+    stored_type(model.KeyRangeLoadReport, "SliceMet", "slice route calls dropped span_us"),
+    stored_type(model.KeyRangeAssigned, "SliceGiven", "slice on"),
+    stored_type(model.KeyRangeWeight, "SliceLine", "slice server weight"),
+    stored_type(model.SetWeight, "SetLine", "table server weight"),
+    stored_type(model.ClearTable, "ClearTable", "table"),
+    stored_type(model.SetWithdrawn, "Withdraw", "server on"),
+    stored_type(model.RequestAcknowledgement, "Mark", "number everyone"),
+    stored_type(model.BindProxy, "Bind", "table routes proxy"),
+    stored_type(model.SetAdmission, "Admit", "table routes level retry"),
+    stored_type(model.ProbeServer, "Probe", "server"),
+    stored_type(model.SendPeerMessage, "Tell", "peer data"),
+    stored_type(model.SetTimer, "SetTimer", "token delay_us"),
+    stored_type(model.Subscribe, "Subscribe", "on"),
+    stored_type(model.FetchEndpoints, "FetchList"),
+    stored_type(model.LogMessage, "Note", "text"),
+    stored_type(model.Retransmitted, "Repeated", "number"),
 )
-# An endpoint is part of an update and no event of its own: records declare it after all others.
-STORED_ENTRY = stored(model.Endpoint, "Server", "weight zone started_us machine cell address state")
+# An endpoint is part of an update and not an event. Records declare it after all other types.
+STORED_ENDPOINT = stored_type(model.Endpoint, "Server", "weight zone started_us machine cell address state")
 
 CODES = {row.type: code for code, row in enumerate(STORED_TYPES)}
 STORED_NAMES = {row.type: row.name for row in STORED_TYPES}
-BY_STORED_NAME = {row.name: row for row in (*STORED_TYPES, STORED_ENTRY)}
-ROWS = {row.type: row for row in (*STORED_TYPES, STORED_ENTRY)}
-# What a record declares of the types in it: stored name and fields, by number.
-TYPE_ROWS = tuple((row.name, *row.fields) for row in (*STORED_TYPES, STORED_ENTRY))
+BY_STORED_NAME = {row.name: row for row in (*STORED_TYPES, STORED_ENDPOINT)}
+BY_TYPE = {row.type: row for row in (*STORED_TYPES, STORED_ENDPOINT)}
+# The type declarations of a record: stored name and fields, by type code.
+TYPE_DECLARATIONS = tuple((row.name, *row.fields) for row in (*STORED_TYPES, STORED_ENDPOINT))
 
-# Records from before December 2026 do not declare their types; these are the types that they hold.
-UNDECLARED_TYPE_ROWS = tuple(
+# Records from before December 2026 do not declare their types. They contain these types.
+DEFAULT_TYPE_DECLARATIONS = tuple(
     tuple(row.split())
     for row in (
         "Started seed settings",
@@ -103,7 +103,7 @@
 
 
 def format_address(address: Any) -> str:
-    """A server's address as people read it.
+    """Format the address of a server for output.
 
     >>> format_address(("10.0.0.1", 80))
     '10.0.0.1:80'
@@ -114,14 +114,14 @@
 
 
 def describe(value: Any) -> str:
-    """A value as people read it, by its stored names: the output does not change with the program.
+    """Format a value for output. Stored names keep the output independent of renames in the program.
 
     >>> describe(model.TimerFired(3))
     'TimerDue(token=3)'
     >>> describe(model.EndpointUpdate(model.UpdateKind.FAILED, (), 0))
     'Listed(kind=3, servers=(), version=0)'
     """
-    row = ROWS.get(type(value))
+    row = BY_TYPE.get(type(value))
     if row is not None:
         pairs = zip(row.fields, value, strict=True)
         return f"{row.name}({', '.join(f'{name}={describe(field)}' for name, field in pairs)})"
--- a/rainpick/record/series.py
+++ b/rainpick/record/series.py
@@ -1,14 +1,14 @@
-"""Values over time in a fixed amount of memory."""
+"""Time series in a bounded amount of memory."""
 
 from __future__ import annotations
 
-Point = tuple[float, float]  # seconds from the beginning, mean of the values around then
+Point = tuple[float, float]  # seconds since the begin of the series, mean of the values in a span
 
-POINTS = 240  # at least, once there are so many; twice as many are folded into half
+MIN_POINTS = 240  # 480 spans are merged in pairs, so a long series keeps 240 to 480 of them
 
 
 class TimeSeries:
-    """Means over equal spans of time; spans double when there are too many, so memory stays flat."""
+    """Means of values over time spans of equal length, which doubles whenever there are too many spans."""
 
     def __init__(self, begin_us: int, span_us: int = 1_000_000):
         self.begin_us, self.span_us = begin_us, span_us
@@ -16,10 +16,10 @@
         self.counts: list[int] = []  # of values, by span
 
     def add(self, now: int, value: float) -> None:
-        """Add a value at a time in microseconds; times may be the same but do not go back."""
+        """Add a value at a time in microseconds; times must not decrease."""
         index = (now - self.begin_us) // self.span_us
-        while index >= 2 * POINTS:
-            self.fold()
+        while index >= 2 * MIN_POINTS:
+            self.merge_spans()
             index = (now - self.begin_us) // self.span_us
         missing = index + 1 - len(self.sums)
         self.sums += [0.0] * missing
@@ -27,8 +27,8 @@
         self.sums[index] += value
         self.counts[index] += 1
 
-    def fold(self) -> None:
-        """Make one span of two."""
+    def merge_spans(self) -> None:
+        """Merge pairs of adjacent spans."""
         self.span_us *= 2
         if len(self.sums) % 2:
             self.sums.append(0.0)
@@ -37,7 +37,7 @@
         self.counts = [sum(pair) for pair in zip(self.counts[::2], self.counts[1::2], strict=True)]
 
     def points(self) -> list[Point]:
-        """The spans that hold a value."""
+        """Return a point for each span that has a value."""
         return [
             (index * self.span_us / 1e6, total / count)
             for index, (total, count) in enumerate(zip(self.sums, self.counts, strict=True))
--- a/rainpick/record/steps.py
+++ b/rainpick/record/steps.py
@@ -1,6 +1,6 @@
-"""Records of a director as bytes: incarnations, and the steps of its decisions. Free of I/O.
+"""Encoding and decoding of record payloads: incarnations, and the steps of a director. Free of I/O.
 
-A record in the store has a kind, a time and a payload. ``docs/store-format.md`` describes the payloads.
+A record in the store has a kind, a time and a payload. ``docs/store-format.md`` specifies the payloads.
 """
 
 from __future__ import annotations
@@ -12,25 +12,28 @@
 import msgspec
 
 from rainpick import model
-from rainpick.record.schema import BY_STORED_NAME, CODES, TYPE_ROWS, UNDECLARED_TYPE_ROWS
+from rainpick.record.schema import BY_STORED_NAME, CODES, DEFAULT_TYPE_DECLARATIONS, TYPE_DECLARATIONS
 
 encoder = msgspec.msgpack.Encoder()
 
 
 class RecordKind(IntEnum):
-    """The kinds of records, by their number in the store."""
+    """Kinds of records. The values are stored."""
 
     INCARNATION = 1  # payload: an ``Incarnation``
     STEP = 2  # payload: a ``Step``
-    LOST = 3  # payload: in decimal digits, how many steps were lost up to here
+    LOST = 3  # payload: the number of steps lost since the start of the recorder, in decimal digits
 
 
 class StepError(ValueError):
-    """The bytes of a record can't be read; the text says why."""
+    """The payload of a record can't be decoded; the message states the reason."""
 
 
 class Step(NamedTuple):
-    """One step of the decisions. ``now``: microseconds of the director's own clock."""
+    """The events that a director processed in one step, and the commands that it issued.
+
+    ``now`` is the time of the director's own clock in microseconds.
+    """
 
     now: int
     events: list[Any]
@@ -38,28 +41,29 @@
 
 
 class Incarnation(NamedTuple):
-    """A director from its start to its end: the first record of each.
+    """One run of a director, from start to exit. It is the first record of each run.
 
-    ``wall_us`` and ``now`` are the same moment by the wall clock and by the director's own.
+    ``wall_us`` and ``now`` are the start time by the wall clock and by the director's own clock.
     """
 
     director: int
     epoch: str
-    module: str  # digest of the decision modules' text
+    module: str  # digest of the decision modules
     wall_us: int  # microseconds since 1970
-    now: int  # microseconds
+    now: int  # microseconds of the director's own clock
     settings: dict[str, Any]  # the parsed settings file
-    types: tuple[tuple[str, ...], ...] = TYPE_ROWS  # stored name and fields of each type, by its code
+    # Stored name and fields of each type, by type code.
+    types: tuple[tuple[str, ...], ...] = TYPE_DECLARATIONS
 
 
-def write_step(step: Step) -> bytes:
-    """The payload of a step."""
+def encode_step(step: Step) -> bytes:
+    """Encode a step as a record payload."""
     rows = [[[CODES[type(value)], *value] for value in values] for values in (step.events, step.orders)]
     return encoder.encode([step.now, *rows])
 
 
 def as_tuples(value: Any) -> Any:
-    """Lists back to tuples, at any depth: the values of the model are tuples, and addresses are keys.
+    """Convert lists to tuples at any depth. Model values are tuples, and addresses must be hashable.
 
     >>> as_tuples([["10.0.0.1", 80], {"zones": ["a"]}])
     (('10.0.0.1', 80), {'zones': ('a',)})
@@ -72,18 +76,18 @@
 
 
 class StoredLayout(NamedTuple):
-    """How a record lays out a type. ``type`` is None if this program can't read it.
+    """The layout of a type in a record. ``type`` is None if this version of the program can't decode it.
 
-    ``order`` has the stored index of each of the program's fields; None: the fields are in the same order.
+    ``field_indexes`` has the stored index of each field of ``type``; None means that the order is the same.
     """
 
     type: type[Any] | None
     name: str
-    order: list[int] | None
+    field_indexes: list[int] | None
 
 
-def layout(name: str, fields: Sequence[str]) -> StoredLayout:
-    """How to read a type that a record declares by its stored name and fields."""
+def stored_layout(name: str, fields: Sequence[str]) -> StoredLayout:
+    """Return the layout of a type that a record declares by its stored name and fields."""
     row = BY_STORED_NAME.get(name)
     if row is None:
         return StoredLayout(None, name, None)
@@ -94,62 +98,63 @@
     return StoredLayout(row.type, name, [list(fields).index(field) for field in row.fields])
 
 
-class StepReader:
-    """Reads the steps of an incarnation by the types that it declares: the model may have changed since.
+class StepDecoder:
+    """Decodes the steps of an incarnation by the types that it declares.
 
-    Fields that this program does not know are skipped. A type that lacks one of its fields raises
-    ``StepError`` when such a value is read; values of other types are read as ever.
+    The model may have changed since the record was written. Unknown fields are skipped. If the declaration
+    of a type lacks a field that the model has, decoding a value of this type raises ``StepError``; values of
+    other types are not affected.
     """
 
-    def __init__(self, types: Sequence[Sequence[str]] = TYPE_ROWS):
-        self.layouts = [layout(name, fields) for name, *fields in types]
+    def __init__(self, types: Sequence[Sequence[str]] = TYPE_DECLARATIONS):
+        self.layouts = [stored_layout(name, fields) for name, *fields in types]
 
-    def build(self, code: int, fields: Sequence[Any]) -> Any:
-        """A value from the code of its type and its stored fields."""
-        kind, name, order = self.layouts[code]
-        if kind is None:
+    def build_value(self, code: int, fields: Sequence[Any]) -> Any:
+        """Create a value from its type code and its stored fields."""
+        value_type, name, field_indexes = self.layouts[code]
+        if value_type is None:
             raise StepError(f"{name} is not what this program knows by that name")
-        if kind is model.EndpointUpdate:
+        if value_type is model.EndpointUpdate:
             fields = list(fields)
-            index = order[1] if order else 1
-            # The type of the endpoints in an update is declared last.
-            fields[index] = tuple([self.build(-1, entry) for entry in fields[index]])
-        return kind(*(fields if order is None else [fields[index] for index in order]))
+            index = field_indexes[1] if field_indexes else 1
+            # Endpoint, the type of the entries of an update, is declared last.
+            fields[index] = tuple([self.build_value(-1, entry) for entry in fields[index]])
+        return value_type(*(fields if field_indexes is None else [fields[index] for index in field_indexes]))
 
-    def read_value(self, row: list[Any]) -> Any:
-        """An event or order from its code and fields."""
+    def decode_value(self, row: list[Any]) -> Any:
+        """Decode an event or command from its type code and fields."""
         code, *fields = row
-        return self.build(code, [as_tuples(field) for field in fields])
+        return self.build_value(code, [as_tuples(field) for field in fields])
 
-    def read_step(self, payload: bytes) -> Step:
-        """A step from its payload; ``StepError`` if the bytes are none."""
+    def decode_step(self, payload: bytes) -> Step:
+        """Decode the payload of a step; ``StepError`` if it is malformed."""
         try:
             now, events, orders = msgspec.msgpack.decode(payload)
             return Step(
-                now, [self.read_value(row) for row in events], [self.read_value(row) for row in orders]
+                now, [self.decode_value(row) for row in events], [self.decode_value(row) for row in orders]
             )
         except (msgspec.MsgspecError, ValueError, TypeError, IndexError) as error:
             raise StepError(str(error)) from None
 
 
-CURRENT_READER = StepReader()
+CURRENT_DECODER = StepDecoder()
 
 
-def read_step(payload: bytes) -> Step:
-    """A step that this version of the program wrote; ``StepError`` if the bytes are none."""
-    return CURRENT_READER.read_step(payload)
+def decode_step(payload: bytes) -> Step:
+    """Decode a step with the current types; ``StepError`` if the payload is malformed."""
+    return CURRENT_DECODER.decode_step(payload)
 
 
-def write_incarnation(incarnation: Incarnation) -> bytes:
-    """The payload of an incarnation."""
+def encode_incarnation(incarnation: Incarnation) -> bytes:
+    """Encode an incarnation as a record payload."""
     return encoder.encode(incarnation)
 
 
-def read_incarnation(payload: bytes) -> Incarnation:
-    """An incarnation from its payload; ``StepError`` if the bytes are none."""
+def decode_incarnation(payload: bytes) -> Incarnation:
+    """Decode the payload of an incarnation; ``StepError`` if it is malformed."""
     try:
         director, epoch, module, wall_us, now, settings, *rest = msgspec.msgpack.decode(payload)
-        types = rest[0] if rest else UNDECLARED_TYPE_ROWS
+        types = rest[0] if rest else DEFAULT_TYPE_DECLARATIONS
         rows = tuple(tuple(row) for row in types)
         return Incarnation(director, epoch, module, wall_us, now, settings, rows)
     except (msgspec.MsgspecError, TypeError, ValueError) as error:
--- a/rainpick/store/__init__.py
+++ b/rainpick/store/__init__.py
@@ -1,6 +1,6 @@
-"""Append-only storage that survives crashes: segments of checksummed, compressed blocks.
+"""Crash-safe append-only storage in segments of checksummed, compressed blocks.
 
-``Log`` writes a store, ``read`` reads it; ``docs/store-format.md`` describes its bytes.
+``Log`` writes a store, ``read`` reads it; ``docs/store-format.md`` specifies the format.
 """
 
 from rainpick.store.errors import FullError, StoreError
--- a/rainpick/store/blocks.py
+++ b/rainpick/store/blocks.py
@@ -1,4 +1,4 @@
-"""The bytes of a store: a segment's header and its blocks. ``docs/store-format.md`` describes them."""
+"""Encoding and decoding of segment headers and blocks. ``docs/store-format.md`` specifies the format."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 FORMAT = 1
 SEGMENT_HEADER = struct.Struct(">4sHQ")  # magic, format, number
 SEGMENT_MAGIC, BLOCK_MAGIC = b"RPSG", b"RPBK"
-BLOCK_HEADER = struct.Struct(">4sIIQQQ")  # magic, bytes stored, records, first and last time, checksum
-STORED_MOST = 64 << 20  # bytes of a block; a length over this is damage
-UNPACKED_MOST = 256 << 20  # bytes
+BLOCK_HEADER = struct.Struct(">4sIIQQQ")  # magic, size, record count, first and last time, checksum
+MAX_STORED_BYTES = 64 << 20  # of a compressed block; a header with a larger size is damaged
+MAX_UNPACKED_BYTES = 256 << 20  # of a decompressed block
 
-Row = tuple[int, int, bytes]  # a record as it is stored: time in microseconds, kind, payload
+Row = tuple[int, int, bytes]  # a stored record: time in microseconds, kind, payload
 
 
 class BlockHeader(NamedTuple):
     """The header of a block, without its magic."""
 
-    stored: int  # bytes that follow
-    records: int
-    first_us: int  # least and greatest time of its records
-    last_us: int
+    stored: int  # size in bytes of the compressed data after the header
+    records: int  # number of records
+    first_us: int  # earliest time of a record
+    last_us: int  # latest time of a record
     checksum: int
 
 
-def write_segment_header(number: int) -> bytes:
-    """The header of a segment in the current format."""
+def encode_segment_header(number: int) -> bytes:
+    """Encode the header of a segment in the current format."""
     return SEGMENT_HEADER.pack(SEGMENT_MAGIC, FORMAT, number)
 
 
 def check_segment_header(data: bytes, number: int) -> None:
-    """``BlockError`` for a header that is cut or damaged, ``StoreError`` for another format."""
+    """Raise ``BlockError`` if the header is truncated or damaged, ``StoreError`` if the format differs."""
     if len(data) < SEGMENT_HEADER.size:
         raise BlockError("the segment's head is cut off")
     magic, stored_format, stored_number = SEGMENT_HEADER.unpack_from(data)
@@ -48,12 +48,12 @@
 
 
 def checksum(stored: bytes, records: int, first_us: int, last_us: int) -> int:
-    """XXH3 (64 bits) of a block's bytes and of what its header says of them."""
+    """Return the XXH3 checksum (64 bits) of the compressed data and the header fields of a block."""
     return xxh3_64_intdigest(struct.pack(">IQQ", records, first_us, last_us) + stored)
 
 
-def write_block(rows: list[Row]) -> bytes:
-    """Header and bytes of a block; there is at least one row."""
+def encode_block(rows: list[Row]) -> bytes:
+    """Encode a block with its header; ``rows`` must not be empty."""
     stored = zstandard.ZstdCompressor(level=3).compress(msgspec.msgpack.encode(rows))
     times = [time_us for time_us, _, _ in rows]
     first_us, last_us = min(times), max(times)
@@ -61,25 +61,25 @@
     return BLOCK_HEADER.pack(BLOCK_MAGIC, len(stored), len(rows), first_us, last_us, digest) + stored
 
 
-def read_block_header(data: bytes) -> BlockHeader:
-    """The header at the beginning of ``data``; ``BlockError`` if none is there."""
+def decode_block_header(data: bytes) -> BlockHeader:
+    """Decode the block header at the start of ``data``; ``BlockError`` if it is not valid."""
     if len(data) < BLOCK_HEADER.size:
         raise BlockError("a head is cut off")
     magic, *fields = BLOCK_HEADER.unpack_from(data)
     header = BlockHeader(*fields)
-    if magic != BLOCK_MAGIC or not 0 < header.stored <= STORED_MOST or not header.records:
+    if magic != BLOCK_MAGIC or not 0 < header.stored <= MAX_STORED_BYTES or not header.records:
         raise BlockError("no block begins here")
     return header
 
 
-def read_block(header: BlockHeader, stored: bytes) -> list[Row]:
-    """The records; ``BlockError`` if a bit of the block is not what was written."""
+def decode_block(header: BlockHeader, stored: bytes) -> list[Row]:
+    """Decode the records of a block; ``BlockError`` if the block is truncated or any bit of it is wrong."""
     if len(stored) < header.stored:
         raise BlockError("a block is cut off")
     if checksum(stored, header.records, header.first_us, header.last_us) != header.checksum:
         raise BlockError("the checksum does not fit")
     try:
-        data = zstandard.ZstdDecompressor().decompress(stored, max_output_size=UNPACKED_MOST)
+        data = zstandard.ZstdDecompressor().decompress(stored, max_output_size=MAX_UNPACKED_BYTES)
         rows = msgspec.msgpack.decode(data, type=list[Row])
     except (zstandard.ZstdError, msgspec.MsgspecError) as error:
         raise BlockError(str(error)) from None
--- a/rainpick/store/errors.py
+++ b/rainpick/store/errors.py
@@ -1,15 +1,15 @@
-"""What can go wrong with a store."""
+"""Exceptions of the store."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """The folder can't be used as a store; the text names the file and what is wrong."""
+    """The store can't be used; the message states the file or segment and the reason."""
 
 
 class FullError(StoreError):
-    """A block could not be written; the store is as it was before it."""
+    """A block could not be written. The store still ends with the previous block."""
 
 
 class BlockError(Exception):
-    """Bytes that are no block, or no header of a segment."""
+    """The bytes are not a valid block or segment header."""
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -1,4 +1,4 @@
-"""The one writer of a store: complete records only after a crash at any moment."""
+"""Writer of a store. After a crash at any time, the store contains only complete records."""
 
 from __future__ import annotations
 
@@ -7,133 +7,139 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from rainpick.store.blocks import SEGMENT_HEADER, Row, write_block, write_segment_header
+from rainpick.store.blocks import SEGMENT_HEADER, Row, encode_block, encode_segment_header
 from rainpick.store.errors import FullError
 from rainpick.store.reader import Torn, read_segment, segment_numbers, segment_path
 
 
 class Log:
-    """Appends records to a store. Records are in memory until ``flush``; a crash loses those, and no others.
+    """Appends records to a store. A store must have only one writer.
 
-    Opening looks at the last segment alone and cuts off its incomplete end; ``torn`` says what was cut.
+    Records are buffered until ``flush``; a crash loses only the buffered records. Opening a store reads only
+    the last segment and truncates an incomplete block at its end, which ``torn`` then describes.
 
-    A segment ends when a block takes it over ``segment_most`` bytes. Then old segments are deleted: those
-    that take the store over ``keep_most`` bytes, and those whose last change is ``keep_us`` microseconds
-    older than the newest segment's; 0 is no limit. ``sync``: a flush waits until the disk has the bytes.
+    A new segment is created once the current one has reached ``max_segment_bytes``. Then the oldest segments
+    are deleted while the store is larger than ``max_total_bytes``, or while they were last modified more than
+    ``max_age_us`` before the newest segment; 0 means no limit. With ``sync``, a flush waits until the data is
+    on the disk.
     """
 
     def __init__(
         self,
         folder: Path,
-        segment_most: int = 64 << 20,
-        keep_most: int = 0,
-        keep_us: int = 0,
+        max_segment_bytes: int = 64 << 20,
+        max_total_bytes: int = 0,
+        max_age_us: int = 0,
         sync: bool = True,
     ):
         self.folder = folder
-        self.segment_most = segment_most
-        self.keep_most, self.keep_us = keep_most, keep_us
+        self.max_segment_bytes = max_segment_bytes
+        self.max_total_bytes, self.max_age_us = max_total_bytes, max_age_us
         self.sync = sync
         self.waiting: list[Row] = []
         self.written = 0  # records
         self.lost = 0  # records
         self.torn: Torn | None = None
-        self.number = 0  # of the last segment
+        self.segment_number = 0  # of the current segment
         self.file: BinaryIO
         folder.mkdir(parents=True, exist_ok=True)
         numbers = segment_numbers(folder)
         if numbers:
-            self.number = numbers[-1]
+            self.segment_number = numbers[-1]
             self.reopen_segment()
         else:
-            self.begin_segment()
+            self.create_segment()
 
     def reopen_segment(self) -> None:
-        """Go on after the last complete block of the last segment."""
-        path = segment_path(self.folder, self.number)
-        entries = read_segment(self.folder, self.number)
+        """Open the last segment for writing after its last complete block."""
+        path = segment_path(self.folder, self.segment_number)
+        entries = read_segment(self.folder, self.segment_number)
         self.torn = next((entry for entry in entries if isinstance(entry, Torn)), None)
         if self.torn is not None and self.torn.at < SEGMENT_HEADER.size:
-            path.unlink()  # not even its header was written
-            self.number -= 1
-            self.begin_segment()
+            path.unlink()  # its header is incomplete
+            self.segment_number -= 1
+            self.create_segment()
             return
         self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
         self.file.seek(0, os.SEEK_END)
         if self.torn is not None:
             self.file.truncate(self.torn.at)
             self.file.seek(self.torn.at)
-            self.write_through()
+            self.flush_file()
 
-    def begin_segment(self) -> None:
-        """Begin a new segment and delete old ones."""
-        self.number += 1
-        path = segment_path(self.folder, self.number)
+    def create_segment(self) -> None:
+        """Create a new segment and delete old ones."""
+        self.segment_number += 1
+        path = segment_path(self.folder, self.segment_number)
         self.file = open(path, "w+b")  # noqa: SIM115 - it stays open until the segment ends
-        self.file.write(write_segment_header(self.number))
-        self.write_through()
+        self.file.write(encode_segment_header(self.segment_number))
+        self.flush_file()
         self.delete_old_segments()
 
-    def write_through(self) -> None:
-        """Hand written bytes to the system and, with ``sync``, wait until the disk has them."""
+    def flush_file(self) -> None:
+        """Flush the file to the operating system and, with ``sync``, to the disk."""
         self.file.flush()
         if self.sync:
             os.fsync(self.file.fileno())
 
     def delete_old_segments(self) -> None:
-        """Delete the oldest segments that are over the size or over the age; never the last one."""
+        """Delete the oldest segments while a limit of size or age is exceeded; never the last one."""
         stats = [
-            (number, segment_path(self.folder, number).stat()) for number in segment_numbers(self.folder)
+            (segment_number, segment_path(self.folder, segment_number).stat())
+            for segment_number in segment_numbers(self.folder)
         ]
         total = sum(stat.st_size for _, stat in stats)
         newest_s = stats[-1][1].st_mtime
-        for number, stat in stats[:-1]:
-            is_old = self.keep_us and (newest_s - stat.st_mtime) * 1e6 > self.keep_us
-            is_over = self.keep_most and total > self.keep_most
-            if not is_old and not is_over:
+        for segment_number, stat in stats[:-1]:
+            is_old = self.max_age_us and (newest_s - stat.st_mtime) * 1e6 > self.max_age_us
+            is_over_size = self.max_total_bytes and total > self.max_total_bytes
+            if not is_old and not is_over_size:
                 break
-            segment_path(self.folder, number).unlink()
+            segment_path(self.folder, segment_number).unlink()
             total -= stat.st_size
 
     def append(self, time_us: int, kind: int, payload: bytes) -> None:
-        """Add a record; it is written with the next ``flush``."""
+        """Buffer a record, which the next ``flush`` writes."""
         self.waiting.append((time_us, kind, payload))
 
     def flush(self) -> None:
-        """Write what waits as one block; ``FullError`` if it can't be, and then it is lost and counted."""
+        """Write the buffered records as one block.
+
+        On a write error they are dropped and counted in ``lost``, and ``FullError`` is raised.
+        """
         if not self.waiting:
             return
         rows, self.waiting = self.waiting, []
-        data = write_block(rows)
+        data = encode_block(rows)
         start = self.file.tell()
         try:
             self.write(data)
-            self.write_through()
+            self.flush_file()
         except OSError as error:
             self.lost += len(rows)
             self.roll_back(start)
-            path = segment_path(self.folder, self.number)
+            path = segment_path(self.folder, self.segment_number)
             raise FullError(f"{path}: {error.strerror}") from None
         self.written += len(rows)
-        if self.file.tell() >= self.segment_most:
+        if self.file.tell() >= self.max_segment_bytes:
             self.file.close()
-            self.begin_segment()
+            self.create_segment()
 
     def write(self, data: bytes) -> None:
         """Write a block; tests replace this to simulate a full disk."""
         self.file.write(data)
 
     def roll_back(self, start: int) -> None:
-        """Cut the segment back to ``start``: part of a block must not stand before the next one."""
+        """Truncate the segment to ``start``, so that no partial block precedes the next one."""
         with contextlib.suppress(OSError):
-            self.file.close()  # what it still buffers is part of the block
-        path = segment_path(self.folder, self.number)
+            self.file.close()  # its buffer may hold a part of the block, so errors are ignored
+        path = segment_path(self.folder, self.segment_number)
         self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
         self.file.truncate(start)
         self.file.seek(start)
 
     def close(self) -> None:
-        """Write what waits and close the file; ``FullError`` as for ``flush``."""
+        """Flush and close the file; ``FullError`` as for ``flush``."""
         try:
             self.flush()
         finally:
--- a/rainpick/store/reader.py
+++ b/rainpick/store/reader.py
@@ -1,4 +1,4 @@
-"""Reading a store: its segments, their blocks and records, and the places where those are missing."""
+"""Reader of a store: its segments, blocks and records, and the positions of damage and gaps."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
     SEGMENT_HEADER,
     Row,
     check_segment_header,
-    read_block,
-    read_block_header,
+    decode_block,
+    decode_block_header,
 )
 from rainpick.store.errors import BlockError
 
-FILE_NAME = "%010d.seg"
+FILE_NAME_FORMAT = "%010d.seg"
 
 
 class Record(NamedTuple):
-    """A record as it was appended. Kind and payload mean nothing to the store."""
+    """A record as it was appended. The store does not interpret kind and payload."""
 
     time_us: int
     kind: int
     payload: bytes
 
 
-# The names of these three types and of their fields are printed, and stand in exports: they stay.
+# Don't rename these three types and their fields: the names are part of printed output and exports.
 
 
 class Torn(NamedTuple):
-    """A segment ends in an incomplete block, as after a crash: these bytes are no records."""
+    """An incomplete block at the end of a segment, for example after a crash. It contains no records."""
 
     segment: int
     at: int  # offset in the segment
@@ -40,7 +40,7 @@
 
 
 class Damage(NamedTuple):
-    """Bytes within a segment that are not what was written; the records in them are left out."""
+    """Damaged bytes within a segment. The records in them are skipped."""
 
     segment: int
     at: int  # offset in the segment
@@ -49,26 +49,26 @@
 
 
 class Gap(NamedTuple):
-    """Segments are missing: the first and the last of them."""
+    """A range of missing segments, from ``first`` to ``last``."""
 
     first: int
     last: int
 
 
 class Block(NamedTuple):
-    """A block that is complete and undamaged."""
+    """A complete and undamaged block."""
 
     at: int  # offset in the segment
     rows: list[Row]
 
 
 class TimeRange(NamedTuple):
-    """A range of times in microseconds, both ends included. ``until_us`` None: no end."""
+    """A time range in microseconds, both ends included; None as ``until_us`` means no end."""
 
     from_us: int = 0
     until_us: int | None = None
 
-    def holds(self, time_us: int) -> bool:
+    def contains(self, time_us: int) -> bool:
         """Whether a time is in the range."""
         return time_us >= self.from_us and (self.until_us is None or time_us <= self.until_us)
 
@@ -81,21 +81,22 @@
 
 
 def segment_numbers(folder: Path) -> list[int]:
-    """The numbers of the segments that are there, in order."""
+    """Return the numbers of the existing segments in ascending order."""
     return sorted(int(path.stem) for path in folder.glob("*.seg") if path.stem.isdecimal())
 
 
 def segment_path(folder: Path, number: int) -> Path:
-    """The file of a segment."""
-    return folder / (FILE_NAME % number)
+    """Return the path of a segment."""
+    return folder / (FILE_NAME_FORMAT % number)
 
 
 def read_segment(
     folder: Path, number: int, time_range: TimeRange = ALL_TIMES
 ) -> Iterator[Block | Damage | Torn]:
-    """A segment block by block; damage where it is; a torn end if no complete block comes after it.
+    """Yield the blocks of a segment in order, with ``Damage`` or ``Torn`` in place of invalid bytes.
 
-    Headers are the index by time: a block that is wholly out of the range is passed over, unchecked.
+    Invalid bytes are ``Torn`` if no complete block follows them, otherwise ``Damage``. Block headers serve as
+    the index by time: a block entirely outside the range is skipped, and its content is not checked.
     ``StoreError`` if the segment has another format.
     """
     data = segment_path(folder, number).read_bytes()
@@ -110,12 +111,12 @@
         yield Damage(number, 0, at, str(error))
     while at < len(data):
         try:
-            header = read_block_header(data[at : at + BLOCK_HEADER.size])
+            header = decode_block_header(data[at : at + BLOCK_HEADER.size])
             end = at + BLOCK_HEADER.size + header.stored
             if end <= len(data) and time_range.excludes(header.first_us, header.last_us):
                 at = end
                 continue
-            rows = read_block(header, data[at + BLOCK_HEADER.size : end])
+            rows = decode_block(header, data[at + BLOCK_HEADER.size : end])
         except BlockError as error:
             next_at = find_block(data, at + 1)
             if next_at is None:
@@ -129,12 +130,12 @@
 
 
 def find_block(data: bytes, at: int) -> int | None:
-    """The offset of the first complete and undamaged block from ``at`` on."""
+    """Return the offset of the first complete and undamaged block at or after ``at``."""
     while (at := data.find(BLOCK_MAGIC, at)) >= 0:
         try:
-            header = read_block_header(data[at : at + BLOCK_HEADER.size])
+            header = decode_block_header(data[at : at + BLOCK_HEADER.size])
             start = at + BLOCK_HEADER.size
-            read_block(header, data[start : start + header.stored])
+            decode_block(header, data[start : start + header.stored])
             return at
         except BlockError:
             at += 1
@@ -144,9 +145,10 @@
 def read(
     folder: Path, from_us: int = 0, until_us: int | None = None
 ) -> Iterator[Record | Damage | Torn | Gap]:
-    """The records of a store in the order in which they were appended, by default all.
+    """Yield the records of a store in the order of appending, optionally only those in a time range.
 
-    What is missing or damaged is told in its place. ``StoreError`` if a segment has another format.
+    ``Damage``, ``Torn`` and ``Gap`` are yielded at the positions of damaged or missing parts. ``StoreError``
+    if a segment has another format.
     """
     time_range = TimeRange(from_us, until_us)
     previous = None
@@ -160,5 +162,5 @@
                 continue
             rows = entry.rows
             if time_range != ALL_TIMES:
-                rows = [row for row in rows if time_range.holds(row[0])]
+                rows = [row for row in rows if time_range.contains(row[0])]
             yield from map(Record._make, rows)
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -1,4 +1,4 @@
-"""Differences are shown in users' terms; inspection, the HTML page and the options of a replay."""
+"""Comparison of a replay with its record, inspection, the HTML page, and the options of a replay."""
 
 import json
 
@@ -10,7 +10,7 @@
 from rainpick.record import inspect
 from rainpick.record.compare import Comparison
 from rainpick.record.incarnations import select_incarnation
-from rainpick.record.series import POINTS, TimeSeries
+from rainpick.record.series import MIN_POINTS, TimeSeries
 from rainpick.record.view import FleetView
 from rainpick.store import read
 from tests.record.recorded_day import record_day
@@ -39,7 +39,7 @@
             model.ProxyJoined(7, True, 1.0, 0),
         ],
     )
-    view.apply_orders(
+    view.apply_commands(
         0,
         [
             model.SetWeight(0, ONE, 1.0),
@@ -51,7 +51,7 @@
     return view
 
 
-def test_a_view_counts_in_users_terms():
+def test_a_view_counts_ejections_weight_changes_messages_and_throttling():
     view = fleet_view()
     view.apply_events(
         1_000_000,
@@ -60,13 +60,13 @@
             model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2),
         ],
     )
-    view.apply_orders(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
+    view.apply_commands(2_000_000, [model.SetWithdrawn(ONE, True), model.RequestAcknowledgement(2, False)])
     assert (
         view.limits.approaches["drain"].fraction == 0.5
         and view.limits.approaches["drain"].subject == "10.0.0.1:1"
     )
-    view.apply_orders(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
-    view.apply_orders(
+    view.apply_commands(2_500_000, [model.SetWithdrawn(TWO, True), model.RequestAcknowledgement(3, False)])
+    view.apply_commands(
         2_700_000,
         [
             model.SetWithdrawn(TWO, False),
@@ -75,7 +75,7 @@
         ],
     )
     view.apply_events(2_800_000, [])
-    view.apply_orders(
+    view.apply_commands(
         2_800_000,
         [
             model.SetWeight(0, TWO, 0.5),
@@ -94,41 +94,42 @@
     )
 
 
-def test_a_server_in_slow_start_is_measured_by_what_it_surely_can_do():
+def test_a_weight_in_slow_start_is_relative_to_the_capacity_at_that_age():
     view = fleet_view()
     view.apply_events(
         20_000_000, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(TWO, started_us=20_000_000),), 2)]
     )
-    view.apply_orders(20_000_000, [])
-    assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)  # full weight, and it can do a fifth
-    view.apply_orders(20_000_000, [model.SetWeight(0, TWO, 0.1)])
+    view.apply_commands(20_000_000, [])
+    # The full weight at a fifth of the capacity.
+    assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)
+    view.apply_commands(20_000_000, [model.SetWeight(0, TWO, 0.1)])
     assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)
 
 
-def test_a_drain_ends_with_the_last_table():
+def test_a_drain_is_complete_when_the_last_table_drops_the_server():
     view = fleet_view()
-    view.apply_orders(0, [model.SetWeight(1, ONE, 1.0)])
+    view.apply_commands(0, [model.SetWeight(1, ONE, 1.0)])
     view.apply_events(
         0, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(ONE, model.EndpointState.DRAINING),), 2)]
     )
-    view.apply_orders(500_000, [model.SetWeight(0, ONE, 0.0)])
+    view.apply_commands(500_000, [model.SetWeight(0, ONE, 0.0)])
     assert "drain" not in view.limits.approaches
-    view.apply_orders(1_000_000, [model.SetWeight(1, ONE, 0.0)])
+    view.apply_commands(1_000_000, [model.SetWeight(1, ONE, 0.0)])
     assert view.limits.approaches["drain"].fraction == 0.5
 
 
-def test_shares_are_of_calls_and_follow_the_proxies():
+def test_shares_follow_weights_withdrawals_and_proxies():
     view = fleet_view()
     assert view.shares() == {ONE: 0.5, TWO: 0.5}
-    view.apply_orders(1, [model.SetWeight(0, ONE, 3.0)])
+    view.apply_commands(1, [model.SetWeight(0, ONE, 3.0)])
     assert view.shares() == {ONE: 0.75, TWO: 0.25}
-    view.apply_orders(2, [model.SetWithdrawn(ONE, True)])
+    view.apply_commands(2, [model.SetWithdrawn(ONE, True)])
     assert view.shares() == {TWO: 1.0}
     view.apply_events(3, [model.ProxyLeft(7)])
     assert view.shares() == {}
 
 
-def test_a_replay_is_valid_until_too_many_calls_go_elsewhere():
+def test_a_replay_is_valid_until_too_many_requests_are_diverted():
     comparison = Comparison(0, SETTINGS, SETTINGS)
     first = [
         model.SetWeight(0, ONE, 1.0),
@@ -144,52 +145,54 @@
     for second in range(21, 40):
         comparison.apply(second * 1_000_000, [], [], [])
     found = comparison.result()
-    # Half of the calls go elsewhere: over a fifth of ten seconds from the fifth such second on.
+    # Half of the requests are diverted, so the mean of ten seconds exceeds a fifth after five seconds.
     assert found.valid_until_s == 24 and 0.2 < found.diverted < 0.3
     assert {row.server for row in found.share_changes} == {"10.0.0.1:1", "10.0.0.1:2"}
 
 
-def test_a_series_keeps_its_size_and_its_means_however_long_the_day():
+def test_a_long_series_keeps_its_size_and_its_means():
     series = TimeSeries(0)
     for second in range(10_000):
         series.add(second * 1_000_000, second % 2)
     points = series.points()
-    assert POINTS <= len(points) <= 2 * POINTS and all(value == 0.5 for _, value in points)
+    assert MIN_POINTS <= len(points) <= 2 * MIN_POINTS and all(value == 0.5 for _, value in points)
 
 
-def test_each_factor_of_a_weight_is_told_and_their_product_is_the_weight(tmp_path):
+def test_the_product_of_the_factors_is_the_percentage(tmp_path):
     record_day(tmp_path)
-    life, steps = select_incarnation(lambda: read(tmp_path), -1)
-    director = inspect.reach(life, steps, life.now + 6_000_000)
-    before = {address: vars(held).copy() for address, held in director.fleet.servers.items()}
-    for address, held in director.fleet.servers.items():
+    incarnation, steps = select_incarnation(lambda: read(tmp_path), -1)
+    director = inspect.reach(incarnation, steps, incarnation.now + 6_000_000)
+    before = {address: vars(server_state).copy() for address, server_state in director.fleet.servers.items()}
+    for address, server_state in director.fleet.servers.items():
         found = inspect.server(director, f"{address[0]}:{address[1]}")
         product = 1.0
-        for _, times in found["because"]:
-            product *= times
+        for _, multiplier in found["because"]:
+            product *= multiplier
         assert (
             product
             == pytest.approx(found["percentage"])
-            == pytest.approx(inspect.percentage(director, held, director.conditions()))
+            == pytest.approx(inspect.percentage(director, server_state, director.conditions()))
         )
     cold = dict(inspect.server(director, "127.0.0.1:9009")["because"])
     assert 0 < cold["it has just started"] < 1 and cold["the server is eased"] == 1.0
     assert dict(inspect.server(director, "127.0.0.1:9001")["because"])["its state on the list"] == 0.0
-    # Asking leaves no trace: the module ends a ramp that is done when it works out a percentage.
-    assert all(vars(held) == before[address] for address, held in director.fleet.servers.items())
-    held = director.fleet.servers["127.0.0.1", 9003]
-    held.recovering_since_us = director.fleet.clock.now - 60_000_000
+    # Inspection must not change a server, although computing its percentage ends a complete recovery.
+    assert all(
+        vars(server_state) == before[address] for address, server_state in director.fleet.servers.items()
+    )
+    server_state = director.fleet.servers["127.0.0.1", 9003]
+    server_state.recovering_since_us = director.fleet.clock.now - 60_000_000
     inspect.server(director, "127.0.0.1:9003")
-    assert held.recovering_since_us == director.fleet.clock.now - 60_000_000
+    assert server_state.recovering_since_us == director.fleet.clock.now - 60_000_000
 
 
-def test_inspection_reaches_the_moment_asked_for_and_no_later(tmp_path):
+def test_inspection_replays_up_to_the_requested_time_and_no_further(tmp_path):
     record_day(tmp_path)
     seconds = []
-    for until in (1, 3, 5):
-        life, steps = select_incarnation(lambda: read(tmp_path), 0)
-        director = inspect.reach(life, steps, life.now + until * 1_000_000)
-        seconds.append((director.now - life.now) / 1e6)
+    for until_s in (1, 3, 5):
+        incarnation, steps = select_incarnation(lambda: read(tmp_path), 0)
+        director = inspect.reach(incarnation, steps, incarnation.now + until_s * 1_000_000)
+        seconds.append((director.now - incarnation.now) / 1e6)
     assert seconds == sorted(seconds) and seconds[0] <= 1 and seconds[1] <= 3 and seconds[2] <= 5
     fleet = inspect.fleet(director)
     assert fleet["proxies"] == 4 and fleet["servers"]["ready"] >= 2
@@ -197,36 +200,46 @@
 
 
 @pytest.mark.parametrize(
-    "words, why",
+    "arguments, reason",
     [
         (("--inspect", "server=nowhere:1"), "no server 'nowhere:1' is held; there are 127.0.0.1:9000"),
         (("--inspect", "table=99"), "there is no table 99"),
         (("--inspect", "proxy=55"), "proxy 55 has not joined"),
         (("--inspect", "moon"), "'moon' is not fleet"),
-        (("--inspect", "fleet", "--life", "4"), "there are 1 lives"),
+        (
+            ("--inspect", "fleet", "--life", "4"),
+            "incarnations in the record: 1 (numbered from 0); there is no number 4",
+        ),
         (("--inspect", "fleet", "--until", "-1"), "nothing was recorded before"),
         (("--set", "a"), "NAME=VALUE"),
         (("--module", "/nowhere.py"), "nowhere.py"),
     ],
 )
-def test_what_is_asked_wrongly_is_told_in_a_line(tmp_path, words, why):
+def test_a_wrong_argument_of_replay_is_an_error_with_its_reason(tmp_path, arguments, reason):
     record_day(tmp_path)
-    found = CliRunner().invoke(main, ["replay", str(tmp_path), *words])
-    assert found.exit_code == 2 and why in found.output
+    found = CliRunner().invoke(main, ["replay", str(tmp_path), *arguments])
+    assert found.exit_code == 2 and reason in found.output
 
 
-def test_the_page_holds_charts_and_loads_nothing(tmp_path):
+def test_the_page_contains_charts_and_loads_no_other_files(tmp_path):
     record_day(tmp_path / "day")
     page = tmp_path / "page.html"
-    words = ["replay", str(tmp_path / "day"), "--set", "rules.warm_after_us=20000000", "--html", str(page)]
-    assert CliRunner().invoke(main, words).exit_code == 1
+    arguments = [
+        "replay",
+        str(tmp_path / "day"),
+        "--set",
+        "rules.warm_after_us=20000000",
+        "--html",
+        str(page),
+    ]
+    assert CliRunner().invoke(main, arguments).exit_code == 1
     text = page.read_text()
     assert text.count("<svg") >= 3 and "Calls that would go elsewhere" in text
     assert "127.0.0.1:9009" in text
     assert not [word for word in ("<script", " src=", "href=", "@import", "url(") if word in text]
 
 
-def test_a_settings_file_takes_the_place_of_the_recorded_settings(tmp_path):
+def test_a_settings_file_replaces_the_recorded_settings(tmp_path):
     record_day(tmp_path / "day")
     path = tmp_path / "s.json5"
     path.write_text(
--- a/tests/record/test_days.py
+++ b/tests/record/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days over sockets, recorded live, give the same orders again in another process."""
+"""A day that was recorded live over sockets is replayed with the same commands in another process."""
 
 import json
 import os
@@ -21,27 +21,27 @@
 }"""
 
 
-def replay(folder, seed, *words):
-    command = [sys.executable, "-m", "rainpick", "replay", str(folder), "--json", *words]
-    words = {**os.environ, "PYTHONHASHSEED": seed}
-    found = subprocess.run(command, text=True, capture_output=True, env=words)
+def replay(folder, seed, *options):
+    command = [sys.executable, "-m", "rainpick", "replay", str(folder), "--json", *options]
+    environment = {**os.environ, "PYTHONHASHSEED": seed}
+    found = subprocess.run(command, text=True, capture_output=True, env=environment)
     return found.returncode, json.loads(found.stdout)
 
 
-def test_a_bad_day_with_two_directors_one_of_them_killed_replays_exactly(tmp_path):
-    place = tmp_path / "day"
-    Day(parse(TEXT, "day", Scenario), place).play()
-    lives = {}
+def test_a_day_with_faults_and_a_killed_director_is_replayed_with_the_same_commands(tmp_path):
+    day_folder = tmp_path / "day"
+    Day(parse(TEXT, "day", Scenario), day_folder).play()
+    results = {}
     for number in range(2):
-        code, lives[number] = replay(place / f"record-{number}", "77")
-        assert code == 0, lives[number]
-        assert all(one["differing"] == 0 and one["hole"] is None for one in lives[number])
-    # The killed one has two lives in its record; each saw the fleet and gave orders.
-    assert len(lives[0]) == 2 and len(lives[1]) == 1
-    assert all(one["orders"] > 10 for rows in lives.values() for one in rows)
-    told = lives[1][0]["counts"]
-    assert told["drains and losses told"][0] >= 1 and told["messages"][0] == told["messages"][1] > 5
-    # Both on one clock, in the wall's order, each in its own.
+        code, results[number] = replay(day_folder / f"record-{number}", "77")
+        assert code == 0, results[number]
+        assert all(result["differing"] == 0 and result["hole"] is None for result in results[number])
+    # The record of the killed director has two incarnations; each issued commands.
+    assert len(results[0]) == 2 and len(results[1]) == 1
+    assert all(result["orders"] > 10 for rows in results.values() for result in rows)
+    counts = results[1][0]["counts"]
+    assert counts["drains and losses told"][0] >= 1 and counts["messages"][0] == counts["messages"][1] > 5
+    # The steps of both records are printed in wall clock order.
     found = subprocess.run(
         [
             sys.executable,
@@ -49,8 +49,8 @@
             "rainpick",
             "record",
             "show",
-            str(place / "record-0"),
-            str(place / "record-1"),
+            str(day_folder / "record-0"),
+            str(day_folder / "record-1"),
         ],
         text=True,
         capture_output=True,
@@ -58,16 +58,23 @@
     rows = [line.split()[:3] for line in found.stdout.splitlines()]
     times = [float(second) for second, _, _ in rows]
     assert times == sorted(times) and {director for _, director, _ in rows} == {"0", "1"}
-    # Played side by side they are what they were alone, and one moment is looked at in both: one at which
-    # nobody dials. Half a second after the streams broke it was chance who had come back already.
-    command = [sys.executable, "-m", "rainpick", "replay", str(place / "record-0"), str(place / "record-1")]
+    # Replayed together, both records give the same results as alone. The fleet is inspected while no proxy
+    # connects: half a second after the streams broke, the number of reconnected proxies was random.
+    command = [
+        sys.executable,
+        "-m",
+        "rainpick",
+        "replay",
+        str(day_folder / "record-0"),
+        str(day_folder / "record-1"),
+    ]
     both = subprocess.run([*command, "--json"], text=True, capture_output=True)
-    assert both.returncode == 0 and json.loads(both.stdout) == lives[0] + lives[1]
-    moment = subprocess.run(
+    assert both.returncode == 0 and json.loads(both.stdout) == results[0] + results[1]
+    inspection = subprocess.run(
         [*command, "--json", "--until", "3", "--inspect", "fleet"], text=True, capture_output=True
     )
-    fleets = json.loads(moment.stdout)
-    assert len(fleets) == 2 and all(2 <= one["proxies"] <= 4 for one in fleets)
-    # A change is told, and 1 is the exit code.
-    code, other = replay(place / "record-1", "1", "--set", "rules.warm_after_us=30000000")
-    assert code == 1 and other[0]["first"]["instead"] and other[0]["parted"] > 0
+    fleets = json.loads(inspection.stdout)
+    assert len(fleets) == 2 and all(2 <= result["proxies"] <= 4 for result in fleets)
+    # With a changed setting, the difference is reported and the exit code is 1.
+    code, changed = replay(day_folder / "record-1", "1", "--set", "rules.warm_after_us=30000000")
+    assert code == 1 and changed[0]["first"]["instead"] and changed[0]["parted"] > 0
--- a/tests/record/test_exchange.py
+++ b/tests/record/test_exchange.py
@@ -1,4 +1,4 @@
-"""An export is imported byte for byte; a file that is no export leaves nothing behind."""
+"""Export of records and import of exports."""
 
 import pytest
 from click.testing import CliRunner
@@ -9,7 +9,7 @@
 from rainpick.record.steps import (
     RecordKind,
     Step,
-    write_step,
+    encode_step,
 )
 from rainpick.store import Log, Record, read
 from tests.record.recorded_day import record_day
@@ -19,12 +19,14 @@
     return [entry for entry in read(folder) if isinstance(entry, Record)]
 
 
-def test_an_export_is_imported_byte_for_byte(tmp_path):
+def test_import_of_an_export_restores_every_record_byte_for_byte(tmp_path):
     record_day(tmp_path / "day")
     log = Log(tmp_path / "day", sync=False)
     log.append(5, RecordKind.LOST, b"3")
-    rest = [model.SendPeerMessage(None, b"x"), model.FetchEndpoints()]
-    log.append(6, RecordKind.STEP, write_step(Step(7, [model.PeerMessageReceived(1, b"\x00\xff")], rest)))
+    commands = [model.SendPeerMessage(None, b"x"), model.FetchEndpoints()]
+    log.append(
+        6, RecordKind.STEP, encode_step(Step(7, [model.PeerMessageReceived(1, b"\x00\xff")], commands))
+    )
     log.close()
     out = tmp_path / "day.jsonl"
     assert CliRunner().invoke(main, ["record", "export", str(tmp_path / "day"), str(out)]).exit_code == 0
@@ -34,20 +36,20 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, why",
+    "damage, reason",
     [
-        (lambda rows: rows[1:], "line 1: .*begins with the form"),
+        (lambda rows: rows[1:], "line 1: .*must have the form"),
         (lambda rows: [rows[0], rows[1], b'{"t": 1}\n'], "line 3: KeyError"),
         (lambda rows: [*rows[:3], b"{\n"], "line 4"),
         (lambda rows: [rows[0], b'{"t":1,"now":2,"events":[["Moon",1]],"orders":[]}\n'], "line 2: .*'Moon'"),
         (lambda rows: [rows[0], b"[" * 9000 + b"\n"], "line 2"),
     ],
 )
-def test_a_file_that_is_no_export_is_rejected_by_its_line_and_leaves_nothing(tmp_path, spoil, why):
+def test_a_malformed_export_is_rejected_with_its_line_and_leaves_no_segments(tmp_path, damage, reason):
     record_day(tmp_path / "day")
     rows = list(export_lines(read(tmp_path / "day")))
-    (tmp_path / "bad").write_bytes(b"".join(spoil(rows)))
-    with pytest.raises(ExchangeError, match=why):
+    (tmp_path / "bad").write_bytes(b"".join(damage(rows)))
+    with pytest.raises(ExchangeError, match=reason):
         import_file(tmp_path / "bad", tmp_path / "back")
     assert not list((tmp_path / "back").glob("*.seg"))
 
@@ -56,6 +58,6 @@
     record_day(tmp_path / "day")
     (tmp_path / "out").write_bytes(b"".join(export_lines(read(tmp_path / "day"))))
     before = records(tmp_path / "day")
-    with pytest.raises(ExchangeError, match="holds a record already"):
+    with pytest.raises(ExchangeError, match="already contains a record"):
         import_file(tmp_path / "out", tmp_path / "day")
     assert records(tmp_path / "day") == before
--- a/tests/record/test_load.py
+++ b/tests/record/test_load.py
@@ -1,4 +1,4 @@
-"""Another text of the decisions, a file or a folder of modules, takes the place of the installed changed."""
+"""Replays with another version of the decision modules, loaded from a file or from a folder."""
 
 import os
 import shutil
@@ -16,7 +16,7 @@
 from tests.record.recorded_day import record_day, replay_all
 
 INSTALLED = Path(decisions.__file__).parent
-NOTHING_FITS = "\n\nSendQueue.fits = lambda queue, lines, claim: False\n"
+NEVER_FITS = "\n\nSendQueue.fits = lambda queue, lines, claim: False\n"
 
 
 def copy_installed(folder):
@@ -26,25 +26,25 @@
 def copy_with_slow_queue(folder):
     copy_installed(folder)
     with open(folder / "send_queue.py", "a") as file:
-        file.write(NOTHING_FITS)
+        file.write(NEVER_FITS)
     return folder
 
 
-def write_modules(folder, **texts):
+def write_modules(folder, **sources):
     folder.mkdir(exist_ok=True)
-    for name, text in texts.items():
-        (folder / f"{name}.py").write_text(text)
+    for name, source in sources.items():
+        (folder / f"{name}.py").write_text(source)
     return folder
 
 
-def first_order(director):
-    (order,) = director.step(0, [])
-    return order.text
+def logged_text(director):
+    (command,) = director.step(0, [])
+    return command.text
 
 
-def test_two_folders_that_differ_in_the_send_queue_alone_have_different_digests(tmp_path):
-    same, other = copy_installed(tmp_path / "same"), copy_with_slow_queue(tmp_path / "other")
-    assert decisions_digest(same) == decisions_digest() != decisions_digest(other)
+def test_a_change_in_a_single_module_changes_the_digest(tmp_path):
+    same, changed = copy_installed(tmp_path / "same"), copy_with_slow_queue(tmp_path / "other")
+    assert decisions_digest(same) == decisions_digest() != decisions_digest(changed)
 
 
 def test_the_digest_covers_the_names_of_the_modules_and_no_other_files(tmp_path):
@@ -64,14 +64,14 @@
     assert decisions_digest(folder) == decisions_digest(INSTALLED)
 
 
-def test_a_folder_whose_send_queue_differs_gives_the_orders_of_that_queue(tmp_path):
+def test_a_folder_with_another_send_queue_gives_other_commands(tmp_path):
     record_day(tmp_path / "day")
     (same,) = replay_all(tmp_path / "day", load_decisions(copy_installed(tmp_path / "same")))
     assert same.differing == 0
     assert callable(send_queue.SendQueue.fits)
-    (other,) = replay_all(tmp_path / "day", load_decisions(copy_with_slow_queue(tmp_path / "other")))
-    assert other.differing and other.orders == same.orders
-    # The installed modules are as they were.
+    (changed,) = replay_all(tmp_path / "day", load_decisions(copy_with_slow_queue(tmp_path / "other")))
+    assert changed.differing and changed.orders == same.orders
+    # The installed modules are not affected.
     assert replay_all(tmp_path / "day") == [same]
     assert "Director" in vars(sys.modules["rainpick.decisions.director"])
     assert sys.modules["rainpick.decisions.send_queue"] is decisions.send_queue is send_queue
@@ -80,19 +80,19 @@
 def test_a_folder_is_replayed_in_another_process(tmp_path):
     record_day(tmp_path / "day")
     copy_with_slow_queue(tmp_path / "other")
-    code = "\n".join(
+    script = "\n".join(
         [
             "import sys",
             "from pathlib import Path",
             "from rainpick.record.load import load_decisions",
             "from rainpick.record.clock import replay_together",
-            "day, text = map(Path, sys.argv[1:])",
-            "(result,) = replay_together([day], load_decisions(text))",
+            "day, modules = map(Path, sys.argv[1:])",
+            "(result,) = replay_together([day], load_decisions(modules))",
             "sys.exit(0 if result.differing else 1)",
         ]
     )
-    for text, expected in ((tmp_path / "other", 0), (INSTALLED, 1)):
-        command = [sys.executable, "-c", code, str(tmp_path / "day"), str(text)]
+    for modules, expected in ((tmp_path / "other", 0), (INSTALLED, 1)):
+        command = [sys.executable, "-c", script, str(tmp_path / "day"), str(modules)]
         found = subprocess.run(command, env={**os.environ, "PYTHONHASHSEED": "5"}, capture_output=True)
         assert found.returncode == expected, found.stderr.decode()
 
@@ -122,37 +122,38 @@
         f"class Director:\n    def step(self, now, events):\n        {within}\n"
         f"        return [LogMessage({name})]\n"
     )
-    for word in ("first", "second"):  # both at once, apart from each other
+    for word in ("first", "second"):  # both are loaded at the same time and must stay separate
         folder = write_modules(tmp_path / word, director=text, words=f"TEXT = {word!r}\n")
         write_modules(
             folder / "part", inner=f"from rainpick.decisions.words import TEXT\nassert TEXT == {word!r}\n"
         )
     first, second = load_decisions(tmp_path / "first")(), load_decisions(tmp_path / "second")()
-    assert [first_order(director) for director in (first, second, first)] == ["first", "second", "first"]
+    assert [logged_text(director) for director in (first, second, first)] == ["first", "second", "first"]
     assert type(first.step(0, [])[0]) is model.LogMessage
 
 
-def test_a_folder_never_falls_back_on_an_installed_decision_module(tmp_path):
+def test_a_module_that_a_folder_lacks_is_not_imported_from_the_installed_package(tmp_path):
     text = "from rainpick.decisions.send_queue import SendQueue\nclass Director: pass\n"
     with pytest.raises(ModuleError, match="send_queue"):
         load_decisions(write_modules(tmp_path / "short", director=text))
     assert load_decisions(write_modules(tmp_path / "short", send_queue="class SendQueue: pass\n"))
 
 
-def test_a_text_that_is_edited_is_loaded_as_it_stands_now(tmp_path):
+def test_an_edited_module_is_loaded_without_the_bytecode_cache(tmp_path):
+    """Guards against stale code: a cached file matches by size and modification second only."""
     text = "from .words import TEXT\nfrom rainpick.model import LogMessage\nclass Director:\n"
     text += "    def step(self, now, events):\n        return [LogMessage(TEXT)]\n"
     found = [
-        first_order(
+        logged_text(
             load_decisions(write_modules(tmp_path / "edited", director=text, words=f"TEXT = {number}\n"))()
         )
         for number in range(3)
     ]
-    assert found == [0, 1, 2]  # also within one second, and of one size
+    assert found == [0, 1, 2]  # although all three have the same size and may be written within one second
 
 
 @pytest.mark.parametrize(
-    "texts, why",
+    "sources, reason",
     [
         ({"words": ""}, "has no director.py"),
         ({"director": "x = 1\n"}, "has no Director"),
@@ -161,10 +162,12 @@
         ({"director": "", "__init__": "1 / 0\n"}, "ZeroDivisionError"),
     ],
 )
-def test_a_folder_without_a_director_is_an_error_that_leaves_nothing_behind(tmp_path, texts, why):
+def test_a_folder_without_a_director_is_an_error_and_leaves_the_import_system_unchanged(
+    tmp_path, sources, reason
+):
     before = list(sys.meta_path), set(sys.modules)
-    with pytest.raises(ModuleError, match=why):
-        load_decisions(write_modules(tmp_path / "bad", **texts))
+    with pytest.raises(ModuleError, match=reason):
+        load_decisions(write_modules(tmp_path / "bad", **sources))
     assert (list(sys.meta_path), set(sys.modules)) == before
 
 
@@ -174,7 +177,7 @@
     assert load_decisions(tmp_path / "text.py") is Director
 
 
-def test_another_text_of_the_director_gives_other_orders(tmp_path):
+def test_a_file_with_another_director_gives_other_commands(tmp_path):
     record_day(tmp_path / "day")
     text = INSTALLED / "director.py"
     (tmp_path / "slow.py").write_text(text.read_text().replace("clock.now + TICK_US", "clock.now + 10**12"))
@@ -184,18 +187,18 @@
     )
     (same,) = replay_all(tmp_path / "day", load_decisions(text))
     assert same.differing == 0
-    for words, why in (
+    for bad_source, reason in (
         ("x = 1\n", "has no Director"),
         ("1 / 0\n", "ZeroDivisionError"),
         ("(", "SyntaxError"),
     ):
-        (tmp_path / "bad.py").write_text(words)
-        with pytest.raises(ModuleError, match=why):
+        (tmp_path / "bad.py").write_text(bad_source)
+        with pytest.raises(ModuleError, match=reason):
             load_decisions(tmp_path / "bad.py")
 
 
-def test_changes_are_json_or_text_and_have_a_name():
+def test_values_of_changed_settings_are_json_or_strings():
     assert parse_changes(["a=1", "b=x", 'c="1"', "d=[1, 2]"]) == {"a": 1, "b": "x", "c": "1", "d": [1, 2]}
-    for word in ("a", "=1"):
+    for argument in ("a", "=1"):
         with pytest.raises(ValueError, match="NAME=VALUE"):
-            parse_changes([word])
+            parse_changes([argument])
--- a/tests/record/test_recorder.py
+++ b/tests/record/test_recorder.py
@@ -1,4 +1,4 @@
-"""A live director is recorded; a slow or full disk loses steps and says so."""
+"""Recording of a live director, and the loss of steps on a slow or full disk."""
 
 import errno
 import time
@@ -13,7 +13,7 @@
 from tests.waiting import until
 
 
-def test_a_live_director_is_recorded_over_sockets_and_replays_exactly(tmp_path):
+def test_the_record_of_a_live_director_is_replayed_with_the_same_commands(tmp_path):
     folder = tmp_path / "day"
     for _ in range(2):  # two incarnations in one record
         with running(f'record: {{folder: "{folder}", sync: false}}') as daemon:
@@ -30,15 +30,15 @@
 
 
 def test_a_slow_disk_never_blocks_the_core_and_lost_steps_are_counted(tmp_path, monkeypatch):
-    monkeypatch.setattr("rainpick.record.recorder.QUEUE_MOST", 8)
+    monkeypatch.setattr("rainpick.record.recorder.MAX_QUEUED_STEPS", 8)
     recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
-    slow = recorder.store.append
-    recorder.store.append = lambda *words: (time.sleep(0.05), slow(*words))
+    append = recorder.store.append
+    recorder.store.append = lambda *arguments: (time.sleep(0.05), append(*arguments))
     begin = time.monotonic()
     for now in range(100):
         recorder.step(now, [model.TimerFired(now)], [])
     assert time.monotonic() - begin < 0.1 and recorder.lost > 50
-    recorder.store.append = slow
+    recorder.store.append = append
     until(lambda: recorder.queue.empty())
     recorder.step(1000, [], [])
     recorder.close()
@@ -48,21 +48,21 @@
 
 
 def test_a_disk_that_fills_up_within_a_block_loses_that_block(tmp_path):
-    """The core goes on, lost steps are counted, and the replay of that incarnation ends there."""
+    """The core continues, lost steps are counted, and a replay of the incarnation ends at the gap."""
     recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
     recorder.step(1, [model.TimerFired(1)], [])
     until(lambda: recorder.store.written >= 1)
-    whole = recorder.store.write
+    write = recorder.store.write
 
-    def half(data):
+    def write_half(data):
         recorder.store.file.write(data[: len(data) // 2])
         raise OSError(errno.ENOSPC, "No space left on device")
 
-    recorder.store.write = half
+    recorder.store.write = write_half
     for now in range(2, 12):
         recorder.step(now, [model.TimerFired(now)], [])
     until(lambda: recorder.lost >= 10)
-    recorder.store.write = whole
+    recorder.store.write = write
     recorder.step(50, [model.TimerFired(50)], [])
     recorder.close()
     ((_, steps),) = read_incarnations(read(tmp_path))
--- a/tests/record/test_steps.py
+++ b/tests/record/test_steps.py
@@ -1,4 +1,4 @@
-"""Events and orders are read back as they were, also from records of other versions."""
+"""Encoding and decoding of events and commands, including records of other versions."""
 
 from pathlib import Path
 
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from rainpick import model
-from rainpick.record.schema import CODES, TYPE_ROWS
-from rainpick.record.steps import Step, StepError, StepReader, read_step, write_step
+from rainpick.record.schema import CODES, TYPE_DECLARATIONS
+from rainpick.record.steps import Step, StepDecoder, StepError, decode_step, encode_step
 from tests.record.recorded_day import replay_all
 
 SAMPLES = Path(__file__).parent / "samples"
@@ -26,9 +26,9 @@
     st.integers(0, 2**62),
 )
 @hypothesis_settings(max_examples=100, deadline=None, derandomize=True)
-def test_every_type_is_read_back_as_it_was(settings, address, number, now):
+def test_decoding_restores_the_encoded_values(settings, address, number, now):
     entry = model.Endpoint(number, 1, now, 2, 3, address, model.EndpointState.READY)
-    values_of_types = [
+    messages = [
         model.Started(now, settings),
         model.EndpointUpdate(model.UpdateKind.FULL, (entry, entry), 7),
         model.ServerLoadReport(address, 1, 2, 3, 4, 5, (number,)),
@@ -37,8 +37,8 @@
         model.SendPeerMessage(None, b""),
         model.FetchEndpoints(),
     ]
-    step = Step(now, values_of_types, values_of_types[::-1])
-    assert read_step(write_step(step)) == step
+    step = Step(now, messages, messages[::-1])
+    assert decode_step(encode_step(step)) == step
 
 
 def test_every_event_and_command_can_be_recorded():
@@ -47,25 +47,25 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x93\x01\x90", b"\x93\x01\x91\x91\xcc\xff\x90", b"\xc1"])
-def test_bytes_that_are_no_step_raise_an_error(data):
+def test_malformed_bytes_raise_an_error(data):
     with pytest.raises(StepError):
-        read_step(data)
+        decode_step(data)
 
 
-def test_a_record_of_another_version_is_read_by_names():
-    """A field may move, an unknown one is skipped, a missing one is an error."""
-    moved = [list(row) for row in TYPE_ROWS]
-    place = next(at for at, row in enumerate(moved) if row[0] == "Withdraw")
-    moved[place] = ["Withdraw", "why", "on", "server"]
-    reader = StepReader(moved)
-    assert reader.read_value([place, "x", True, ["h", 1]]) == model.SetWithdrawn(("h", 1), True)
-    moved[place] = ["Withdraw", "server"]
+def test_a_record_of_another_version_is_decoded_by_field_names():
+    """Fields may have another order, an unknown field is skipped, and a missing field is an error."""
+    declarations = [list(row) for row in TYPE_DECLARATIONS]
+    withdraw = next(index for index, row in enumerate(declarations) if row[0] == "Withdraw")
+    declarations[withdraw] = ["Withdraw", "why", "on", "server"]
+    decoder = StepDecoder(declarations)
+    assert decoder.decode_value([withdraw, "x", True, ["h", 1]]) == model.SetWithdrawn(("h", 1), True)
+    declarations[withdraw] = ["Withdraw", "server"]
     with pytest.raises(StepError, match="Withdraw"):
-        StepReader(moved).read_value([place, ["h", 1]])
-    listed = next(at for at, row in enumerate(moved) if row[0] == "Listed")
-    moved[listed] = ["Listed", "version", "servers", "kind"]
-    moved[-1] = ["Server", "address", "state", "weight", "zone", "started_us", "machine", "cell"]
-    found = StepReader(moved).read_value([listed, 4, [[["h", 1], 1, 2.0, 0, 0, 0, 0]], 1])
+        StepDecoder(declarations).decode_value([withdraw, ["h", 1]])
+    listed = next(index for index, row in enumerate(declarations) if row[0] == "Listed")
+    declarations[listed] = ["Listed", "version", "servers", "kind"]
+    declarations[-1] = ["Server", "address", "state", "weight", "zone", "started_us", "machine", "cell"]
+    found = StepDecoder(declarations).decode_value([listed, 4, [[["h", 1], 1, 2.0, 0, 0, 0, 0]], 1])
     assert found == model.EndpointUpdate(1, (model.Endpoint(2.0, 0, 0, 0, 0, ("h", 1), 1),), 4)
 
 
