--- a/rainpick/director/__init__.py
+++ b/rainpick/director/__init__.py
@@ -1,1 +1,1 @@
-"""The running director: pure state machines, the engine that joins them, and thin shells that own sockets."""
+"""The director daemon: state machines without I/O, the engine that connects them, and socket frontends."""
--- a/rainpick/director/addresses.py
+++ b/rainpick/director/addresses.py
@@ -1,10 +1,10 @@
-"""Addresses of servers. The decisions take them for opaque values; here they are always ``Key``."""
+"""Addresses of servers. The decision module treats them as opaque values; here they are always ``Key``."""
 
 from __future__ import annotations
 
-Key = tuple[str, int]  # host, as text without brackets, and port
+Key = tuple[str, int]  # host (text without brackets) and port
 
 
 def format_address(server: Key) -> str:
-    """``HOST:PORT``."""
+    """Format an address as ``HOST:PORT``."""
     return f"{server[0]}:{server[1]}"
--- a/rainpick/director/context.py
+++ b/rainpick/director/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one director share: its settings, its clock, its log and, once it exists, its engine."""
+"""State shared by all parts of one director: its settings, its clock, its log and its engine."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 def monotonic_us() -> int:
-    """The clock of a director: monotonic, in whole microseconds."""
+    """Return the time of a director's clock: monotonic, in whole microseconds."""
     return time.monotonic_ns() // 1000
 
 
 def wall_us() -> int:
-    """Wall-clock time in whole microseconds since the epoch of Unix."""
+    """Return the wall-clock time in whole microseconds since the Unix epoch."""
     return time.time_ns() // 1000
 
 
 @dataclass(slots=True)
 class Context:
-    """Shared by the parts of one director; only its event loop's thread uses it."""
+    """State shared by the parts of one director; used only by its event loop's thread."""
 
     settings: Settings
     clock: Callable[[], int] = monotonic_us
-    engine: Engine | None = None  # None until there is an endpoint list to start the decisions with
-    epoch: str = field(init=False)  # names this incarnation of the director in payloads and records
+    engine: Engine | None = None  # None until the decision module has started
+    epoch: str = field(init=False)  # identifies this incarnation of the director in payloads and records
     log: structlog.stdlib.BoundLogger = field(init=False)
 
     def __post_init__(self) -> None:
@@ -39,7 +39,7 @@
 
     @property
     def started_engine(self) -> Engine:
-        """The engine, where the caller knows that the decisions have started."""
+        """The engine; ``RuntimeError`` if the decision module has not started yet."""
         if self.engine is None:
-            raise RuntimeError("the decisions have not started yet")
+            raise RuntimeError("the decision module has not started yet")
         return self.engine
--- a/rainpick/director/core.py
+++ b/rainpick/director/core.py
@@ -1,7 +1,7 @@
-"""The event loop of a director: the one thread that owns the engine, the endpoint list and every write.
+"""The event loop of a director: the single thread that owns the engine, the endpoint list and all writes.
 
-Other threads post messages to its inbox. Each turn dispatches all that wait, lets the pure parts work once,
-and writes what they order without ever waiting for a socket.
+Other threads post messages to its inbox. Each iteration dispatches the queued messages, runs the engine once
+and sends the resulting writes without blocking on a socket.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from rainpick.director.context import Context, monotonic_us
 from rainpick.director.delivery import Delivery
 from rainpick.director.engine import Engine, Write
-from rainpick.director.evidence import Evidence
+from rainpick.director.evidence import LoadAggregator
 from rainpick.director.inbox import Inbox
 from rainpick.director.list_follower import ListFollower
 from rainpick.director.membership import Membership
@@ -32,7 +32,7 @@
 from rainpick.director.mqtt_frontend import MqttFrontend
 from rainpick.director.proxies import Proxies
 from rainpick.director.report_intake import ReportIntake
-from rainpick.director.reports import Freshness
+from rainpick.director.reports import FreshnessFilter
 from rainpick.director.sasp_frontend import SaspFrontend
 from rainpick.director.sessions import Sessions
 from rainpick.director.status import StatusReader
@@ -43,22 +43,22 @@
 from rainpick.sasp.session import AcceptedRequest, RejectedRequest
 from rainpick.settings import Settings
 
-CHECK_INTERVAL_US = 250_000  # between searches for slow peers
-MAX_IDLE_US = 1_000_000  # the longest wait for a message
+CHECK_INTERVAL_US = 250_000  # between checks for unresponsive peers
+MAX_IDLE_US = 1_000_000  # longest wait for a message
 SASP_REQUESTS = (AcceptedRequest, RejectedRequest)
 SASP_EVENTS = (AcceptedRequest, RejectedRequest, StreamEnded)
 
 
-def make_evidence(settings: Settings) -> Evidence:
-    """Empty evidence with the bounds of the settings."""
+def make_aggregator(settings: Settings) -> LoadAggregator:
+    """Create an empty load aggregator with the limits of the settings."""
     otlp, proxies = settings.otlp, settings.proxies
-    freshness = Freshness(otlp.late_after, otlp.skew_most, otlp.streams_most)
+    freshness_filter = FreshnessFilter(otlp.late_after, otlp.skew_most, otlp.streams_most)
     routes = [route.name for route in settings.routes]
-    return Evidence(freshness, routes, proxies.report_every, proxies.hears_per_s)
+    return LoadAggregator(freshness_filter, routes, proxies.report_every, proxies.hears_per_s)
 
 
-class Core:
-    """Wires the parts of a director together and runs them in one thread."""
+class EventLoop:
+    """Creates the parts of a director, connects them and runs them in one thread."""
 
     def __init__(
         self,
@@ -73,10 +73,10 @@
         self.context = context = Context(settings, clock)
         self.membership = Membership(settings, started_us)
         proxies = Proxies(settings)
-        self.evidence = make_evidence(settings)
-        self.sessions = Sessions(context, self.membership, proxies, self.evidence)
+        self.aggregator = make_aggregator(settings)
+        self.sessions = Sessions(context, self.membership, proxies, self.aggregator)
         self.delivery = Delivery(context, self.sessions)
-        self.intake = ReportIntake(context, self.sessions, proxies, self.evidence)
+        self.intake = ReportIntake(context, self.sessions, proxies, self.aggregator)
         self.sasp = SaspFrontend(context, self.sessions, self.delivery, self.membership)
         self.mqtt = MqttFrontend(context, self.sessions, self.delivery, self.intake)
         self.follower = ListFollower(context, self.membership, self.sessions, seed, module)
@@ -86,7 +86,7 @@
         self.next_check_us = started_us
         self.stopping = False
         self.failure: BaseException | None = None
-        self.on_failure: Callable[[], None] = lambda: None  # called from the core's thread
+        self.on_failure: Callable[[], None] = lambda: None  # called in the event loop's thread
         self.handlers: dict[type, Callable[[Any], None]] = {
             StreamOpened: self.open_stream,
             StreamReceived: self.receive_from_stream,
@@ -101,22 +101,25 @@
 
     @property
     def engine(self) -> Engine | None:
-        """The engine, once the decisions have started."""
+        """The engine; None until the decision module has started."""
         return self.context.engine
 
     def receive_report(self, batch: Batch) -> dict[str, int] | None:
-        """For the OTLP front: the points of a report by verdict, or None if the event loop is too busy."""
+        """Return the number of points of an OTLP report by verdict; None if the event loop is too busy.
+
+        Called by the OTLP frontend.
+        """
         return self.inbox.query(LoadReportReceived(batch, time.time_ns()))
 
     # The loop
 
     def run(self) -> None:
-        """Run until ``StopRequested`` or until a part fails; then close all sockets and files."""
+        """Run until ``StopRequested`` or an unhandled exception, then close all sockets and files."""
         try:
             while not self.stopping:
-                self.turn(self.idle_s())
+                self.run_iteration(self.idle_s())
         except BaseException as error:
-            # Whatever fails here would fail again: the daemon ends, and its supervisor starts another one.
+            # A retry would most likely fail again, so the daemon exits and its supervisor restarts it.
             self.failure = error
             self.context.log.exception("the core failed")
             self.on_failure()
@@ -125,7 +128,7 @@
             self.follower.close()
 
     def idle_s(self) -> float:
-        """How long the loop may wait for a message before something else is due, in seconds."""
+        """Return how long the loop may wait for a message before something else is due, in seconds."""
         now = self.clock()
         times = [self.next_check_us, now + MAX_IDLE_US]
         delivery_us = self.delivery.poll_interval_us()
@@ -133,12 +136,12 @@
             times.append(now + delivery_us)
         due = [self.follower.due_us()]
         if self.engine is not None:
-            due += [self.engine.due_us(), self.evidence.due_us(now)]
+            due += [self.engine.due_us(), self.aggregator.due_us(now)]
         times += [time_us for time_us in due if time_us is not None]
         return max(0.0, (min(times) - now) / 1e6)
 
-    def turn(self, idle_s: float) -> None:
-        """Dispatch all messages that wait, let the engine take one step, write what it orders."""
+    def run_iteration(self, idle_s: float) -> None:
+        """Dispatch all queued messages, let the engine take one step and send its writes."""
         message = self.inbox.receive(idle_s)
         while message is not None:
             self.handlers[type(message)](message)
@@ -147,7 +150,7 @@
         self.follower.advance(now)
         engine = self.engine
         if engine is not None:
-            engine.add_load_reports(self.evidence.collect(now))
+            engine.add_load_reports(self.aggregator.collect(now))
             for write in engine.advance(now):
                 self.push(write, now)
         self.mqtt.sender.update_observers()
@@ -157,7 +160,7 @@
             self.check_peers(now)
 
     def push(self, write: Write, now: int) -> None:
-        """Send a message of the engine by the frontend that its proxy dialled."""
+        """Send a message of the engine through the frontend that its proxy is connected to."""
         session = self.sessions.by_number[write.proxy]
         if session.over_mqtt:
             self.mqtt.sender.push(session, write)
@@ -165,7 +168,7 @@
             self.sasp.push(session, write, now)
 
     def check_peers(self, now: int) -> None:
-        """Close the streams of peers that are silent, stuck, or never said what they are."""
+        """Close the streams of peers that are silent, stalled or still unidentified after the timeout."""
         self.mqtt.check_connections(now)
         self.sessions.close_unidentified(now)
         self.sasp.disconnect_silent(now)
@@ -173,7 +176,7 @@
     # Messages
 
     def open_stream(self, message: StreamOpened) -> None:
-        """A peer has dialled: admit its stream and begin to read it."""
+        """Register a newly accepted stream and start reading from it."""
         stream = message.stream
         if not self.sessions.open(stream):
             return
@@ -182,17 +185,17 @@
         stream.start()
 
     def receive_from_stream(self, message: StreamReceived) -> None:
-        """Hand what a stream's reader delivers to the frontend of that stream."""
+        """Pass an event of a stream's reader to the frontend that owns the stream."""
         stream, event = message
         if not self.sessions.is_open(stream):
-            return  # it was closed here; what its peer still said comes too late
+            return  # the director closed it; events that were read before that are dropped
         if stream.number in self.mqtt.connections:
-            self.sessions.identified(stream)
+            self.sessions.mark_identified(stream)
             if not isinstance(event, SASP_REQUESTS):
                 self.mqtt.receive(stream, event)
         elif isinstance(event, SASP_EVENTS):
             self.sasp.receive(stream, event)
 
-    def stop(self, message: StopRequested) -> None:  # noqa: ARG002 - handlers take their message
-        """End the loop after this turn."""
+    def stop(self, message: StopRequested) -> None:  # noqa: ARG002 - all handlers have this signature
+        """End the loop after the current iteration."""
         self.stopping = True
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -1,4 +1,4 @@
-"""A director as a service: its frontends, its event loop, its signals."""
+"""A director as a service: its frontends, its event loop and its signals."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from rainpick.decisions.director import Director
 from rainpick.director.context import wall_us
-from rainpick.director.core import Core
+from rainpick.director.core import EventLoop
 from rainpick.director.listing import read_cache, read_list
 from rainpick.director.messages import (
     CachedListRead,
@@ -37,18 +37,19 @@
 Address = tuple[str, int]
 
 THREAD_STACK_BYTES = 256 * 1024  # each stream has a reading thread
-SWITCH_INTERVAL_S = 0.001  # a drain that comes in while the core works must not wait longer for its reader
+SWITCH_INTERVAL_S = 0.001  # a busy event loop must not delay the reader of a drain request longer
 LIST_FILE_POLL_S = 1.0
 JOIN_TIMEOUT_S = 5.0
-MAX_BACKLOG = 4096  # connections that wait to be accepted
+MAX_BACKLOG = 4096  # most connections waiting to be accepted
 MAX_STATUS_CONNECTIONS = 64
 log = structlog.get_logger()
 
 
 class Daemon:
-    """One director. ``start`` opens its frontends.
+    """One director; ``start`` opens its frontends.
 
-    ``sasp``, ``otlp``, ``status`` and ``mqtt`` then say where they listen; ``mqtt`` is None without that one.
+    After that, ``sasp``, ``otlp``, ``status`` and ``mqtt`` are the addresses they listen on. ``mqtt`` is None
+    if the settings have no MQTT frontend.
     """
 
     sasp: Address
@@ -61,17 +62,20 @@
         seed = settings.director.seed or secrets.randbits(63)
         threading.stack_size(THREAD_STACK_BYTES)
         sys.setswitchinterval(SWITCH_INTERVAL_S)
-        self.core = Core(settings, seed, module)
+        self.core = EventLoop(settings, seed, module)
         self.ended = threading.Event()
         self.core.on_failure = self.ended.set
-        self.list_file_mtime_ns: int | None = None  # of the list file when it was last read
+        self.list_file_mtime_ns: int | None = None  # when it was last read
         self.stream_numbers = count(1)
 
     # Start
 
     def start(self) -> None:
-        """``OSError`` if a frontend can't listen, ``SettingsError`` if the list file can't be used."""
-        self.read_list_file(first=True)
+        """Open the frontends and start the event loop.
+
+        ``OSError`` if a frontend can't listen, ``SettingsError`` if the list file is invalid.
+        """
+        self.read_list_file(at_start=True)
         self.read_cached_list()
         self.status_front = self.listen_status()
         self.otlp_front = self.listen_otlp()
@@ -90,54 +94,54 @@
         log.info("listening", **{name: f"{host}:{port}" for name, (host, port) in addresses.items()})
 
     def listen_status(self) -> Server:
-        """The HTTP frontend of ``/status``."""
+        """Open the HTTP frontend for ``/status`` and the table actions."""
         handler = status_handler(self.core.inbox)
         address = self.settings.listen.status
         return Server("status", address, handler, max_connections=MAX_STATUS_CONNECTIONS)
 
     def listen_otlp(self) -> Server:
-        """The HTTP frontend of load reports."""
+        """Open the HTTP frontend for load reports."""
         otlp = self.settings.otlp
         handler = metrics_handler(self.core.receive_report)
         address = self.settings.listen.otlp
         return Server("otlp", address, handler, otlp.body_most, otlp.connections_most, otlp.idle / 1e6)
 
     def listen_sasp(self) -> Listener:
-        """The frontend of members and proxies over SASP."""
+        """Open the frontend for members and proxies over SASP."""
         frame_most = self.settings.sasp.frame_most
-        opener = self.stream_opener(lambda: DirectorSession(frame_most))
-        return Listener(self.settings.listen.sasp, self.backlog(), opener)
+        accept_callback = self.make_accept_callback(lambda: DirectorSession(frame_most))
+        return Listener(self.settings.listen.sasp, self.backlog(), accept_callback)
 
     def listen_mqtt(self) -> Listener | None:
-        """The frontend of proxies and observers over MQTT, if the settings want one."""
+        """Open the frontend for proxies and observers over MQTT, if the settings enable it."""
         address = self.settings.listen.mqtt
         if address is None:
             return None
         packet_most = self.settings.mqtt.packet_most
-        return Listener(address, self.backlog(), self.stream_opener(lambda: PacketReader(packet_most)))
+        return Listener(address, self.backlog(), self.make_accept_callback(lambda: PacketReader(packet_most)))
 
     def backlog(self) -> int:
-        """How many connections may wait to be accepted."""
+        """Return the number of connections that may wait to be accepted."""
         return min(MAX_BACKLOG, self.settings.sasp.streams_most)
 
-    def stream_opener(
-        self, make_end: Callable[[], DirectorSession | PacketReader]
+    def make_accept_callback(
+        self, make_parser: Callable[[], DirectorSession | PacketReader]
     ) -> Callable[[socket.socket, str], None]:
-        """What a listener does with an accepted socket: hand it to the event loop as a stream."""
+        """Return a callback that passes an accepted socket to the event loop as a stream."""
         inbox = self.core.inbox
 
-        def deliver(stream: Stream, event: object) -> None:
-            inbox.post(StreamReceived(stream, cast(StreamEvent, event)))  # what the ends of both give
+        def on_event(stream: Stream, event: object) -> None:
+            inbox.post(StreamReceived(stream, cast(StreamEvent, event)))  # events of both parsers
 
-        def opened(sock: socket.socket, peer: str) -> None:
-            inbox.post(StreamOpened(Stream(next(self.stream_numbers), sock, peer, make_end(), deliver)))
+        def on_accept(sock: socket.socket, peer: str) -> None:
+            inbox.post(StreamOpened(Stream(next(self.stream_numbers), sock, peer, make_parser(), on_event)))
 
-        return opened
+        return on_accept
 
     # The endpoint list's files
 
     def read_cached_list(self) -> None:
-        """Hand the event loop the list that an earlier incarnation cached, if there is one."""
+        """Pass the list that an earlier incarnation cached to the event loop, if there is one."""
         path = self.settings.director.list_cache
         if not path:
             return
@@ -145,8 +149,12 @@
         if entries:
             self.core.inbox.post(CachedListRead(entries))
 
-    def read_list_file(self, first: bool = False) -> None:
-        """A bad file is rejected as a whole: what was read before stays. At the start it ends the start."""
+    def read_list_file(self, at_start: bool = False) -> None:
+        """Read the list file and pass its entries to the event loop.
+
+        An invalid file is rejected as a whole, and the entries read before stay in use. At the start it is an
+        error.
+        """
         path = self.settings.fleet.list_file
         if path is None:
             return
@@ -155,12 +163,12 @@
             entries = read_list(path, self.settings, self.core.clock())
             self.core.inbox.post(ListFileRead(entries))
         except SettingsError as error:
-            if first:
+            if at_start:
                 raise
             log.error("list file refused", why=str(error).splitlines())
 
     def list_file_changed(self) -> bool:
-        """Whether the list file is there and not the one that was read last."""
+        """Return whether the list file exists and was modified since it was last read."""
         path = self.settings.fleet.list_file
         if not path or not os.path.exists(path):
             return False
@@ -169,7 +177,7 @@
     # Run and stop
 
     def run(self) -> int:
-        """Serve until a signal or a failure; the exit code."""
+        """Serve until a signal or a failure; return the exit code."""
         signal.signal(signal.SIGTERM, lambda *_: self.ended.set())
         signal.signal(signal.SIGINT, lambda *_: self.ended.set())
         reload = threading.Event()
@@ -183,7 +191,7 @@
         return 1 if self.core.failure else 0
 
     def stop(self) -> None:
-        """Close every frontend and end the event loop; what proxies hold stays with them."""
+        """Close all frontends and end the event loop; proxies keep their tables."""
         self.sasp_front.close()
         if self.mqtt_front is not None:
             self.mqtt_front.close()
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -1,8 +1,8 @@
-"""The engine: one ``Director``, its timers, its tables and its channel, driven by a clock that is handed in.
+"""The engine: one ``Director`` with its timers, its tables and its channel, driven by the caller's clock.
 
-Free of I/O, so that the daemon, an emulator and a replay drive the very same thing. All events that wait are
-handed to the decisions in one step; what they order becomes one message for each proxy concerned, and
-``Write`` says what leaves now.
+It does no I/O, so the daemon, the emulator and the replay run the same code. All pending events are passed to
+the decision module in one step; its commands become one message for each affected proxy, which ``advance``
+returns as a ``Write`` when the channel allows it to be sent.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 from rainpick.director.tables import ProxyCommands, Tables
 from rainpick.settings import Settings, decision_settings
 
-ACKNOWLEDGEMENT_DELAY_US = 5_000  # the decisions may learn so late that messages were delivered
-MAX_NOTES = 100  # newest log messages of the decisions that are retained
+ACKNOWLEDGEMENT_DELAY_US = 5_000  # longest delay of ``Acknowledged`` events, which are batched
+MAX_LOG_MESSAGES = 100  # newest log messages of the decision module that are retained
 LoadReport = model.ServerLoadReport | model.RouteLoadReport
 
 
 class Write(NamedTuple):
-    """A message that leaves now. ``number`` counts a proxy's messages; ``confirm_delivery`` wants it back."""
+    """A message to send now. ``number`` counts a proxy's messages and is passed to ``confirm_delivery``."""
 
     proxy: int
     number: int
-    delta: Delta  # the lines to send
-    before: Snapshot  # what the proxy held
-    after: Snapshot  # what it holds with these lines
-    commands: ProxyCommands | None = None  # if they are new to a proxy that takes them
+    delta: Delta  # the lines of the message
+    before: Snapshot  # the proxy's state before this message
+    after: Snapshot  # the proxy's state after it
+    commands: ProxyCommands | None = None  # None if unchanged, or if the proxy does not use commands
 
 
 class SentMessage(NamedTuple):
-    """A message that has not been delivered yet."""
+    """A message that was sent and whose delivery is not confirmed yet."""
 
     number: int
-    nonces: list[int]  # acknowledgements that are due once it is delivered
+    nonces: list[int]  # to be acknowledged once it is delivered
     sent_us: int
 
 
 class SentMessages:
-    """The messages to one proxy: how many there were, and which have not been delivered."""
+    """The messages sent to one proxy: their number, and those whose delivery is not confirmed yet."""
 
     __slots__ = ("count", "undelivered")
 
@@ -54,25 +54,25 @@
         self.undelivered: deque[SentMessage] = deque()
 
     def add(self, nonces: list[int], now: int) -> int:
-        """A message leaves; its number."""
+        """Record a message that is sent now; return its number."""
         self.count += 1
         self.undelivered.append(SentMessage(self.count, nonces, now))
         return self.count
 
 
 class Counts:
-    """What the engine did; the names are those of the status front."""
+    """Counters of the engine; the status document shows them under the names of the attributes."""
 
     def __init__(self) -> None:
         self.messages = 0
         self.lines = 0
-        self.notes = 0  # log messages of the decisions
+        self.notes = 0  # log messages of the decision module
         self.withdrawn = 0
         self.readmitted = 0
         self.bound = 0
 
     def add_command(self, command: Command) -> None:
-        """Count what a command does."""
+        """Count a withdrawal, a readmission or a binding."""
         if isinstance(command, model.SetWithdrawn):
             if command.withdrawn:
                 self.withdrawn += 1
@@ -82,15 +82,15 @@
             self.bound += 1
 
 
-def withdraws(command: Command) -> bool:
-    """Whether a command takes a server away from proxies: its messages are urgent."""
+def is_withdrawal(command: Command) -> bool:
+    """Return whether a command stops proxies from using a server, which makes its messages urgent."""
     if isinstance(command, model.SetWeight):
         return command.weight <= 0
     return isinstance(command, model.SetWithdrawn) and command.withdrawn
 
 
 class Engine:
-    """Events in, messages out. ``module`` is the class of the decisions: tests put a double there."""
+    """Turns events into messages to proxies. ``module`` creates the decision module; tests replace it."""
 
     def __init__(self, settings: Settings, seed: int, now: int, module: Callable[[], Director] = Director):
         self.settings = settings
@@ -99,24 +99,24 @@
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
         )
-        self.listed: dict[Key, model.Endpoint] = {}  # servers that are gone stay, in that state
+        self.listed: dict[Key, model.Endpoint] = {}  # servers that are gone stay listed with that state
         self.tables = Tables(Scale(settings.fleet.weight_most), self.listed_weight)
         self.acknowledgements: list[model.Acknowledged] = []  # for the next step
-        self.acknowledgements_since_us = now  # since when the first of them waits
+        self.acknowledgements_since_us = now  # when the oldest pending one was added
         self.sent: dict[int, SentMessages] = {}  # by joined proxy
         self.counts = Counts()
-        self.notes: deque[str] = deque(maxlen=MAX_NOTES)
+        self.notes: deque[str] = deque(maxlen=MAX_LOG_MESSAGES)
         self.now = now
 
     def listed_weight(self, server: Key) -> float:
-        """The weight of a server in the endpoint list; 1 for one that was never listed."""
+        """Return the weight of a server in the endpoint list; 1 for a server that was never listed."""
         entry = self.listed.get(server)
         return entry.weight if entry else 1.0
 
     # Events
 
     def update_endpoints(self, update: model.EndpointUpdate) -> None:
-        """The endpoint list, or a part of it, has changed."""
+        """Apply a change of the endpoint list."""
         for entry in update.endpoints:
             self.listed[cast(Key, entry.address)] = entry
         self.stepper.pending_events.append(update)
@@ -124,80 +124,82 @@
     def join(
         self,
         proxy: int,
-        fresh: bool,
+        newly_started: bool,
         rate: float,
         zone: int,
         initial_servers: Iterable[Key],
         takes_commands: bool = False,
         resumed: Snapshot | None = None,
     ) -> None:
-        """A proxy has joined.
+        """Add a proxy.
 
-        ``fresh``: it holds no table that the decisions know of; ``rate``: its requests a second.
-        ``resumed``: the version of a table that it has proved to hold.
+        ``newly_started``: it holds no table that the decision module knows of. ``rate``: its requests a
+        second. ``resumed``: the version of a table that it has proved to hold, by its digest.
         """
         self.tables.join(proxy, initial_servers, takes_commands, resumed)
         self.channel.join(proxy)
         self.sent[proxy] = SentMessages()
-        self.stepper.pending_events.append(model.ProxyJoined(proxy, fresh, rate, zone))
+        self.stepper.pending_events.append(model.ProxyJoined(proxy, newly_started, rate, zone))
 
     def leave(self, proxy: int) -> None:
-        """A proxy has left; does nothing for one that is not joined."""
+        """Remove a proxy; does nothing for one that is not joined."""
         if proxy not in self.sent:
             return
         self.tables.leave(proxy)
         self.channel.leave(proxy)
         del self.sent[proxy]
-        self.acknowledgements = [answer for answer in self.acknowledgements if answer.proxy != proxy]
+        self.acknowledgements = [
+            acknowledgement for acknowledgement in self.acknowledgements if acknowledgement.proxy != proxy
+        ]
         self.stepper.pending_events.append(model.ProxyLeft(proxy))
 
     def add_load_reports(self, reports: Iterable[LoadReport]) -> None:
-        """Load reports have come."""
+        """Queue load reports for the next step."""
         self.stepper.pending_events += reports
 
     def confirm_delivery(self, proxy: int, number: int) -> None:
-        """Message ``number`` of a proxy, and all before it, have been delivered."""
+        """Record that message ``number`` of a proxy and all earlier ones were delivered."""
         sent = self.sent.get(proxy)
         while sent and sent.undelivered and sent.undelivered[0].number <= number:
             message = sent.undelivered.popleft()
             self.acknowledge(proxy, message.nonces, self.now - message.sent_us)
 
     def acknowledge(self, proxy: int, nonces: list[int], delay_us: int) -> None:
-        """Have the decisions told, in one of the next steps, that what they marked is delivered."""
+        """Queue ``Acknowledged`` events for these nonces, for one of the next steps."""
         if nonces and not self.acknowledgements:
             self.acknowledgements_since_us = self.now
         self.acknowledgements += [model.Acknowledged(proxy, nonce, delay_us) for nonce in nonces]
 
     def poll(self, proxy: int) -> tuple[int, Delta]:
-        """A proxy polls: the number of the answer, and the lines that are new in it."""
+        """Return the number of the reply to a proxy's poll and the lines that changed since its last one."""
         delta = self.tables.advance(proxy)
         number = self.sent[proxy].add(self.channel.remove(proxy), self.now)
         return number, delta
 
     def add_initial_servers(self, proxy: int, servers: Iterable[Key]) -> None:
-        """A joined proxy says that it holds further servers from before."""
+        """Add servers that a joined proxy reports to hold from before it joined."""
         lines = self.tables.extend(proxy, servers)
         if lines:
             self.channel.enqueue(proxy, lines, True, None, self.now)
 
-    def distrust(self, proxy: int) -> None:
-        """A proxy says that it does not hold what it should: it is sent the whole table, at the pace."""
-        self.channel.enqueue(proxy, self.tables.distrust(proxy), False, None, self.now)
+    def invalidate_snapshot(self, proxy: int) -> None:
+        """Send a proxy its whole table, at the channel's pace, because it can't follow the updates."""
+        self.channel.enqueue(proxy, self.tables.invalidate_snapshot(proxy), False, None, self.now)
 
     def table_changed(self, table: int) -> None:
-        """Operators changed what is published of a table: its proxies are due a message."""
+        """Enqueue a message for each proxy of a table whose published lines an operator changed."""
         self.tables.snapshots.pop(table, None)
         for proxy in self.tables.bound.get(table, ()):
             self.channel.enqueue(proxy, 1, False, None, self.now)
 
     def set_blocked(self, proxy: int, blocked: bool) -> None:
-        """A proxy's socket takes nothing for now, or does so again."""
+        """Hold back the messages of a proxy whose socket accepts no data, or send them again."""
         self.channel.set_blocked(proxy, blocked)
 
     # The clock
 
     def due_us(self) -> int | None:
-        """When ``advance`` is next wanted, if nothing happens before."""
+        """Return when ``advance`` must be called next if no further event arrives; None if never."""
         times = [self.stepper.due_us(), self.channel.due_us(self.now)]
         if self.stepper.pending_events:
             times.append(self.now)
@@ -206,7 +208,7 @@
         return min((time_us for time_us in times if time_us is not None), default=None)
 
     def advance(self, now: int) -> Iterator[Write]:
-        """Hand the decisions all that waits, in one step; then the messages that leave now, one by one."""
+        """Run the decision module on all pending events in one step, then yield the messages to send now."""
         self.now = max(self.now, now)
         self.stepper.fire_timers(self.now)
         overdue = self.now >= self.acknowledgements_since_us + ACKNOWLEDGEMENT_DELAY_US
@@ -219,7 +221,7 @@
                 yield write
 
     def carry_out(self, commands: list[Command]) -> None:
-        """Carry out the commands of one step; each proxy concerned is due one message with all of them."""
+        """Apply the commands of one step and enqueue a single message for each affected proxy."""
         lines_by_proxy: dict[int, int] = {}
         urgent: set[int] = set()
         nonce = None
@@ -234,22 +236,22 @@
                 self.notes.append(command.text)
                 continue
             self.counts.add_command(command)
-            costs = self.apply_command(command)
-            for proxy, lines in costs.items():
+            line_counts = self.apply_command(command)
+            for proxy, lines in line_counts.items():
                 lines_by_proxy[proxy] = lines_by_proxy.get(proxy, 0) + lines
-            if withdraws(command):
-                urgent.update(costs)
+            if is_withdrawal(command):
+                urgent.update(line_counts)
         for proxy, lines in lines_by_proxy.items():
             self.channel.enqueue(proxy, lines, proxy in urgent, nonce, self.now)
 
     def apply_command(self, command: Command) -> dict[int, int]:
-        """Apply a command to the tables; by proxy concerned, how many lines it costs there."""
+        """Apply a command to the tables; return the number of changed lines by affected proxy."""
         if isinstance(command, model.SetAdmission):
             return self.tables.set_admission(command, len(self.settings.routes))
         return self.tables.carry_out(command)
 
     def write(self, message: PendingMessage) -> Write | None:
-        """The newest state for a proxy whose turn it is; None if an earlier message carried it already."""
+        """Return the newest state for a proxy; None if an earlier message has already sent it."""
         proxy = self.tables.proxies[message.proxy]
         sent = self.sent[message.proxy]
         before = proxy.snapshot
@@ -257,7 +259,7 @@
         commands = self.new_commands(message.proxy)
         lines = len(delta.withdrawn) + len(delta.others) + (commands is not None)
         if not lines:
-            # The delivery of the earlier message, if that is still to come, answers these nonces too.
+            # These nonces are acknowledged with the last undelivered message, or at once if there is none.
             if sent.undelivered:
                 sent.undelivered[-1].nonces.extend(message.nonces)
             else:
@@ -270,7 +272,7 @@
         return Write(message.proxy, number, delta, before, proxy.snapshot, commands)
 
     def new_commands(self, number: int) -> ProxyCommands | None:
-        """The commands of a proxy that takes them, if it was not sent the same before; it counts as sent."""
+        """Return the commands of a proxy and record them as sent; None if unchanged or not used by it."""
         proxy = self.tables.proxies[number]
         if proxy.commands is None:
             return None
--- a/rainpick/director/evidence.py
+++ b/rainpick/director/evidence.py
@@ -1,4 +1,4 @@
-"""What all proxies reported, summed, and handed to the decisions at a bounded pace. Free of I/O."""
+"""Sums of the load reports of all proxies, forwarded to the decision module at a limited rate. No I/O."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 from rainpick import model
 from rainpick.director.addresses import Key
-from rainpick.director.reports import Freshness, Point, Verdict
+from rainpick.director.reports import FreshnessFilter, Point, Verdict
 
-RATE_SMOOTHING = 8  # a new rate counts for one part in so many
+RATE_SMOOTHING = 8  # inverse weight of a new rate in the moving average
 Report = model.ServerLoadReport | model.RouteLoadReport
 
 
 class ServerKey(NamedTuple):
-    """What is summed under it: the attempts at a server by all proxies of a zone."""
+    """Key of a sum over the attempts at a server by all proxies of a zone."""
 
     zone: int
     server: Key
 
 
 class RouteKey(NamedTuple):
-    """What is summed under it: the requests of a route at one proxy."""
+    """Key of a sum over the requests of a route at one proxy."""
 
     proxy: int
     route: str
 
 
 class Reporter(NamedTuple):
-    """A joined proxy, as far as its reports go."""
+    """The number and zone of a joined proxy that reports."""
 
     number: int
     zone: int
 
 
-class Sum:
-    """The fresh points of one key that have not been handed on: counts over one or more periods."""
+class PointSum:
+    """The sum of the fresh points of one key since it was last forwarded, over one or more periods."""
 
     __slots__ = ("answered", "dropped", "took_us", "start_ns", "end_ns")
 
@@ -47,7 +47,7 @@
         self.start_ns, self.end_ns = 1 << 62, 0
 
     def add(self, point: Point) -> None:
-        """Add a point; the sum covers its period from here on."""
+        """Add a point and extend the covered interval by its period."""
         self.answered += point.answered
         self.dropped += point.dropped
         self.took_us += point.took_us
@@ -55,11 +55,11 @@
         self.end_ns = max(self.end_ns, point.end_ns)
 
     def interval_us(self) -> int:
-        """From the first moment to the last one that the sum covers."""
+        """Return the length of the covered interval, at least 1."""
         return max(1, (self.end_ns - self.start_ns) // 1000)
 
     def server_report(self, key: ServerKey) -> model.ServerLoadReport:
-        """The sum as an event of the decisions."""
+        """Return the sum as an event for the decision module."""
         attempts = self.answered + self.dropped
         mean_us = self.took_us // self.answered if self.answered else 0
         return model.ServerLoadReport(
@@ -67,7 +67,7 @@
         )
 
     def route_report(self, proxy: int, route: int) -> model.RouteLoadReport:
-        """The sum as an event of the decisions; ``route`` is the route's index."""
+        """Return the sum as an event for the decision module; ``route`` is the route's index."""
         requests = self.answered + self.dropped
         return model.RouteLoadReport(proxy, route, requests, self.dropped, self.interval_us())
 
@@ -79,35 +79,37 @@
         self.per_s: dict[str, float] = {}
 
     def add(self, points: Iterable[Point]) -> None:
-        """Take the fresh points of one report into account; only those of routes count requests."""
-        sums: dict[str, Sum] = {}
+        """Update the rates with the fresh points of one report; only points of routes count requests."""
+        sums: dict[str, PointSum] = {}
         for point in points:
             if point.route is not None:
-                sums.setdefault(point.reporter, Sum()).add(point)
+                sums.setdefault(point.reporter, PointSum()).add(point)
         for reporter, total in sums.items():
             rate = (total.answered + total.dropped) * 1e9 / (total.end_ns - total.start_ns)
             old = self.per_s.get(reporter)
             self.per_s[reporter] = rate if old is None else old + (rate - old) / RATE_SMOOTHING
 
 
-class Evidence:
-    """Sums of fresh points by (zone, server) and (proxy, route), handed on at a bounded pace.
+class LoadAggregator:
+    """Sums of fresh points by (zone, server) and (proxy, route), forwarded at a limited rate.
 
-    Once a report period all sums become due; so many a second are handed on, the oldest first, and what waits
-    adds up. A proxy that floods delays its own sums and nobody else's.
+    Once a report period all sums become due. A limited number of them is forwarded each second, the oldest
+    first; the others accumulate further points. A proxy that sends too many reports delays only its own sums.
     """
 
-    def __init__(self, freshness: Freshness, routes: Iterable[str], period_us: int, reports_per_s: float):
-        self.freshness = freshness
+    def __init__(
+        self, freshness_filter: FreshnessFilter, routes: Iterable[str], period_us: int, reports_per_s: float
+    ):
+        self.freshness_filter = freshness_filter
         self.route_indexes = {name: index for index, name in enumerate(routes)}
         self.period_us = period_us
         self.reports_per_s = reports_per_s
-        self.sums: OrderedDict[ServerKey | RouteKey, Sum] = OrderedDict()
+        self.sums: OrderedDict[ServerKey | RouteKey, PointSum] = OrderedDict()
         self.due: deque[ServerKey | RouteKey] = deque()
         self.next_period_us: int | None = None
-        self.credit, self.credit_us = 0.0, 0  # reports that may be handed on, as of that time
-        self.verdicts: dict[Verdict, int] = dict.fromkeys(Verdict, 0)  # of all points
-        self.handed_on = 0  # reports
+        self.credit, self.credit_us = 0.0, 0  # reports that may be forwarded, as of that time
+        self.verdicts: dict[Verdict, int] = dict.fromkeys(Verdict, 0)  # number of points
+        self.forwarded_reports = 0
         self.rates = ReportedRates()
 
     def add_report(
@@ -117,9 +119,9 @@
         reporters: Mapping[str, Reporter],
         known_servers: Mapping[Key, object],
     ) -> dict[str, int]:
-        """Judge the points of one report and add the fresh ones; how many there were by verdict.
+        """Classify the points of one report and add the fresh ones; return the count of points by verdict.
 
-        ``reporters``: the joined ones among the reporters of these points, by UID.
+        ``reporters``: the reporters of these points that are joined, by UID.
         """
         verdicts: dict[str, int] = defaultdict(int)
         offsets_ns = self.clock_offsets_ns(points, wall_ns, reporters)
@@ -129,7 +131,7 @@
             if reporter is None or not self.is_known(point, known_servers):
                 verdict = Verdict.UNKNOWN
             else:
-                verdict = self.freshness.judge(point, wall_ns, offsets_ns[point.reporter])
+                verdict = self.freshness_filter.classify(point, wall_ns, offsets_ns[point.reporter])
                 if verdict is Verdict.FRESH:
                     self.add_point(sum_key(point, reporter), point)
                     fresh.append(point)
@@ -142,30 +144,30 @@
         """Add a fresh point to its sum."""
         total = self.sums.get(key)
         if total is None:
-            total = self.sums[key] = Sum()
+            total = self.sums[key] = PointSum()
         total.add(point)
 
     def clock_offsets_ns(
         self, points: list[Point], wall_ns: int, reporters: Mapping[str, Reporter]
     ) -> dict[str, int]:
-        """By joined reporter: the offset of its clock, judged by its newest point."""
+        """Return the clock offset of each joined reporter, estimated from its newest point."""
         newest_ns: dict[str, int] = {}
         for point in points:
             if point.reporter in reporters:
                 newest_ns[point.reporter] = max(point.end_ns, newest_ns.get(point.reporter, point.end_ns))
         return {
-            reporter: self.freshness.clock_offset_ns(reporter, end_ns, wall_ns)
+            reporter: self.freshness_filter.clock_offset_ns(reporter, end_ns, wall_ns)
             for reporter, end_ns in newest_ns.items()
         }
 
     def is_known(self, point: Point, known_servers: Mapping[Key, object]) -> bool:
-        """Whether a point is about a listed server or a route of the settings."""
+        """Return whether the server of a point is listed, or its route is in the settings."""
         if point.server:
             return point.server in known_servers
         return point.route in self.route_indexes
 
     def due_us(self, now: int) -> int | None:
-        """When ``collect`` has something to hand on; None if there is nothing."""
+        """Return when ``collect`` has something to forward; None if there is nothing."""
         if self.due:
             missing_credit = 1 - self.credit
             return max(now, self.credit_us + int(missing_credit / self.reports_per_s * 1e6) + 1)
@@ -174,7 +176,7 @@
         return now if self.next_period_us is None else self.next_period_us
 
     def collect(self, now: int) -> list[Report]:
-        """The reports that may be handed on now."""
+        """Return the reports that may be forwarded now."""
         self.start_period(now)
         reports: list[Report] = []
         while self.due and self.credit >= 1:
@@ -185,11 +187,11 @@
                 reports.append(total.server_report(key))
             else:
                 reports.append(total.route_report(key.proxy, self.route_indexes[key.route]))
-        self.handed_on += len(reports)
+        self.forwarded_reports += len(reports)
         return reports
 
     def start_period(self, now: int) -> None:
-        """Bring the credit up to date; when a period is over, all sums that do not wait yet become due."""
+        """Update the credit; at the end of a period, make all sums due."""
         if self.next_period_us is None:
             self.next_period_us = now + self.period_us
         earned = (now - self.credit_us) * self.reports_per_s / 1e6
@@ -201,7 +203,7 @@
             self.next_period_us = max(self.next_period_us + self.period_us, now)
 
     def forget(self, proxy: int) -> None:
-        """A proxy has left: what it reported of its requests is not handed on any more."""
+        """Discard the sums over the requests of a proxy that has left."""
         keys = [key for key in self.sums if isinstance(key, RouteKey) and key.proxy == proxy]
         for key in keys:
             del self.sums[key]
@@ -210,7 +212,7 @@
 
 
 def sum_key(point: Point, reporter: Reporter) -> ServerKey | RouteKey:
-    """What a known point is summed under."""
+    """Return the key of the sum for a point with a known server or route."""
     if point.server:
         return ServerKey(reporter.zone, point.server)
     return RouteKey(reporter.number, point.route or "")
--- a/rainpick/director/inbox.py
+++ b/rainpick/director/inbox.py
@@ -14,14 +14,14 @@
 
 @dataclass(slots=True)
 class WaitingTimes:
-    """How long messages waited until the event loop received them."""
+    """Statistics of the time that messages were queued before the event loop received them."""
 
     count: int = 0
     sum_us: int = 0
     max_us: int = 0
 
     def add(self, waited_us: int) -> None:
-        """Count one message."""
+        """Add the waiting time of one message."""
         self.count += 1
         self.sum_us += waited_us
         self.max_us = max(self.max_us, waited_us)
@@ -30,7 +30,7 @@
 class Inbox:
     """Messages in the order of their arrival, each with the time at which it was posted.
 
-    ``post`` and ``query`` are for any thread, ``receive`` is for the event loop alone.
+    Any thread may call ``post`` and ``query``; only the event loop calls ``receive``.
     """
 
     def __init__(self, capacity: int, clock: Callable[[], int]):
@@ -42,7 +42,7 @@
         return self.messages.qsize()
 
     def post(self, message: object, wait: bool = True) -> bool:
-        """Enqueue a message; False if the queue is full and the caller does not wait."""
+        """Enqueue a message; return False if the queue is full and ``wait`` is False."""
         try:
             self.messages.put((self.clock(), message), block=wait)
         except queue.Full:
@@ -50,7 +50,7 @@
         return True
 
     def query(self, query: Query[AnswerT], timeout_s: float = ANSWER_TIMEOUT_S) -> AnswerT | None:
-        """Post a query and wait for its answer; None if the event loop is too busy for one."""
+        """Post a query and wait for its answer; None if the event loop is too busy to answer in time."""
         if not self.post(query, wait=False):
             return None
         try:
@@ -59,7 +59,7 @@
             return None
 
     def receive(self, timeout_s: float = 0.0) -> Any | None:
-        """The next message, or None if there is none within the timeout."""
+        """Return the next message; None if there is none within the timeout."""
         try:
             posted_us, message = (
                 self.messages.get(timeout=timeout_s) if timeout_s else self.messages.get_nowait()
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -1,4 +1,4 @@
-"""Hands the endpoint list on to the decisions, and starts them when there is a list to start with."""
+"""Passes the endpoint list to the decision module, and starts the module once there is a list."""
 
 from __future__ import annotations
 
@@ -28,7 +28,10 @@
 
 
 class ListFollower:
-    """Follows ``Membership``. Owns what starts with the decisions: the engine, the pins, the recorder."""
+    """Passes the changes of ``Membership`` on.
+
+    Owns the objects that are created when the decision module starts: the engine, the pins and the recorder.
+    """
 
     def __init__(
         self,
@@ -52,28 +55,33 @@
     # Lists from files
 
     def list_file_read(self, entries: list[FileEntry]) -> None:
-        """The operators' list file has been read, for the first time or anew."""
+        """Apply the operators' list file after it was read for the first time or again."""
         self.membership.apply_list_file(entries)
         self.context.log.info("list file read", servers=len(entries))
 
     def cached_list_read(self, entries: list[FileEntry]) -> None:
-        """An earlier incarnation left a cached list."""
+        """Apply the list that an earlier incarnation cached."""
         self.membership.apply_cached_list(entries, self.context.clock())
         self.context.log.info("starting from the cached list", servers=len(entries))
 
     # The clock
 
     def due_us(self) -> int | None:
-        """When ``advance`` is next wanted, if nothing happens before."""
+        """Return when ``advance`` must be called next if no further event arrives; None if never."""
         start_us = self.membership.start_due_us() if self.context.engine is None else None
         times = [time_us for time_us in (start_us, self.membership.due_us()) if time_us is not None]
         return min(times, default=None)
 
     def advance(self, now: int) -> None:
-        """Remove servers whose grace has passed; start the decisions, or tell them what has changed."""
+        """Remove servers whose grace period has ended.
+
+        Then start the decision module if it is due, or pass the changes of the list to it.
+        """
         for key in self.membership.expire(now):
             self.context.log.info(
-                "server gone", server=format_address(key), why="its stream broke, the grace passed"
+                "server gone",
+                server=format_address(key),
+                why="its stream has ended and the grace period is over",
             )
         if self.context.engine is None:
             start_us = self.membership.start_due_us()
@@ -89,7 +97,7 @@
             self.cache_list(now)
 
     def start(self, now: int) -> None:
-        """Start the decisions with the list as it is now; join the proxies that are here already."""
+        """Start the decision module with the current list, and join the proxies that have registered."""
         engine = self.context.engine = Engine(self.settings, self.seed, now, self.module)
         if self.settings.record.folder is not None:
             self.recorder = self.start_recorder(self.settings.record.folder, now)
@@ -105,7 +113,7 @@
         self.cache_list(now)
 
     def start_recorder(self, folder: str, now: int) -> Recorder:
-        """Record what the decisions receive and order, from their first step on."""
+        """Create the recorder of all events and commands of the decision module, from its first step on."""
         settings = self.settings.record
         incarnation = Incarnation(
             self.settings.director.number,
@@ -125,25 +133,25 @@
         )
 
     def close(self) -> None:
-        """Write what the cache and the recorder still have to write."""
+        """Write the pending data of the cache and of the recorder."""
         if self.cache is not None:
             self.cache.close()
         if self.recorder is not None:
             self.recorder.close()
 
     def cache_list(self, now: int) -> None:
-        """Hand the list to the cache, if there is one."""
+        """Queue the list for the cache, if there is one."""
         if self.cache is not None:
             self.cache.keep(self.membership.published(), now, wall_us())
 
-    # What pins ask
+    # Queries of the pins
 
     def is_listed(self, server: Key) -> bool:
-        """Whether a server is in the list as the decisions know it."""
+        """Return whether a server is in the endpoint list of the decision module."""
         entry = self.context.started_engine.listed.get(server)
         return entry is not None and entry.state != model.EndpointState.GONE
 
     def is_warm(self, server: Key) -> bool:
-        """Whether a listed server has been running for ``rules.warm_after``."""
+        """Return whether a listed server has been running for at least ``rules.warm_after``."""
         started_us = self.context.started_engine.listed[server].started_us
         return not started_us or self.context.clock() - started_us >= self.settings.rules.warm_after
--- a/rainpick/director/listing.py
+++ b/rainpick/director/listing.py
@@ -1,4 +1,4 @@
-"""The endpoint list in files: the operators' list file, and the cache that a director keeps over restarts."""
+"""The endpoint list in files: the operators' list file, and the cache that survives a director's restart."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from rainpick.settings.units import Address, Duration
 
 log = structlog.get_logger()
-FORMAT = 1  # of the cache
+CACHE_FORMAT = 1
 CLOSE_TIMEOUT_S = 2.0
 
 
@@ -30,7 +30,7 @@
 
 
 class ListedServer(Part):
-    """A server of the list file. ``zone`` and ``machine`` are names of the settings."""
+    """A server in the list file. ``zone`` and ``machine`` are names from the settings."""
 
     address: Address
     weight: float = Field(1.0, gt=0)
@@ -42,13 +42,13 @@
 
 
 class ListFile(Part):
-    """The operators' list of servers, a second source beside what registers itself."""
+    """The operators' list of servers, used in addition to the servers that register themselves."""
 
     servers: tuple[ListedServer, ...] = Field(max_length=60_000)
 
 
 def read_list(path: str, settings: Settings, now: int) -> list[FileEntry]:
-    """The whole file or, if anything in it is wrong, ``SettingsError``."""
+    """Read a list file; ``SettingsError`` if any part of it is invalid."""
     entries: list[FileEntry] = []
     keys: set[Key] = set()
     for index, server in enumerate(load(path, ListFile).servers):
@@ -62,7 +62,7 @@
 
 
 def check_server(location: str, server: ListedServer, settings: Settings) -> None:
-    """``SettingsError`` if the settings know a name not, or allow no such weight."""
+    """Raise ``SettingsError`` if the zone or machine type is unknown or the weight too large."""
     for kind, name, names in (
         ("zone", server.zone, settings.zones),
         ("machine", server.machine, settings.machines),
@@ -75,7 +75,7 @@
 
 
 def file_entry(server: ListedServer, settings: Settings, now: int) -> FileEntry:
-    """A checked server with indexes in place of names and a start time in place of an age."""
+    """Convert a checked server: indexes replace names, a start time replaces the age."""
     return FileEntry(
         (server.address.host, server.address.port),
         server.weight,
@@ -91,9 +91,10 @@
 
 
 def read_cache(path: str, settings: Settings, now: int, wall_us: int) -> list[FileEntry] | None:
-    """The list that an earlier incarnation cached; None if there is none that can be used.
+    """Return the list that an earlier incarnation cached; None if there is no usable one.
 
-    ``now`` and ``wall_us`` are the same moment by the director's clock and by the wall's, in microseconds.
+    ``now`` and ``wall_us`` are the current time by the director's clock and by the wall clock, in
+    microseconds.
     """
     try:
         if not os.path.exists(path):
@@ -101,7 +102,7 @@
         document = json5.loads(Path(path).read_text())
         if document is None:
             return None
-        if document["format"] != FORMAT:
+        if document["format"] != CACHE_FORMAT:
             raise ValueError(f"format {document['format']!r}")
         return [cached_entry(row, settings, wall_us - now) for row in document["servers"]]
     except (OSError, ValueError, KeyError, TypeError) as error:
@@ -110,9 +111,9 @@
 
 
 def cached_entry(row: list[Any], settings: Settings, offset_us: int) -> FileEntry:
-    """A row of the cache; ``ValueError`` or ``TypeError`` if it makes no sense.
+    """Convert a row of the cache; ``ValueError`` or ``TypeError`` if it is invalid.
 
-    ``offset_us``: how far the wall clock is ahead of the director's.
+    ``offset_us``: how far the wall clock is ahead of the director's clock.
     """
     host, port, weight, zone, machine, pod, started, draining = row
     if zone not in settings.zones or machine not in settings.machines:
@@ -129,7 +130,7 @@
 
 
 class CachedList(NamedTuple):
-    """What is to be written, and the same moment by the director's clock and by the wall's."""
+    """A list to write, with its time by the director's clock and by the wall clock, in microseconds."""
 
     servers: tuple[model.Endpoint, ...]
     now: int
@@ -137,24 +138,24 @@
 
 
 class ListCache:
-    """Writes the newest list to a file in a thread of its own, so that the event loop never waits for a disk.
+    """Writes the newest list to a file in its own thread, so that the event loop never blocks on a disk.
 
-    The file is replaced as a whole: a director that is killed leaves the old or the new list, never a part.
+    The file is replaced atomically: if the director is killed, it has the old or the new list, never a part.
     """
 
     def __init__(self, path: str, settings: Settings):
         self.path = path
         self.settings = settings
-        self.queue: SimpleQueue[CachedList | None] = SimpleQueue()  # None: no more come
+        self.queue: SimpleQueue[CachedList | None] = SimpleQueue()  # None ends the thread
         self.thread = threading.Thread(target=self.run, name="list-cache", daemon=True)
         self.thread.start()
 
     def keep(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
-        """Have a list written, unless a newer one comes before its turn."""
+        """Queue a list to be written; it is skipped if a newer one is queued before it is written."""
         self.queue.put(CachedList(servers, now, wall_us))
 
     def run(self) -> None:
-        """The thread: write the newest list that waits, until ``close``."""
+        """Write the newest queued list, until ``close`` (the thread's main function)."""
         while (newest := self.queue.get()) is not None:
             while not self.queue.empty():
                 newer = self.queue.get()
@@ -165,12 +166,12 @@
             self.write(*newest)
 
     def write(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
-        """Replace the file; a failure is logged, and the file before stays."""
+        """Replace the file; a failure is logged and leaves the previous file in place."""
         rows = [self.row(server, wall_us - now) for server in servers]
         temporary = f"{self.path}.new"
         try:
             with open(temporary, "w") as file:
-                json.dump({"format": FORMAT, "servers": rows}, file)
+                json.dump({"format": CACHE_FORMAT, "servers": rows}, file)
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(temporary, self.path)
@@ -180,7 +181,7 @@
                 os.unlink(temporary)
 
     def row(self, server: model.Endpoint, offset_us: int) -> list[Any]:
-        """A server with names in place of indexes, and its start by the wall clock (0: long ago)."""
+        """Convert a server to a row: names replace indexes, the start is by the wall clock (0: long ago)."""
         host, port = cast(Key, server.address)
         return [
             host,
@@ -194,6 +195,6 @@
         ]
 
     def close(self) -> None:
-        """Write what waits, and end the thread."""
+        """Write the list that is still queued, and end the thread."""
         self.queue.put(None)
         self.thread.join(CLOSE_TIMEOUT_S)
--- a/rainpick/director/member_labels.py
+++ b/rainpick/director/member_labels.py
@@ -1,7 +1,7 @@
-"""What is known of a server beside its state: from the rules of the settings and from its SASP label.
+"""Attributes of a server from the rules of the settings and from its SASP label.
 
-A label is ``key=value;key=value...``. A rule of ``fleet.servers`` that covers the server's address comes
-before the label, attribute by attribute.
+A label has the form ``key=value;key=value...``. For each attribute, a rule of ``fleet.servers`` that matches
+the server's address takes precedence over the label.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 class Description(NamedTuple):
-    """What is known of a server beside its state. ``zone`` and ``machine`` are indexes into the settings."""
+    """The attributes of a server, without its state. Zone and machine are indexes into the settings."""
 
     weight: float
     zone: int
     machine: int
     pod: int
-    boot: str | None  # distinguishes one start of the process from the next
-    age_us: int | None  # since its start, as the label says
+    boot: str | None  # identifies one start of the process
+    age_us: int | None  # time since its start, from the label
 
 
 class RejectedMemberError(Exception):
-    """A member's request that can't be carried out: SASP return code and reason."""
+    """A member's request that was rejected: SASP return code and reason."""
 
     def __init__(self, code: int, why: str):
         super().__init__(why)
@@ -37,21 +37,21 @@
 
 
 def parse_label(label: str) -> dict[str, str]:
-    """The values of a label by key; ``RejectedMemberError`` for a key that is unknown or repeated."""
+    """Return the values of a label by key; ``RejectedMemberError`` for an unknown or repeated key."""
     values: dict[str, str] = {}
     for assignment in filter(None, label.split(";")):
         key, equals, value = assignment.partition("=")
         if not equals or key not in LABEL_KEYS or key in values:
             raise RejectedMemberError(
                 ReturnCode.NOT_UNDERSTOOD,
-                f"label {assignment!r}: known once each are {', '.join(LABEL_KEYS)}",
+                f"label {assignment!r}: expected KEY=VALUE, each key once, of {', '.join(LABEL_KEYS)}",
             )
         values[key] = value
     return values
 
 
 def index_of(names: tuple[str, ...], name: str | None, kind: str) -> int:
-    """The index of a zone or machine type, 0 for None; ``ValueError`` for an unknown name."""
+    """Return the index of a zone or machine type, 0 for None; ``ValueError`` for an unknown name."""
     if name is None:
         return 0
     if name not in names:
@@ -60,14 +60,14 @@
 
 
 class MemberDescriber:
-    """Describes members by the settings and their labels."""
+    """Derives the attributes of members from the settings and their labels."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
         self.rules = [(AddressPattern(rule.match), rule) for rule in settings.fleet.servers]
 
     def describe(self, member: Member) -> Description:
-        """The description of a member; ``RejectedMemberError`` if its label makes no sense."""
+        """Return the attributes of a member; ``RejectedMemberError`` if its label is invalid."""
         values = parse_label(member.label)
         try:
             description = self.combine(member, values)
@@ -76,17 +76,17 @@
         weight, max_weight = description.weight, self.settings.fleet.weight_most
         if not 0 < weight <= max_weight:
             raise RejectedMemberError(
-                ReturnCode.NOT_ACCEPTED, f"weight {weight} is not over 0 and at most {max_weight}"
+                ReturnCode.NOT_ACCEPTED, f"weight {weight} must be above 0 and at most {max_weight}"
             )
         negative_age = description.age_us is not None and description.age_us < 0
         if not 0 <= description.pod <= MAX_POD or negative_age:
             raise RejectedMemberError(
-                ReturnCode.NOT_ACCEPTED, f"label {member.label!r}: pod or age out of range"
+                ReturnCode.NOT_ACCEPTED, f"label {member.label!r}: pod or age is out of range"
             )
         return description
 
     def combine(self, member: Member, values: dict[str, str]) -> Description:
-        """Each attribute by the first rule that covers the address, else by the label, else its default."""
+        """Take each attribute from the first rule that matches the address, else the label or a default."""
         host = member.host()
         rule = next((rule for match, rule in self.rules if match.matches(host, member.port)), None)
         weight = rule.weight if rule and rule.weight is not None else float(values.get("weight", "1"))
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -1,7 +1,8 @@
-"""The endpoint list as members and a list file give it. Free of I/O; times are microseconds of one clock.
+"""The endpoint list, built from registered members and a list file. Does no I/O.
 
-A server is *ready* while it is registered, *draining* once it is quiesced, *gone* when it has deregistered or
-its stream broke and the grace has passed. What one batch of events did to a server is one change.
+A server is *ready* while it is registered, *draining* once it is quiesced, and *gone* when it has
+deregistered or its stream has ended and the grace period is over. A batch of events changes a server at most
+once. Times are microseconds of the director's clock.
 """
 
 from __future__ import annotations
@@ -15,39 +16,39 @@
 from rainpick.sasp.messages import Group, Member, MemberState
 from rainpick.settings.model import Settings
 
-MAX_SETTLES = 10  # settle times after which a fleet that keeps growing is not waited for any longer
+MAX_SETTLE_TIMES = 10  # multiple of the settle time that limits the wait for a fleet that keeps growing
 
 
 class FileEntry(NamedTuple):
-    """A server of the list file, or of the cached list."""
+    """A server in the list file or in the cached list."""
 
     key: Key
     weight: float
     zone: int
     machine: int
     pod: int
-    started_us: int  # 0: long ago
+    started_us: int  # 0: started long ago
     draining: bool
 
 
 class Server:
-    """One server, and which sources name it."""
+    """The state of one server and the sources that list it."""
 
     __slots__ = ("key", "description", "started_us", "quiesced", "owner", "file_entry", "published", "state")
 
     def __init__(self, key: Key):
         self.key = key
-        self.description: Description | None = None  # of its registration
+        self.description: Description | None = None  # from its registration or the cached list
         self.started_us = 0
         self.quiesced = False
-        self.owner: int | None = None  # number of the stream that registered it
+        self.owner: int | None = None  # number of the stream that registered it; None once that has ended
         self.file_entry: FileEntry | None = None
-        self.published: model.Endpoint | None = None  # as the decisions know it
-        self.state = 0  # the opaque state that the member set
+        self.published: model.Endpoint | None = None  # as last sent to the decision module
+        self.state = 0  # opaque state that the member has set
 
 
 class Membership:
-    """The servers of a fleet, from all sources."""
+    """The servers of a fleet from all sources."""
 
     def __init__(self, settings: Settings, started_us: int):
         fleet = settings.fleet
@@ -55,45 +56,53 @@
         self.group = Group(fleet.uid, fleet.group)
         self.describer = MemberDescriber(settings)
         self.servers: dict[Key, Server] = {}
-        self.changed: set[Key] = set()  # since the last update
-        self.grace_ends_us: dict[Key, int] = {}  # of servers whose stream broke: when they are gone
+        self.changed: set[Key] = set()  # servers that changed since the last update
+        self.grace_ends_us: dict[Key, int] = {}  # end of the grace period of servers whose stream has ended
         self.version = 0
-        # Members that register without an age while a director starts are taken for long running: otherwise
-        # all ready servers would warm up after each restart of a director.
+        # Members that register without an age before this time are taken as started long ago. Otherwise all
+        # ready servers would warm up after each restart of a director.
         self.settled_us = started_us + max(fleet.member_grace, settings.director.settle)
         self.started_us = started_us
-        self.newest_us = started_us  # when a server last appeared
+        self.newest_us = started_us  # when a server was last added
         self.from_cache = False
 
     # Members' requests
 
     def check_group(self, group: Group) -> None:
-        """``RejectedMemberError`` for any group but the fleet's."""
+        """Raise ``RejectedMemberError`` for any group other than the fleet's."""
         if group.uid != self.group.uid:
-            raise RejectedMemberError(ReturnCode.UNKNOWN_LB, f"members register under {self.group.uid!r}")
+            raise RejectedMemberError(
+                ReturnCode.UNKNOWN_LB, f"LB UID {group.uid!r}, expected {self.group.uid!r}"
+            )
         if group.name != self.group.name:
-            raise RejectedMemberError(ReturnCode.INVALID_GROUP, f"the group is {self.group.name!r}")
+            raise RejectedMemberError(
+                ReturnCode.INVALID_GROUP, f"group {group.name!r}, expected {self.group.name!r}"
+            )
 
     def register(self, stream: int, group: Group, members: tuple[Member, ...], now: int) -> None:
-        """Register all of the members or, when one is rejected, none."""
+        """Register all members; if one is rejected, none is registered."""
         self.check_group(group)
         described = [(member.key(), self.describer.describe(member)) for member in members]
         new_servers = sum(key not in self.servers for key, _ in described)
         max_members = self.settings.fleet.members_most
         if len(self.servers) + new_servers > max_members:
-            raise RejectedMemberError(ReturnCode.NOT_ACCEPTED, f"{max_members} members are the most")
+            raise RejectedMemberError(
+                ReturnCode.NOT_ACCEPTED, f"the limit of {max_members} members would be exceeded"
+            )
         for key, _ in described:
             if key in self.servers and self.servers[key].owner == stream:
                 raise RejectedMemberError(
-                    ReturnCode.ALREADY_REGISTERED, f"{format_address(key)} is registered on this stream"
+                    ReturnCode.ALREADY_REGISTERED,
+                    f"{format_address(key)} is already registered on this stream",
                 )
         for key, description in described:
             self.register_server(stream, key, description, now)
 
     def register_server(self, stream: int, key: Key, description: Description, now: int) -> None:
-        """A server registers: it may be new, back from a broken stream, or started anew.
+        """Register a server that is new, restarted, or registered on an earlier stream.
 
-        The newest stream to register it owns it: the previous one may be dead without having been noticed.
+        The newest stream that registers a server owns it: the previous one may be dead without this being
+        detected.
         """
         if key not in self.servers:
             self.servers[key], self.newest_us = Server(key), now
@@ -109,7 +118,7 @@
         self.changed.add(key)
 
     def start_time_us(self, server: Server, was_registered: bool, description: Description, now: int) -> int:
-        """When a newly registered process started; 0: long ago."""
+        """Return when the process of a registration started; 0: long ago."""
         if description.age_us is not None:
             return max(0, now - description.age_us)
         if was_registered:
@@ -118,42 +127,42 @@
             return server.file_entry.started_us
         return 0 if now < self.settled_us else now
 
-    def owned(self, stream: int, key: Key) -> Server:
-        """The server that a stream registered; ``RejectedMemberError`` if it did not."""
+    def registered_server(self, stream: int, key: Key) -> Server:
+        """Return the server that a stream has registered; ``RejectedMemberError`` if it has not."""
         server = self.servers.get(key)
         if server is None or server.owner != stream:
             raise RejectedMemberError(
-                ReturnCode.NOT_REGISTERED, f"{format_address(key)} is not of this stream"
+                ReturnCode.NOT_REGISTERED, f"{format_address(key)} is not registered on this stream"
             )
         return server
 
     def deregister(self, stream: int, group: Group, members: tuple[Member, ...]) -> None:
-        """Gone at once; a group without members means all that this stream registered."""
+        """Remove servers at once; a group without members stands for all servers of the stream."""
         self.check_group(group)
         if members:
-            leaving = [self.owned(stream, member.key()) for member in members]
+            leaving = [self.registered_server(stream, member.key()) for member in members]
         else:
             leaving = [server for server in self.servers.values() if server.owner == stream]
         for server in leaving:
             self.remove_registration(server)
 
     def set_state(self, stream: int, group: Group, states: tuple[MemberState, ...]) -> None:
-        """Quiesce or resume servers of a stream: all of them or, when one is rejected, none."""
+        """Quiesce or resume servers of a stream; if one is rejected, none is changed."""
         self.check_group(group)
-        changes = [(self.owned(stream, state.member.key()), state) for state in states]
+        changes = [(self.registered_server(stream, state.member.key()), state) for state in states]
         for server, state in changes:
             server.quiesced, server.state = state.quiesce, state.state
             self.changed.add(server.key)
 
     def remove_registration(self, server: Server) -> None:
-        """A server is not registered any more; the list file may still name it."""
+        """Remove the registration of a server; the list file may still contain the server."""
         server.owner = server.description = None
         server.quiesced = False
         self.grace_ends_us.pop(server.key, None)
         self.changed.add(server.key)
 
-    def stream_broke(self, stream: int, now: int) -> None:
-        """Its servers are gone after the grace, if no other stream has registered them by then."""
+    def stream_ended(self, stream: int, now: int) -> None:
+        """Start the grace period of a stream's servers; another stream may register them meanwhile."""
         for server in self.servers.values():
             if server.owner == stream:
                 server.owner = None
@@ -162,7 +171,10 @@
     # The list file and the cached list
 
     def apply_list_file(self, entries: list[FileEntry]) -> None:
-        """The whole file as it is now; what it no longer names goes unless it is registered."""
+        """Replace the entries of the list file.
+
+        A server that the file no longer contains is removed, unless it is registered.
+        """
         by_key = {entry.key: entry for entry in entries}
         for key, server in self.servers.items():
             if server.file_entry is not None and key not in by_key:
@@ -173,7 +185,7 @@
             self.changed.add(key)
 
     def apply_cached_list(self, entries: list[FileEntry], now: int) -> None:
-        """The cached list of an earlier incarnation: each server has the grace to register again."""
+        """Add the servers of the cached list, each with a grace period to register again."""
         self.from_cache = bool(entries)
         grace_us = self.settings.fleet.member_grace + self.settings.director.settle
         for entry in entries:
@@ -186,34 +198,38 @@
     # The clock
 
     def start_due_us(self) -> int | None:
-        """When there is a list to start the decisions with; None while there is none.
+        """Return when to start the decision module; None while there are no servers.
 
-        The tables that the decisions build follow from the list they start with: started with nothing, or
-        with the first few of a fleet that is just registering, they would never be those of the whole fleet.
+        The decision module derives its tables from the initial list. If it started with an empty list, or
+        with the first few servers of a fleet that is still registering, its tables would never be those of
+        the whole fleet.
         """
         if not self.servers:
             return None
         if self.from_cache:
             return self.started_us
         settle = self.settings.director.settle
-        last = self.started_us + MAX_SETTLES * settle
+        last = self.started_us + MAX_SETTLE_TIMES * settle
         return max(self.started_us + settle, min(self.newest_us + settle, last))
 
     def due_us(self) -> int | None:
-        """When the next grace passes."""
+        """Return when the next grace period ends; None if there is none."""
         return min(self.grace_ends_us.values(), default=None)
 
     def expire(self, now: int) -> list[Key]:
-        """Remove and return the servers whose grace has passed."""
+        """Remove and return the servers whose grace period has ended."""
         expired = [key for key, end_us in self.grace_ends_us.items() if end_us <= now]
         for key in expired:
             self.remove_registration(self.servers[key])
         return expired
 
-    # What the decisions are sent
+    # Updates for the decision module
 
     def endpoint(self, server: Server) -> model.Endpoint | None:
-        """A server as the endpoint list has it; None if no source names it. The file comes first."""
+        """Return a server's entry in the endpoint list; None if no source lists it.
+
+        Attributes of the list file take precedence.
+        """
         registered = server.owner is not None or server.key in self.grace_ends_us
         entry = server.file_entry
         attributes: FileEntry | Description | None = entry if entry is not None else server.description
@@ -232,7 +248,7 @@
         )
 
     def next_update(self) -> model.EndpointUpdate | None:
-        """One update with all that has changed since the last one; None if nothing has."""
+        """Return an update with all changes since the last one; None if there are none."""
         endpoints = []
         for key in sorted(self.changed):
             server = self.servers[key]
@@ -251,11 +267,11 @@
         return model.EndpointUpdate(model.UpdateKind.DELTA, tuple(endpoints), self.version)
 
     def published(self) -> tuple[model.Endpoint, ...]:
-        """Every server that the decisions know and that is not gone."""
+        """Return the servers that the decision module knows and that are not gone."""
         servers = [server for _, server in sorted(self.servers.items())]
         return tuple([server.published for server in servers if server.published is not None])
 
     def initial_update(self) -> model.EndpointUpdate:
-        """The list that the decisions of a starting director begin with."""
+        """Return the endpoint list that the decision module starts with."""
         self.next_update()
         return model.EndpointUpdate(model.UpdateKind.CACHED, self.published(), self.version)
--- a/rainpick/director/messages.py
+++ b/rainpick/director/messages.py
@@ -1,7 +1,7 @@
 """Messages to the event loop of a director, one type each.
 
-Other threads (the sockets' readers, the HTTP fronts, the daemon) post them to the ``Inbox``; the event loop
-dispatches them by type. A ``Query`` is a message whose sender waits for an answer.
+Other threads (readers of sockets, HTTP frontends, the daemon) post them to the ``Inbox``; the event loop
+dispatches them by type. The sender of a ``Query`` waits for the reply.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 
 
 class StreamOpened(NamedTuple):
-    """A peer has dialled one of the stream frontends; its stream is not being read yet."""
+    """A stream frontend has accepted a connection; its stream is not being read yet."""
 
     stream: Stream
 
 
 class StreamReceived(NamedTuple):
-    """The reader of a stream delivers a request, a packet, a protocol error, or the end of the stream."""
+    """A request, a packet, a protocol error or the end of a stream, from the reader of the stream."""
 
     stream: Stream
     event: StreamEvent
 
 
 class ListFileRead(NamedTuple):
-    """The operators' list file was read without error; these are all of its servers."""
+    """The operators' list file was read without error; ``entries`` are all of its servers."""
 
     entries: list[FileEntry]
 
 
 class CachedListRead(NamedTuple):
-    """The endpoint list that an earlier incarnation of this director cached."""
+    """The endpoint list that an earlier incarnation of this director has cached."""
 
     entries: list[FileEntry]
 
 
 class StopRequested(NamedTuple):
-    """The event loop is to return once it has worked off the messages before this one."""
+    """Ends the event loop once the messages before this one are handled."""
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     replies: SimpleQueue[AnswerT] = field(default_factory=SimpleQueue, init=False)
 
     def reply(self, answer: AnswerT) -> None:
-        """Hand the answer to the thread that waits for it."""
+        """Pass the answer to the waiting thread."""
         self.replies.put(answer)
 
 
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class StatusQuery(Query[dict[str, Any]]):
-    """The answer is the document that ``/status`` serves."""
+    """A query for the document that ``/status`` serves."""
 
 
 class TableActionResult(NamedTuple):
@@ -87,7 +87,10 @@
 
 @dataclass(slots=True)
 class TableActionRequest(Query[TableActionResult]):
-    """An operator shows, pins, rolls back or releases a table. ``parameters`` is the JSON object it sent."""
+    """A request of an operator to show, pin, roll back or release a table.
+
+    ``parameters`` is the JSON object of the request.
+    """
 
     action: TableAction
     parameters: dict[str, Any]
--- a/rainpick/director/mqtt_connection.py
+++ b/rainpick/director/mqtt_connection.py
@@ -1,4 +1,4 @@
-"""One MQTT connection: its protocol end, its unacknowledged writes, its rate limit."""
+"""One MQTT connection: its protocol state, its unacknowledged messages and its rate limit."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from rainpick.mqtt.server import ServerConnection
 from rainpick.net.streams import Stream
 
-BURST_S = 2  # a client may publish as many messages at once as its rate allows in this time
+BURST_S = 2  # bucket capacity: the messages that a client's rate allows in this time
 
 
 class ObserverFeed:
-    """How far an observer follows a table."""
+    """The state of one table at one observer."""
 
     __slots__ = ("snapshot", "packet")
 
     def __init__(self) -> None:
-        self.snapshot: Snapshot | None = None  # the newest that it was sent
-        self.packet = 0  # number of the one that it has not acknowledged; 0: none
+        self.snapshot: Snapshot | None = None  # the newest version that it was sent
+        self.packet = 0  # packet id of the unacknowledged version; 0: none
 
 
 class PublishRateLimit:
-    """A token bucket: how many messages a second a client may publish."""
+    """A token bucket that limits the messages a second that a client may publish."""
 
     __slots__ = ("per_s", "tokens", "updated_us")
 
@@ -30,7 +30,7 @@
         self.updated_us = now
 
     def allows(self, now: int) -> bool:
-        """Whether one more message is within the rate; if so, it counts."""
+        """Return whether one more message is within the rate; if so, count it."""
         refill = (now - self.updated_us) * self.per_s / 1e6
         self.tokens = min(BURST_S * self.per_s, self.tokens + refill)
         self.updated_us = now
@@ -41,15 +41,15 @@
 
 
 class MqttConnection:
-    """One MQTT connection, of a proxy or of an observer."""
+    """One MQTT connection of a proxy or an observer."""
 
     def __init__(self, stream: Stream, now: int, publishes_per_s: float):
         self.stream = stream
         self.protocol = ServerConnection()
-        self.client = ""  # its client identifier; a proxy's is its UID
-        self.received_us = now  # when anything last came
-        self.unacknowledged: dict[int, int] = {}  # packet to the engine's number of the message
+        self.client = ""  # client identifier; for a proxy, its UID
+        self.received_us = now  # time of the last received packet
+        self.unacknowledged: dict[int, int] = {}  # message numbers of the engine, by packet id
         self.unacknowledged_since_us: int | None = None
         self.feeds: dict[int, ObserverFeed] = {}  # by table
-        self.stalled_since_us: int | None = None  # of an observer, whose socket takes nothing
+        self.stalled_since_us: int | None = None  # since when an observer's socket accepts no data
         self.rate_limit = PublishRateLimit(publishes_per_s, now)
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -1,7 +1,7 @@
-"""The MQTT frontend within the event loop's thread: connections of proxies and of observers.
+"""The MQTT frontend in the event loop's thread: connections of proxies and of observers.
 
-A proxy is a client that subscribed to its own orders with QoS 1 and published its presence. An MQTT
-acknowledgement is what ``Acknowledged`` stands for here.
+A proxy is a client that has subscribed to its own assignments with QoS 1 and has published its presence. The
+MQTT acknowledgement of a message confirms its delivery to the engine.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from rainpick.sasp.constants import NO_CHANGE, PUSH, TRUST
 
 CLIENT_IDENTIFIER = re.compile(r"[^/+#\x00]{1,64}")
-PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # what a proxy over MQTT would set over SASP
+PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # SASP flags that stand for a proxy over MQTT
 PROXY_PAYLOADS: dict[str, type[Presence | LoadReport | SyncFault]] = {  # by the last level of the topic
     "presence": Presence,
     "report": LoadReport,
@@ -47,15 +47,15 @@
 
 @dataclass(slots=True)
 class ReceiveCounts:
-    """What came over MQTT since the start."""
+    """Counters of what was received over MQTT since the start."""
 
-    resynchronisations: int = 0  # of proxies that could not follow
-    rejected: int = 0  # broken packets and payloads
-    rate_limited: int = 0  # connections
+    resynchronisations: int = 0  # of proxies that could not follow their tables
+    rejected: int = 0  # malformed packets and payloads
+    rate_limited: int = 0  # disconnects of clients that exceeded their rate
 
 
 class MqttFrontend:
-    """All MQTT connections of a director."""
+    """Handles all MQTT connections of a director."""
 
     def __init__(self, context: Context, sessions: Sessions, delivery: Delivery, intake: ReportIntake):
         self.context = context
@@ -73,16 +73,16 @@
     # Connections
 
     def open(self, stream: Stream) -> None:
-        """A peer has dialled; its CONNECT is still to come."""
+        """Add the connection of a newly accepted stream; its CONNECT is still to come."""
         now = self.context.clock()
         self.connections[stream.number] = MqttConnection(stream, now, self.settings.mqtt.says_per_s)
 
     def forget(self, stream: Stream) -> None:
-        """A stream ends."""
+        """Remove the connection of a stream that ends."""
         self.connections.pop(stream.number, None)
 
     def receive(self, stream: Stream, event: Packet | MqttError | StreamEnded) -> None:
-        """Handle what the reader of a stream delivers."""
+        """Handle an event of a stream's reader."""
         connection = self.connections[stream.number]
         connection.received_us = self.context.clock()
         if isinstance(event, StreamEnded):
@@ -90,17 +90,17 @@
             return
         if isinstance(event, MqttError):
             self.counts.rejected += 1
-        over = self.handle(connection, connection.protocol.receive(event))
-        if over is not None:
-            stream.write(bytes(connection.protocol.outgoing) + over.data)
-            self.sessions.close(stream, over.reason)
+        closing_event = self.handle(connection, connection.protocol.receive(event))
+        if closing_event is not None:
+            stream.write(bytes(connection.protocol.outgoing) + closing_event.data)
+            self.sessions.close(stream, closing_event.reason)
         else:
             self.sender.send(connection)
 
     def handle(
         self,
         connection: MqttConnection,
-        step: ConnectRequested
+        protocol_event: ConnectRequested
         | Subscribed
         | Unsubscribed
         | MessageReceived
@@ -108,24 +108,24 @@
         | ConnectionClosed
         | None,
     ) -> ConnectionClosed | None:
-        """Act on what a packet means; ``ConnectionClosed`` if it ends the connection."""
-        if isinstance(step, ConnectRequested):
-            return self.connect(connection, step.connect)
-        if isinstance(step, Subscribed):
-            self.subscribed(connection)
-        elif isinstance(step, Unsubscribed):
+        """Handle an event of the protocol; return ``ConnectionClosed`` if it ends the connection."""
+        if isinstance(protocol_event, ConnectRequested):
+            return self.connect(connection, protocol_event.connect)
+        if isinstance(protocol_event, Subscribed):
+            self.enforce_observer_limit(connection)
+        elif isinstance(protocol_event, Unsubscribed):
             granted_qos = connection.protocol.granted_qos
             keep_feeds(
                 connection, [n for n in connection.feeds if granted_qos(topics.table_topic(n)) is not None]
             )
-        elif isinstance(step, MessageReceived):
-            return self.published(connection, step.publish)
-        elif isinstance(step, MessageAcknowledged):
-            self.acknowledged(connection, step)
-        return step if isinstance(step, ConnectionClosed) else None
+        elif isinstance(protocol_event, MessageReceived):
+            return self.handle_publish(connection, protocol_event.publish)
+        elif isinstance(protocol_event, MessageAcknowledged):
+            self.handle_acknowledgement(connection, protocol_event)
+        return protocol_event if isinstance(protocol_event, ConnectionClosed) else None
 
     def connect(self, connection: MqttConnection, connect: codec.Connect) -> ConnectionClosed | None:
-        """Accept a client; of two with the same identifier the newer counts."""
+        """Accept a client; an older connection with the same client identifier is closed."""
         if not CLIENT_IDENTIFIER.fullmatch(connect.client_id):
             why = "a client identifier of 1 to 64 characters but / + #"
             return connection.protocol.disconnect(codec.ReasonCode.CLIENT_IDENTIFIER_NOT_VALID, why)
@@ -150,24 +150,24 @@
         return None
 
     def announce_takeover(self, stream: Stream) -> None:
-        """Tell a client that a newer connection replaces its own; does nothing for a SASP stream."""
+        """Notify a client that a newer connection replaces its own; does nothing for a SASP stream."""
         if stream.number in self.connections:
             stream.write(codec.encode_packet(codec.Disconnect(codec.ReasonCode.SESSION_TAKEN_OVER)))
 
-    def subscribed(self, connection: MqttConnection) -> None:
-        """Close a connection that is one observer too many."""
+    def enforce_observer_limit(self, connection: MqttConnection) -> None:
+        """Close a connection whose subscription makes it exceed the limit on observers."""
         observers = sum(map(self.observes, self.connections.values()))
         if self.observes(connection) and observers > self.settings.mqtt.observers_most:
             self.sessions.close(connection.stream, "too many observers")
 
     def observes(self, connection: MqttConnection) -> bool:
-        """Whether a connection is an observer's."""
+        """Return whether a connection belongs to an observer."""
         return is_observer(connection, connection.stream.number in self.sessions.by_stream)
 
-    # What clients publish
+    # Messages from clients
 
-    def published(self, connection: MqttConnection, publish: codec.Publish) -> ConnectionClosed | None:
-        """Handle a PUBLISH and acknowledge it; ``ConnectionClosed`` for a client beyond its rate."""
+    def handle_publish(self, connection: MqttConnection, publish: codec.Publish) -> ConnectionClosed | None:
+        """Handle a PUBLISH and acknowledge it; ``ConnectionClosed`` for a client above its rate."""
         if not connection.rate_limit.allows(self.context.clock()):
             self.counts.rate_limited += 1
             per_s = connection.rate_limit.per_s
@@ -181,7 +181,7 @@
         try:
             payload = payloads.decode_proxy_message(publish.payload)
             if not isinstance(payload, PROXY_PAYLOADS[kind]):
-                raise PayloadError(f"{type(payload).__name__} on {kind}")
+                raise PayloadError(f"unexpected payload {type(payload).__name__} on topic level {kind}")
             code = self.handle_payload(connection, payload)
         except PayloadError as error:
             self.counts.rejected += 1
@@ -191,7 +191,7 @@
         return None
 
     def handle_payload(self, connection: MqttConnection, payload: Presence | LoadReport | SyncFault) -> int:
-        """Handle what a proxy publishes; the reason code of the acknowledgement."""
+        """Handle a payload of a proxy; return the reason code for the acknowledgement."""
         session = self.sessions.by_stream.get(connection.stream.number)
         if isinstance(payload, Presence):
             return self.handle_presence(connection, session, payload)
@@ -204,22 +204,22 @@
         return codec.ReasonCode.SUCCESS
 
     def resynchronise(self, session: ProxySession, fault: SyncFault) -> None:
-        """A proxy can't follow its table: it is sent the whole."""
+        """Send the whole table to a proxy that can't follow it."""
         self.counts.resynchronisations += 1
         self.log.warning("proxy can't follow", proxy=session.uid, why=fault.cause, table=fault.table)
         if self.context.engine is not None and session.joined:
-            self.context.engine.distrust(session.number)
+            self.context.engine.invalidate_snapshot(session.number)
 
     def handle_presence(
         self, connection: MqttConnection, session: ProxySession | None, presence: Presence
     ) -> int:
-        """A client says that it is a proxy, or one no longer; the reason code."""
+        """Handle the announcement of a proxy's start or end; return the reason code."""
         if presence.state == "gone":
             if session is not None:
                 self.sessions.end_session(session)
             return codec.ReasonCode.SUCCESS
         if connection.protocol.subscriptions.get(topics.assignment_topic(connection.client)) != 1:
-            return codec.ReasonCode.NOT_AUTHORIZED  # it would not receive its orders, or not acknowledge them
+            return codec.ReasonCode.NOT_AUTHORIZED  # it can't receive or acknowledge assignments
         if session is not None:
             return codec.ReasonCode.SUCCESS
         if connection.client == self.settings.fleet.uid:
@@ -238,8 +238,10 @@
             self.sessions.join(session)
         return codec.ReasonCode.SUCCESS
 
-    def acknowledged(self, connection: MqttConnection, acknowledgement: MessageAcknowledged) -> None:
-        """A client has acknowledged a packet."""
+    def handle_acknowledgement(
+        self, connection: MqttConnection, acknowledgement: MessageAcknowledged
+    ) -> None:
+        """Confirm the delivery of the message that a client has acknowledged."""
         message = connection.unacknowledged.pop(acknowledgement.packet_id, None)
         session = self.sessions.by_stream.get(connection.stream.number)
         connection.unacknowledged_since_us = self.context.clock() if connection.unacknowledged else None
@@ -256,40 +258,40 @@
     # Slow clients
 
     def check_connections(self, now: int) -> None:
-        """Close who is silent past its keep-alive, acknowledges nothing, or whose socket takes nothing."""
+        """Close connections with an expired keep-alive, overdue acknowledgements or a stalled socket."""
         for connection in list(self.connections.values()):
             if self.keep_alive_passed(connection, now):
                 connection.stream.write(
                     codec.encode_packet(codec.Disconnect(codec.ReasonCode.KEEP_ALIVE_TIMEOUT))
                 )
-                self.sessions.close(connection.stream, "silent past its keep-alive")
+                self.sessions.close(connection.stream, "keep-alive timeout")
                 continue
             session = self.sessions.by_stream.get(connection.stream.number)
             since_us = connection.unacknowledged_since_us
             overdue = since_us is not None and now - since_us > self.settings.mqtt.ack_within
             if session is not None and overdue:
-                self.sessions.disconnect(session, "it acknowledges nothing")
+                self.sessions.disconnect(session, "no acknowledgement within mqtt.ack_within")
             elif session is None and connection.stream.unsent:
                 self.retry_observer(connection, now)
 
     @staticmethod
     def keep_alive_passed(connection: MqttConnection, now: int) -> bool:
-        """Whether a client has been silent for one and a half times its keep-alive (MQTT 5, 3.1.2.10)."""
+        """Return whether a client was silent for over one and a half keep-alives (MQTT 5, 3.1.2.10)."""
         connect = connection.protocol.connect
         keep_alive_us = connect.keep_alive_s * 1_500_000 if connect is not None else 0
         return bool(keep_alive_us) and now - connection.received_us > keep_alive_us
 
     def retry_observer(self, connection: MqttConnection, now: int) -> None:
-        """Write to an observer whose socket took too little; close it after ``sasp.write_stall``."""
+        """Retry a write to a stalled observer; close its stream after ``sasp.write_stall``."""
         stream = connection.stream
         stream.flush()
         connection.stalled_since_us = (connection.stalled_since_us or now) if stream.unsent else None
         since_us = connection.stalled_since_us
         if since_us is not None and now - since_us > self.settings.sasp.write_stall:
-            self.sessions.close(stream, "it does not read")
+            self.sessions.close(stream, "its socket accepts no data")
 
     def status(self) -> dict[str, Any]:
-        """What ``/status`` shows under ``subscribers``."""
+        """Return the section ``subscribers`` of ``/status``."""
         counts, sent = self.counts, self.sender.counts
         return {
             "connections": len(self.connections),
--- a/rainpick/director/mqtt_sender.py
+++ b/rainpick/director/mqtt_sender.py
@@ -1,4 +1,4 @@
-"""What MQTT connections are sent: tables and commands of proxies, and the tables that observers follow."""
+"""Sends tables and commands to proxies over MQTT, and tables to observers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from rainpick.publish.payloads import ProxyAssignment, RouteAdmission, TableDelta, TableSnapshot
 from rainpick.publish.table_updates import TableUpdateEncoder
 
-PACKET_OVERHEAD = 16  # most bytes of a PUBLISH beside topic and payload
+PACKET_OVERHEAD = 16  # most bytes of a PUBLISH in addition to topic and payload
 
 
 @dataclass(slots=True)
 class SendCounts:
-    """What was sent since the start."""
+    """Counters of what was sent since the start."""
 
     whole_tables: int = 0  # to proxies
     table_changes: int = 0  # to proxies
@@ -29,7 +29,10 @@
 
 
 class MqttSender:
-    """Writes to MQTT connections without waiting; ``connections`` are the frontend's, by stream number."""
+    """Writes to MQTT connections without blocking.
+
+    ``connections`` are those of the frontend, by stream number.
+    """
 
     def __init__(
         self,
@@ -42,16 +45,16 @@
         self.sessions = sessions
         self.delivery = delivery
         self.connections = connections
-        self.writer = TableUpdateEncoder(context.epoch)
+        self.encoder = TableUpdateEncoder(context.epoch)
         self.counts = SendCounts()
         delivery.has_send_quota = self.has_send_quota
 
     def push(self, session: ProxySession, write: Write) -> None:
-        """Send a proxy one message: a change or the whole of its table, and its commands if they are new."""
+        """Send a proxy one message: an update of its table, and its commands if they have changed."""
         connection = self.connections[session.stream.number]
         topic, data = self.push_payload(session, write)
         if len(data) + len(topic) + PACKET_OVERHEAD > connection.protocol.max_packet_length:
-            self.sessions.disconnect(session, "its largest packet is smaller than what it is to be sent")
+            self.sessions.disconnect(session, "a message exceeds its maximum packet size")
             return
         packet = connection.protocol.publish(topic, data, 1)
         connection.unacknowledged[packet] = write.number
@@ -62,13 +65,13 @@
         self.send(connection)
 
     def push_payload(self, session: ProxySession, write: Write) -> tuple[str, bytes]:
-        """Topic and payload: the part of its table alone, or its commands with that part if there is one."""
+        """Return topic and payload: the table update alone, or the commands with any table update."""
         proxy = self.context.started_engine.tables.proxies[session.number]
         table = proxy.table
-        part: TableSnapshot | TableDelta | None = None
+        table_update: TableSnapshot | TableDelta | None = None
         if table is not None and (write.delta.withdrawn or write.delta.others or write.commands):
-            part, data = self.writer.update(table, write.before, write.after)
-            if isinstance(part, TableSnapshot):
+            table_update, data = self.encoder.update(table, write.before, write.after)
+            if isinstance(table_update, TableSnapshot):
                 self.counts.whole_tables += 1
             else:
                 self.counts.table_changes += 1
@@ -76,44 +79,46 @@
                 return topics.table_topic(table), data
         commands = write.commands or proxy.commands
         if commands is None:
-            raise RuntimeError(f"{session.uid} has no commands, though it speaks MQTT")
-        updated = self.writer.unbound_weights(write.delta) if table is None else ()
+            raise RuntimeError(f"the MQTT proxy {session.uid} has no commands")
+        updated = self.encoder.unbound_weights(write.delta) if table is None else ()
         routes = self.context.settings.routes
-        levels = tuple(
+        route_admissions = tuple(
             [
                 RouteAdmission(routes[route].name, rate, payloads.RETRY_POLICIES[retry])
                 for route, rate, retry in commands.admissions
             ]
         )
-        data = payloads.encode(ProxyAssignment(self.context.epoch, table, levels, part, updated))
+        data = payloads.encode(
+            ProxyAssignment(self.context.epoch, table, route_admissions, table_update, updated)
+        )
         return topics.assignment_topic(session.uid), data
 
     def send(self, connection: MqttConnection) -> None:
-        """Hand the socket what the protocol end has collected."""
-        out = connection.protocol.outgoing
-        if not out:
+        """Write the bytes that the protocol has queued to the socket."""
+        outgoing = connection.protocol.outgoing
+        if not outgoing:
             return
         stream = connection.stream
         session = self.sessions.by_stream.get(stream.number)
-        self.counts.bytes += len(out)
-        data = bytes(out)
-        out.clear()
+        self.counts.bytes += len(outgoing)
+        data = bytes(outgoing)
+        outgoing.clear()
         within_backlog = stream.write(data)
         if session is not None:
             if not within_backlog:
-                self.sessions.disconnect(session, "more waits for it than is held")
+                self.sessions.disconnect(session, "too much unsent data")
             elif stream.unsent and self.context.engine is not None and session.joined:
                 self.delivery.mark_stalled(session)
         elif not within_backlog:
-            self.sessions.close(stream, "it does not read")
+            self.sessions.close(stream, "too much unsent data")
 
     def has_send_quota(self, stream: Stream) -> bool:
-        """Whether the client of a stream allows one more unacknowledged message; always so over SASP."""
+        """Return whether one more unacknowledged message may be sent; always True over SASP."""
         connection = self.connections.get(stream.number)
         return connection is None or connection.protocol.has_send_quota
 
     def update_observers(self) -> None:
-        """Send observers the newest versions of the tables that they follow."""
+        """Send observers the newest versions of the tables that they are subscribed to."""
         engine = self.context.engine
         if engine is None:
             return
@@ -125,5 +130,5 @@
                 continue
             if connection.stream.unsent or not is_observer(connection, is_proxy=False):
                 continue
-            queue_newest_tables(connection, engine, self.writer)
+            queue_newest_tables(connection, engine, self.encoder)
             self.send(connection)
--- a/rainpick/director/observers.py
+++ b/rainpick/director/observers.py
@@ -1,4 +1,4 @@
-"""Observers: MQTT clients that follow tables without being proxies."""
+"""Observers: MQTT clients that subscribe to tables without being proxies."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 from rainpick.publish.payloads import TableSnapshot
 from rainpick.publish.table_updates import TableUpdateEncoder
 
-# Filters that begin so can match the topic of a table.
+# Topic filters with one of these prefixes can match the topic of a table.
 TABLE_FILTERS = (f"{topics.TOPIC_ROOT}/table", f"{topics.TOPIC_ROOT}/#", "#", "+")
 
 
 def is_observer(connection: MqttConnection, is_proxy: bool) -> bool:
-    """Whether a connection follows tables, and neither is nor prepares to be a proxy's."""
+    """Return whether a connection is subscribed to tables without belonging to a proxy or a future proxy."""
     filters = connection.protocol.subscriptions
     if is_proxy or topics.assignment_topic(connection.client) in filters:
         return False
     return any(pattern.startswith(TABLE_FILTERS) for pattern in filters)
 
 
-def queue_newest_tables(connection: MqttConnection, engine: Engine, writer: TableUpdateEncoder) -> None:
-    """Queue the newest version of each table that an observer subscribed to and is behind of.
+def queue_newest_tables(connection: MqttConnection, engine: Engine, encoder: TableUpdateEncoder) -> None:
+    """Queue the newest version of each table that an observer is subscribed to and does not hold.
 
-    One message a table is on its way at a time, always to the newest version: a slow observer skips versions.
+    Each table has at most one unacknowledged message, always with the newest version; a slow observer skips
+    versions.
     """
     for table in engine.tables.bound:
         topic = topics.table_topic(table)
@@ -35,12 +36,12 @@
         feed, newest = connection.feeds.setdefault(table, ObserverFeed()), engine.tables.current(table)
         if feed.packet or feed.snapshot is newest or not connection.protocol.has_send_quota:
             continue
-        part, data = writer.update(table, feed.snapshot, newest)
-        feed.packet = connection.protocol.publish(topic, data, qos, isinstance(part, TableSnapshot))
+        update, data = encoder.update(table, feed.snapshot, newest)
+        feed.packet = connection.protocol.publish(topic, data, qos, isinstance(update, TableSnapshot))
         feed.snapshot = newest
 
 
 def keep_feeds(connection: MqttConnection, tables: Iterable[int]) -> None:
-    """Forget how far an observer follows the tables that are not in ``tables``."""
+    """Remove the state of the tables that are not in ``tables``."""
     kept = set(tables)
     connection.feeds = {table: feed for table, feed in connection.feeds.items() if table in kept}
--- a/rainpick/director/proxies.py
+++ b/rainpick/director/proxies.py
@@ -1,4 +1,4 @@
-"""Numbers, zones and usual rates of proxies by their LB UIDs. Free of I/O."""
+"""Numbers, zones and usual rates of proxies by their LB UIDs. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 from rainpick.settings import Settings
 
-MAX_NUMBERS = 65_000  # to the decisions, proxies are whole numbers under 65536
+MAX_NUMBERS = 65_000  # the decision module represents proxies by numbers below 65536
 LAST_DIGITS = re.compile(r"(\d{1,5})\D*$")
 
 
-class ProxyPlace(NamedTuple):
-    """What the settings know of a proxy."""
+class ProxyAttributes(NamedTuple):
+    """The zone and rate of a proxy, from the settings."""
 
     zone: int  # index
     rate: float  # usual requests a second
 
 
 class Proxies:
-    """Numbers proxies so that every director, and each incarnation of one, gives a proxy the same number.
+    """Assigns numbers to proxies, the same ones at every director and in every incarnation.
 
-    A proxy's table follows from its number. A UID that ends in a number has that one, as fleets count their
-    proxies; any other, or one whose number is taken, has the next free one after a hash of it.
+    A proxy's table is derived from its number. A UID that ends in a number gets that number, because fleets
+    usually number their proxies. Any other UID, or one whose number is taken, gets the first free number from
+    a hash of it on.
     """
 
     def __init__(self, settings: Settings):
@@ -33,7 +34,7 @@
         self.uids: dict[int, str] = {}  # by number
 
     def number(self, uid: str) -> int:
-        """The number of a proxy; assigned when it is first asked for."""
+        """Return the number of a proxy; it is assigned at the first call."""
         if uid not in self.numbers:
             digits = LAST_DIGITS.search(uid)
             number = int(digits[1]) if digits else MAX_NUMBERS
@@ -46,15 +47,15 @@
         return self.numbers[uid]
 
     def free(self, uid: str) -> None:
-        """No proxy of this UID is joined: free its number if they become scarce."""
+        """Release the number of a proxy that is no longer joined, if numbers are scarce."""
         if len(self.numbers) > MAX_NUMBERS // 2:
             number = self.numbers.pop(uid)
             self.uids.pop(number, None)
 
-    def place(self, uid: str) -> ProxyPlace:
-        """Zone and usual rate by the first entry of ``proxies.known`` that matches, else the defaults."""
+    def attributes(self, uid: str) -> ProxyAttributes:
+        """Return zone and usual rate from the first match in ``proxies.known``, else the defaults."""
         proxies = self.settings.proxies
         known = next((entry for entry in proxies.known if fnmatchcase(uid, entry.match)), None)
         zone = known.zone if known and known.zone is not None else proxies.zone
         rate = known.rate if known and known.rate is not None else proxies.rate
-        return ProxyPlace(self.settings.zone_index(zone), rate)
+        return ProxyAttributes(self.settings.zone_index(zone), rate)
--- a/rainpick/director/reports.py
+++ b/rainpick/director/reports.py
@@ -1,8 +1,8 @@
-"""Load reports: their points, and which of them are fresh. Free of I/O.
+"""Points of load reports, and the check whether they are fresh. Does no I/O.
 
-Each point of a report covers a period of its series. Periods show which points are doubled, overlapping or
-reordered; the age of a period, judged with what is known of the reporter's clock, shows which are late. Only
-fresh points count: to the decisions, what they are told is how things are now.
+Each point covers a period of its series. The periods show which points are duplicates, overlap or are out of
+order. The age of a period, corrected by the estimated clock offset of the reporter, shows which are late.
+Only fresh points count, because the decision module takes reports for the current state.
 """
 
 from __future__ import annotations
@@ -13,41 +13,42 @@
 
 from rainpick.director.addresses import Key
 
-REMEMBERED_PERIODS = 8  # of a series
-REPORTS_PER_SPAN = 64  # how many reports of a reporter a span of its clock's estimate covers
+REMEMBERED_PERIODS = 8  # for each series
+REPORTS_PER_SPAN = 64  # reports of a reporter in one span of its clock offset estimate
 
 
 class Verdict(StrEnum):
-    """What a point is found to be; the values are in logs and on the status front."""
+    """The classification of a point; the values appear in logs and in the status document."""
 
     FRESH = "fresh"
-    DOUBLED = "doubled"  # the same period again
-    OVERLAPPING = "overlapping"  # a period that shares time with an earlier one
+    DOUBLED = "doubled"  # its period was received before
+    OVERLAPPING = "overlapping"  # its period overlaps an earlier one
     LATE = "late"
-    AHEAD = "ahead"  # it ends in the future, further than clocks may be off
-    BACKWARDS = "backwards"  # it ends before it begins
-    UNKNOWN = "unknown"  # of a reporter that is not joined, or of a server or route that is not known
+    AHEAD = "ahead"  # its period ends further in the future than the largest allowed clock skew
+    BACKWARDS = "backwards"  # its period does not end after it begins
+    UNKNOWN = "unknown"  # its reporter is not joined, or its server or route is unknown
 
 
 class Point(NamedTuple):
-    """What a reporter counted in a period of its clock, in nanoseconds. ``server`` or ``route`` is set."""
+    """The counts of a reporter in a period of its clock, in nanoseconds. Either server or route is set."""
 
     reporter: str
     start_ns: int
     end_ns: int
     answered: int
     dropped: int
-    took_us: int  # the durations of all answered ones, summed
+    took_us: int  # total duration of the answered requests or attempts
     server: Key | None = None
     route: str | None = None
-    outcomes: str = ""  # which of the two counts this point has: a series of its own
+    outcomes: str = ""  # which of the two counts this point has; each is a separate series
 
 
-class ClockEstimate:
-    """How far a reporter's clock is off, plus the least time that its reports are under way.
+class ClockOffsetEstimate:
+    """An estimate of a reporter's clock offset plus the shortest delay of its reports.
 
-    The smallest distance between arrival and end of period, over the current and the previous span of
-    reports, is all that can be known of both together; it is trusted only as far as clocks may be off.
+    The offset and the delay can't be measured separately. The estimate is the smallest difference between the
+    arrival of a report and the end of its period, over the current and the previous span of reports. It is
+    limited to the largest allowed clock skew.
     """
 
     __slots__ = ("previous_min", "current_min", "count")
@@ -55,11 +56,11 @@
     def __init__(self) -> None:
         self.previous_min: int | None = None
         self.current_min: int | None = None
-        self.count = 0  # of reports in the current span
+        self.count = 0  # reports in the current span
 
-    def add(self, distance_ns: int, max_skew_ns: int) -> int:
-        """Take a report's distance into account; the estimate, within plus or minus ``max_skew_ns``."""
-        current = distance_ns if self.current_min is None else min(self.current_min, distance_ns)
+    def add(self, difference_ns: int, max_skew_ns: int) -> int:
+        """Add a report's difference; return the estimate, within plus or minus ``max_skew_ns``."""
+        current = difference_ns if self.current_min is None else min(self.current_min, difference_ns)
         self.current_min = current
         self.count += 1
         smallest = current if self.previous_min is None else min(current, self.previous_min)
@@ -72,26 +73,29 @@
 Period = tuple[int, int]
 
 
-class Freshness:
-    """Judges points by their periods. Bounded: of series and reporters, the least recently seen go first."""
+class FreshnessFilter:
+    """Classifies points by their periods.
+
+    Memory is bounded: the least recently used series and reporters are removed first.
+    """
 
     def __init__(self, late_after_us: int, max_skew_us: int, max_series: int):
         self.late_after_ns = late_after_us * 1000
         self.max_skew_ns = max_skew_us * 1000
         self.max_series = max_series
         self.periods: OrderedDict[Series, deque[Period]] = OrderedDict()
-        self.clocks: OrderedDict[str, ClockEstimate] = OrderedDict()
+        self.clocks: OrderedDict[str, ClockOffsetEstimate] = OrderedDict()
 
     def clock_offset_ns(self, reporter: str, end_ns: int, wall_ns: int) -> int:
-        """The offset to judge a report's points by; to be called once for each report."""
-        clock = self.clocks.setdefault(reporter, ClockEstimate())
+        """Return the clock offset for a report's points; must be called once for each report."""
+        clock = self.clocks.setdefault(reporter, ClockOffsetEstimate())
         self.clocks.move_to_end(reporter)
         while len(self.clocks) > self.max_series:
             self.clocks.popitem(last=False)
         return clock.add(wall_ns - end_ns, self.max_skew_ns)
 
-    def judge(self, point: Point, wall_ns: int, offset_ns: int) -> Verdict:
-        """The verdict on a point that arrived at ``wall_ns``; its period is remembered."""
+    def classify(self, point: Point, wall_ns: int, offset_ns: int) -> Verdict:
+        """Return the verdict on a point that arrived at ``wall_ns``, and record its period."""
         if point.end_ns <= point.start_ns:
             return Verdict.BACKWARDS
         if wall_ns - point.end_ns < -self.max_skew_ns:
@@ -103,13 +107,13 @@
                 return Verdict.DOUBLED
             if earlier[0] < point.end_ns and point.start_ns < earlier[1]:
                 return Verdict.OVERLAPPING
-        # A late point is remembered as well: whether its double is found must not depend on chance.
-        self.remember(series, period)
+        # A late point is recorded as well, so that its duplicates are always detected.
+        self.record_period(series, period)
         late = wall_ns - point.end_ns - offset_ns > self.late_after_ns
         return Verdict.LATE if late else Verdict.FRESH
 
-    def remember(self, series: Series, period: Period) -> None:
-        """Remember a period of a series; forget the series that was seen least recently if there are many."""
+    def record_period(self, series: Series, period: Period) -> None:
+        """Record a period of a series; remove the least recently used series beyond the limit."""
         periods = self.periods.get(series)
         if periods is None:
             periods = self.periods[series] = deque(maxlen=REMEMBERED_PERIODS)
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -1,7 +1,7 @@
-"""The SASP frontend within the event loop's thread: carries out requests and pushes weights.
+"""The SASP frontend in the event loop's thread: handles requests and pushes weights.
 
-``rainpick.sasp.session`` has checked that a request is allowed on its stream; what it does to the fleet is
-decided here. Member requests change the endpoint list, load-balancer requests the proxy sessions.
+``rainpick.sasp.session`` has checked that a request is allowed on its stream; this module applies it.
+Requests of members change the endpoint list, requests of load balancers change the proxy sessions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from rainpick.director.engine import Write
 from rainpick.director.member_labels import RejectedMemberError
 from rainpick.director.membership import Membership
-from rainpick.director.sessions import REQUEST_TIMES, ProxySession, Sessions
+from rainpick.director.sessions import MAX_REQUEST_TIMES, ProxySession, Sessions
 from rainpick.director.weight_entries import WeightEntryEncoder
 from rainpick.net import StreamEnded
 from rainpick.net.streams import Stream
@@ -39,14 +39,14 @@
 from rainpick.sasp.wire import UINT8, UINT16
 
 MemberRequest = Registration | Deregistration | SetMemberState
-MAX_MESSAGE = 0x7FFFFFFF  # message ids of pushes stay positive
-MIN_REQUEST_TIMES = REQUEST_TIMES - 1  # a proxy with fewer has not shown that it polls
+MAX_MESSAGE = 0x7FFFFFFF  # largest id, so that ids of pushes stay positive
+MIN_REQUEST_TIMES = MAX_REQUEST_TIMES - 1  # a proxy with fewer is not known to poll
 
-PROXY_REQUESTS = Registration, Deregistration  # which members send as well
+PROXY_REQUESTS = Registration, Deregistration  # members send these as well
 
 
 class SaspFrontend:
-    """Members and proxies that speak SASP."""
+    """Handles the members and proxies that are connected over SASP."""
 
     def __init__(self, context: Context, sessions: Sessions, delivery: Delivery, membership: Membership):
         self.context = context
@@ -60,10 +60,10 @@
     # Requests
 
     def receive(self, stream: Stream, event: AcceptedRequest | RejectedRequest | StreamEnded) -> None:
-        """Handle what the reader of a stream delivers."""
+        """Handle an event of a stream's reader."""
         if isinstance(event, AcceptedRequest):
-            self.sessions.identified(stream)
-            self.carry_out(stream, event)
+            self.sessions.mark_identified(stream)
+            self.handle_request(stream, event)
         elif isinstance(event, RejectedRequest):
             self.sessions.counts.rejected += 1
             self.log.warning("request rejected", peer=stream.peer, why=event.reason, code=event.code)
@@ -73,8 +73,8 @@
                 stream.write(event.data)
             self.sessions.close(stream, event.reason)
 
-    def carry_out(self, stream: Stream, request: AcceptedRequest) -> None:
-        """Carry out a request and answer it."""
+    def handle_request(self, stream: Stream, request: AcceptedRequest) -> None:
+        """Handle a request and reply to it."""
         session = self.sessions.by_stream.get(stream.number)
         if session is not None:
             self.confirm_reading(session)
@@ -83,16 +83,19 @@
             code = self.set_lb_state(stream, message)
             stream.write(encode_reply(MessageType.SET_LB_STATE, request.message_id, code))
         elif isinstance(message, GetWeights) or isinstance(message, PROXY_REQUESTS) and message.from_lb:
-            self.carry_out_proxy_request(stream, request.message_id, message)
+            self.handle_proxy_request(stream, request.message_id, message)
         else:
-            self.carry_out_member_request(stream, request.message_id, message)
+            self.handle_member_request(stream, request.message_id, message)
         if session is not None:
             session.replied_since_push = True
 
-    def carry_out_proxy_request(
+    def handle_proxy_request(
         self, stream: Stream, number: int, message: GetWeights | Registration | Deregistration
     ) -> None:
-        """Serve a load balancer; one whose Set LB State was rejected is answered as if it had sent none."""
+        """Handle a load balancer's request.
+
+        If its Set LB State was rejected, it gets the same reply as one that has sent none.
+        """
         session = self.sessions.by_stream.get(stream.number)
         if session is None:
             code = ReturnCode.UNKNOWN_LB if isinstance(message, GetWeights) else ReturnCode.LB_NOT_SEEN
@@ -107,8 +110,8 @@
         else:
             self.deregister_group(session, number, message)
 
-    def carry_out_member_request(self, stream: Stream, number: int, message: MemberRequest) -> None:
-        """Change the endpoint list as a member asks, and answer with success or the code of the rejection."""
+    def handle_member_request(self, stream: Stream, number: int, message: MemberRequest) -> None:
+        """Apply a member's request and reply with success or the code of the rejection."""
         try:
             self.change_membership(stream.number, message)
             code: int = ReturnCode.SUCCESS
@@ -119,7 +122,7 @@
         stream.write(encode_reply(REQUEST_TYPES[type(message)], number, code))
 
     def change_membership(self, stream: int, message: MemberRequest) -> None:
-        """Apply each group of a request; ``RejectedMemberError`` at the first one that can't be."""
+        """Apply each group of a request; ``RejectedMemberError`` at the first invalid one."""
         if isinstance(message, Registration):
             now = self.context.clock()
             for members in message.groups:
@@ -134,13 +137,13 @@
     # Proxies
 
     def set_lb_state(self, stream: Stream, message: SetLbState) -> int:
-        """Open a proxy's session or change its flags; the return code."""
+        """Open a proxy's session or change its flags; return the return code."""
         if not message.flags & TRUST:
             self.log.warning(
                 "request rejected",
                 peer=stream.peer,
                 proxy=message.uid,
-                why="without the trust flag no server that registered itself may be named to it",
+                why="the trust flag is not set: servers that registered themselves must not be sent to it",
             )
             return ReturnCode.NOT_ACCEPTED
         if message.uid == self.settings.fleet.uid:
@@ -155,14 +158,14 @@
         return ReturnCode.SUCCESS
 
     def register_group(self, session: ProxySession, number: int, message: Registration) -> None:
-        """A proxy registers its group and names the servers that it holds already."""
+        """Register a proxy's group and the servers that it holds already."""
         code = self.registration_code(session, message)
         session.stream.write(encode_reply(MessageType.REGISTRATION, number, code))
         if code == ReturnCode.SUCCESS and self.context.engine is not None:
             self.sessions.join(session)
 
     def registration_code(self, session: ProxySession, message: Registration) -> int:
-        """Note the group and the servers of a registration; the return code."""
+        """Store the group and the servers of a registration; return the return code."""
         if any(members.group.name != self.settings.fleet.group for members in message.groups):
             return ReturnCode.INVALID_GROUP
         servers = [member.key() for members in message.groups for member in members.members]
@@ -173,12 +176,12 @@
         return ReturnCode.SUCCESS
 
     def deregister_group(self, session: ProxySession, number: int, message: Deregistration) -> None:
-        """A proxy deregisters its group, or some servers of it: those it goes on being sent."""
+        """Deregister a proxy's group. A request that names servers has no effect on them."""
         code = self.deregistration_code(session, message)
         session.stream.write(encode_reply(MessageType.DEREGISTRATION, number, code))
 
     def deregistration_code(self, session: ProxySession, message: Deregistration) -> int:
-        """Remove the group of a proxy if the request names no servers; the return code."""
+        """Remove a proxy's group if the request names no servers; return the return code."""
         if any(members.group.name != self.settings.fleet.group for members in message.groups):
             return ReturnCode.UNKNOWN_GROUP
         if not session.registered:
@@ -191,7 +194,7 @@
         return ReturnCode.SUCCESS
 
     def get_weights(self, session: ProxySession, number: int, message: GetWeights) -> None:
-        """Answer a poll: what has changed if the proxy only polls and wants only that, else everything."""
+        """Reply to a poll: with a delta if the proxy only polls and accepts deltas, else with all lines."""
         interval = self.settings.sasp.poll_interval_s
         engine = self.context.engine
         group = Group(session.uid, self.settings.fleet.group)
@@ -203,7 +206,7 @@
             session.stream.write(encode_message(GetWeightsReply(ReturnCode.SUCCESS, interval), number))
             return
         if not session.accepts_push and session.last_message:
-            # It polls again, so it has read the last answer.
+            # A further poll shows that it has read the last reply.
             engine.confirm_delivery(session.number, session.last_message)
         answered, delta = engine.poll(session.number)
         only_changes = not session.accepts_push and session.flags & NO_CHANGE and session.last_message
@@ -218,9 +221,9 @@
             session.stream.write(data)
 
     def push(self, session: ProxySession, write: Write, now: int) -> None:
-        """Send a proxy what the engine has for it, without waiting."""
+        """Send a message of the engine to a proxy without blocking."""
         withdrawn, others = write.delta
-        if not session.flags & NO_CHANGE:  # it wants all lines each time
+        if not session.flags & NO_CHANGE:  # it does not accept deltas
             snapshot = self.context.started_engine.tables.proxies[write.proxy].snapshot
             withdrawn = tuple([line for line in withdrawn if line.server not in snapshot.lines])
             others = snapshot.whole()
@@ -236,15 +239,15 @@
     # Proxies that do not read
 
     def confirm_reading(self, session: ProxySession) -> None:
-        """A proxy that polls has read the previous encode_reply, and all that was written before that."""
+        """Record that a request shows that the previous reply, and all messages before it, were read."""
         session.request_times_us.append(self.context.clock())
         if session.replied_since_push:
             session.unconfirmed_since_us = None
 
     def disconnect_silent(self, now: int) -> None:
-        """Disconnect proxies that used to poll, and have not done so since they were last pushed to.
+        """Disconnect proxies that used to poll and have stopped since they were last pushed to.
 
-        A proxy that never polls can't show that it reads; ``sasp.write_stall`` covers those.
+        A proxy that never polls can't prove that it reads; ``sasp.write_stall`` covers those.
         """
         proof_us = self.settings.sasp.read_proof
         if not proof_us:
@@ -256,4 +259,4 @@
             interval_us = max(after - before for before, after in pairwise(times_us))
             silent_us = now - times_us[-1]
             if now - session.unconfirmed_since_us > proof_us and silent_us > max(proof_us, 3 * interval_us):
-                self.sessions.disconnect(session, "it does not read")
+                self.sessions.disconnect(session, "no poll within sasp.read_proof")
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -1,8 +1,8 @@
-"""Streams and the proxies that speak over them, whichever frontend accepted the stream.
+"""Open streams and proxy sessions, for all frontends.
 
-A stream is *unidentified* until its peer has said what it is, and is closed when that takes too long. It
-becomes a proxy's with the first valid ``open_session``; the proxy is *joined* (known to the decisions) once
-its group is registered and the decisions have started.
+A stream is *unidentified* until its peer has sent a valid first message, and is closed if that takes too
+long. It belongs to a proxy from ``open_session`` on. The proxy is *joined* (known to the decision module)
+once its group is registered and the decision module has started.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from rainpick.director.addresses import Key
 from rainpick.director.context import Context
-from rainpick.director.evidence import Evidence
+from rainpick.director.evidence import LoadAggregator
 from rainpick.director.membership import Membership
 from rainpick.director.proxies import Proxies
 from rainpick.director.snapshots import Snapshot
@@ -23,73 +23,75 @@
 from rainpick.sasp.messages import Group
 from rainpick.sasp.session import DirectorSession
 
-REQUEST_TIMES = 4  # of a session that are remembered, to know at which interval it polls
+MAX_REQUEST_TIMES = 4  # request times kept for each session, to derive its poll interval
 
 
 @dataclass(slots=True, eq=False)
 class ProxySession:
-    """A proxy on its stream: who it is, and how far it has shown that it reads. Times are microseconds."""
+    """A proxy and its stream: its identity, and how far it has proved to read. Times are microseconds."""
 
     uid: str
     number: int
     stream: Stream
     flags: int  # SASP load-balancer flags
-    encoded_group: bytes  # its SASP group, as it stands in weight messages
-    over_mqtt: bool  # else over SASP
+    encoded_group: bytes  # its SASP group as encoded in weight messages
+    over_mqtt: bool  # False: over SASP
     registered: bool = False  # its group is registered
-    joined: bool = False  # the decisions know of it
+    joined: bool = False  # it is known to the decision module
     initial_servers: frozenset[Key] = frozenset()  # servers that it held before it registered
     resumed_snapshot: Snapshot | None = None  # the version of a table that it has proved to hold
-    last_message: int = 0  # number of the newest message written to it
-    request_times_us: deque[int] = field(default_factory=lambda: deque(maxlen=REQUEST_TIMES))
-    unconfirmed_since_us: int | None = None  # the first push that it has not shown to have read
-    replied_since_push: bool = False  # a reply was written after that push
-    blocked_since_us: int | None = None  # its socket or its MQTT window takes nothing
+    last_message: int = 0  # number of the newest message sent to it
+    request_times_us: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_REQUEST_TIMES))
+    unconfirmed_since_us: int | None = None  # time of the first push that it has not proved to have read
+    replied_since_push: bool = False  # a reply was sent after that push
+    blocked_since_us: int | None = None  # its socket accepts no data, or its MQTT send quota is used up
 
     @property
     def accepts_push(self) -> bool:
-        """Whether it wants weights pushed; otherwise it polls."""
+        """Whether weights are pushed to it; otherwise it polls."""
         return bool(self.flags & PUSH)
 
 
 @dataclass(slots=True)
 class StreamCounts:
-    """What has happened to streams since the start."""
+    """Counters of streams since the start."""
 
-    rejected: int = 0  # streams and requests
-    ended: int = 0  # streams of neither a proxy nor a member
+    rejected: int = 0  # rejected streams and requests
+    ended: int = 0  # ended streams of neither a proxy nor a member
     disconnected: int = 0  # proxies that did not read
-    replaced: int = 0  # proxies that dialled again before their old stream ended
+    replaced: int = 0  # proxies that connected again before their old stream ended
 
 
 class Sessions:
-    """All open streams and proxy sessions of one director; used by the event loop's thread alone."""
+    """All open streams and proxy sessions of one director; used only by the event loop's thread."""
 
-    def __init__(self, context: Context, membership: Membership, proxies: Proxies, evidence: Evidence):
+    def __init__(
+        self, context: Context, membership: Membership, proxies: Proxies, aggregator: LoadAggregator
+    ):
         self.context = context
         self.membership = membership
         self.proxies = proxies
-        self.evidence = evidence
-        self.streams: dict[int, Stream] = {}  # by stream number, as are the next two
-        self.unidentified: dict[int, int] = {}  # until when a stream may stay so
-        self.by_stream: dict[int, ProxySession] = {}
+        self.aggregator = aggregator
+        self.streams: dict[int, Stream] = {}  # by stream number
+        self.unidentified: dict[int, int] = {}  # deadlines for identification, by stream number
+        self.by_stream: dict[int, ProxySession] = {}  # by stream number
         self.by_uid: dict[str, ProxySession] = {}
         self.by_number: dict[int, ProxySession] = {}
         self.counts = StreamCounts()
-        # Called with a stream that ends, before its socket is closed: frontends and the delivery tracker
-        # forget what they know of it.
+        # Called with a stream that ends, before its socket is closed, so that the frontends and ``Delivery``
+        # remove their state of it.
         self.closing_listeners: list[Callable[[Stream], None]] = []
-        # Called with the older stream of a proxy that another one replaces.
+        # Called with the older stream of a proxy when a newer one replaces it.
         self.replacing_listeners: list[Callable[[Stream], None]] = []
 
     # Streams
 
     def open(self, stream: Stream) -> bool:
-        """Admit a new stream as unidentified; False, and it is closed, if there are too many."""
+        """Add a new, unidentified stream; if there are too many, close it and return False."""
         settings = self.context.settings.sasp
         if len(self.streams) >= settings.streams_most:
             self.counts.rejected += 1
-            self.context.log.warning("stream rejected", peer=stream.peer, why="too many are open")
+            self.context.log.warning("stream rejected", peer=stream.peer, why="too many open streams")
             stream.close()
             return False
         self.streams[stream.number] = stream
@@ -97,21 +99,21 @@
         return True
 
     def is_open(self, stream: Stream) -> bool:
-        """False for a stream that was closed here, whose reader may still deliver."""
+        """Return whether a stream is open; the reader of a closed one may still deliver events."""
         return self.streams.get(stream.number) is stream
 
-    def identified(self, stream: Stream) -> None:
-        """The peer of a stream has sent something that tells what it is."""
+    def mark_identified(self, stream: Stream) -> None:
+        """Record that the peer of a stream has identified itself."""
         self.unidentified.pop(stream.number, None)
 
     def close_unidentified(self, now: int) -> None:
-        """Close the streams whose peers have taken too long to say what they are."""
+        """Close the streams whose peers have not identified themselves in time."""
         for number, deadline_us in list(self.unidentified.items()):
             if now >= deadline_us and number in self.streams:
-                self.close(self.streams[number], "it never said what it is")
+                self.close(self.streams[number], "not identified within sasp.hello")
 
     def close(self, stream: Stream, why: str) -> None:
-        """A stream is over, whoever ended it. Does nothing if that is known already."""
+        """End a stream on behalf of either side; does nothing if it is closed already."""
         if self.streams.pop(stream.number, None) is None:
             return
         self.unidentified.pop(stream.number, None)
@@ -124,21 +126,24 @@
             self.leave(session)
             log.info("proxy left", proxy=session.uid, why=why)
         elif isinstance(stream.parser, DirectorSession) and stream.parser.is_member:
-            self.membership.stream_broke(stream.number, now)
+            self.membership.stream_ended(stream.number, now)
             log.info("member stream ended", peer=stream.peer, why=why)
         else:
             self.counts.ended += 1
             log.info("stream ended", peer=stream.peer, why=why)
 
     def close_all_sockets(self) -> None:
-        """The event loop ends: close every socket; nobody is left whom that concerns."""
+        """Close all sockets at the end of the event loop, without notifying listeners."""
         for stream in list(self.streams.values()):
             stream.close()
 
     # Proxies
 
     def open_session(self, stream: Stream, uid: str, flags: int, over_mqtt: bool) -> ProxySession:
-        """A stream is a proxy's. Of two streams with one UID the newer counts: the older may be dead."""
+        """Assign a stream to a proxy.
+
+        Of two streams with the same UID the newer one is kept, because the older one may be dead.
+        """
         older = self.by_uid.get(uid)
         if older is not None:
             self.counts.replaced += 1
@@ -151,7 +156,7 @@
         return session
 
     def end_session(self, session: ProxySession) -> None:
-        """A proxy says that it is gone; its stream stays open."""
+        """Remove a proxy that has announced its end; its stream stays open."""
         self.by_stream.pop(session.stream.number)
         self.leave(session)
 
@@ -162,7 +167,7 @@
         del self.by_uid[session.uid], self.by_number[session.number]
         if session.joined and self.context.engine is not None:
             self.context.engine.leave(session.number)
-        self.evidence.forget(session.number)
+        self.aggregator.forget(session.number)
         self.proxies.free(session.uid)
 
     def disconnect(self, session: ProxySession, why: str) -> None:
@@ -172,14 +177,14 @@
         self.close(session.stream, why)
 
     def join(self, session: ProxySession) -> None:
-        """A proxy's group is registered: the decisions know of it from here on."""
+        """Join a proxy whose group is registered; for a joined one, add its further initial servers."""
         engine, now = self.context.started_engine, self.context.clock()
         if session.number in engine.sent:
             engine.add_initial_servers(session.number, session.initial_servers)
             return
         session.joined = True
-        zone, rate = self.proxies.place(session.uid)
-        rate = self.evidence.rates.per_s.get(session.uid, rate)
+        zone, rate = self.proxies.attributes(session.uid)
+        rate = self.aggregator.rates.per_s.get(session.uid, rate)
         engine.now = max(engine.now, now)
         engine.join(
             session.number,
@@ -200,7 +205,7 @@
         )
 
     def join_registered(self) -> None:
-        """The decisions start: join the proxies that have registered before."""
+        """Join all registered proxies when the decision module starts."""
         for session in list(self.by_stream.values()):
             if session.registered:
                 self.join(session)
--- a/rainpick/director/snapshots.py
+++ b/rainpick/director/snapshots.py
@@ -1,7 +1,7 @@
-"""Versions of tables as proxies hold them, and the lines that lead from one to another. Free of I/O.
+"""Versions of tables as proxies hold them, and the deltas between versions. Does no I/O.
 
-A snapshot is what a proxy holds: by server a 16-bit weight and the flags. Many proxies share a table, so the
-delta from one snapshot to the next is worked out, and later encoded, once for all of them.
+A snapshot maps each server to its 16-bit weight and its flags. Many proxies share a table, so the delta
+between two snapshots is computed, and later encoded, once for all of them.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 Lines = dict[Key, WeightAndFlags]
 
 OPEN = CONTACT | CONFIDENT | SELF_REGISTERED  # may be sent requests
-WITHDRAWN = CONTACT | SELF_REGISTERED | QUIESCE  # withdrawn, though it stands in the table
-REMOVED = SELF_REGISTERED  # not in the table any more, and nobody vouches for it
+WITHDRAWN = CONTACT | SELF_REGISTERED | QUIESCE  # in the table, but withdrawn
+REMOVED = SELF_REGISTERED  # no longer in the table; the director does not vouch for its state
 
-MAX_DELTAS = 8  # from one snapshot that are cached; proxies that lag behind come from few snapshots
+MAX_DELTAS = 8  # cached deltas of a snapshot; proxies that lag behind hold only a few distinct snapshots
 
 
 class Line(NamedTuple):
-    """A server with its 16-bit weight and its SASP flags, as a proxy is sent it."""
+    """A server with its 16-bit weight and its SASP flags, as sent to a proxy."""
 
     server: Key
     weight: int
@@ -32,10 +32,11 @@
 
 
 class Scale:
-    """Weights of tables as 16 bits: one factor for all, so that ratios last over time and between tables.
+    """Converts the weights of tables to 16 bits.
 
-    The largest listed weight is ``most``; a percentage is at most 1. So a weight w becomes the nearest of
-    w * 65535 / most, and never 0 for a live line. The ratio is off by at most most / (131070 * w).
+    A single factor keeps ratios constant over time and between tables. The largest listed weight is ``most``
+    and a percentage is at most 1, so a weight w becomes the integer nearest to w * 65535 / most, but never 0
+    for a server with a positive weight. The relative error is at most most / (131070 * w).
 
     >>> Scale(16.0)(4.0), Scale(16.0)(1e-9), Scale(16.0)(0.0)
     (16384, 1, 0)
@@ -47,25 +48,25 @@
         self.factor: float = MAX_WEIGHT / most
 
     def __call__(self, weight: float) -> int:
-        """A weight as 16 bits; 0 for a server that is not to be sent anything."""
+        """Return a weight as 16 bits; 0 for a server that must not receive requests."""
         if weight <= 0:
             return 0
         return min(MAX_WEIGHT, max(1, round(weight * self.factor)))
 
     def bound(self, weight: float) -> float:
-        """The largest relative error of this weight."""
+        """Return the largest relative error of the conversion of this weight."""
         return 0.5 / (weight * self.factor)
 
 
 class Delta(NamedTuple):
-    """The delta between two snapshots: first the lines that withdraw servers, then the others."""
+    """The difference between two snapshots: the lines that withdraw or remove servers, then the others."""
 
     withdrawn: tuple[Line, ...]
     others: tuple[Line, ...]
 
     @property
     def lines(self) -> tuple[Line, ...]:
-        """All lines, in the order in which they are sent."""
+        """All lines, in sending order."""
         return self.withdrawn + self.others
 
 
@@ -73,7 +74,9 @@
 
 
 def digest(lines: Lines) -> str:
-    """XXH3 (64 bits, hexadecimal) of the canonical form: ``HOST:PORT WEIGHT``, a server a line, sorted.
+    """Return the XXH3 hash (64 bits, hexadecimal) of the canonical form of some lines.
+
+    The canonical form has one row ``HOST:PORT WEIGHT`` for each server, sorted.
 
     >>> digest({("127.0.0.1", 9001): (4096, OPEN)}) == xxh3_64_hexdigest(b"127.0.0.1:9001 4096\\n")
     True
@@ -83,9 +86,9 @@
 
 
 class Snapshot:
-    """What a proxy holds: a version of a table, or what it held before it had one.
+    """The lines that a proxy holds: a version of a table, or the servers from before it was bound.
 
-    If it is not ``known``, the servers are known and their weights are not: a delta from it has all lines of
+    If it is not ``known``, the weights of its servers are unknown, and a delta from it contains all lines of
     the other snapshot.
     """
 
@@ -102,20 +105,20 @@
 
     @property
     def digest(self) -> str:
-        """Of the canonical form; a proxy computes it from what it holds and compares."""
+        """The digest of the canonical form; a proxy compares it with the digest of its own lines."""
         if self.cached_digest is None:
             self.cached_digest = digest(self.lines)
         return self.cached_digest
 
     def whole(self) -> tuple[Line, ...]:
-        """All lines, withdrawn servers first."""
+        """Return all lines, withdrawn servers first."""
         if self.sorted_lines is None:
             lines = [Line(server, weight, flags) for server, (weight, flags) in self.lines.items()]
             self.sorted_lines = tuple(sorted(lines, key=lambda line: (line.weight > 0, line)))
         return self.sorted_lines
 
     def to(self, other: Snapshot) -> Delta:
-        """The delta to another snapshot."""
+        """Return the delta to another snapshot, from the cache if possible."""
         if other is self:
             return EMPTY_DELTA
         if not self.known:
@@ -130,7 +133,7 @@
         return delta
 
     def delta_to(self, other: Snapshot) -> Delta:
-        """Work out the delta between two snapshots whose weights are known."""
+        """Compute the delta between two snapshots with known weights."""
         withdrawn = [Line(server, 0, REMOVED) for server in self.lines.keys() - other.lines.keys()]
         changed = [
             Line(server, *weight_and_flags)
--- a/rainpick/director/status.py
+++ b/rainpick/director/status.py
@@ -1,4 +1,4 @@
-"""The document that ``/status`` serves: plain values, taken within the event loop's thread."""
+"""The document that ``/status`` serves, as plain values. It is built in the event loop's thread."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     started_us: int
 
     def handle(self, query: StatusQuery) -> None:
-        """Answer a query of the status front."""
+        """Answer a query of the status frontend."""
         query.reply(self.read())
 
     def read(self) -> dict[str, Any]:
-        """The director's status as of now. Its keys and their order are read by others."""
+        """Return the current status. External tools depend on the keys and their order."""
         engine = self.context.engine
-        document = self.always_shown()
+        document = self.base_sections()
         if engine is None:
             return document
         document["engine"] = engine_section(engine)
@@ -57,9 +57,9 @@
             document["tables"] = [table_row(engine, pins, number) for number in sorted(engine.tables.lines)]
         return document
 
-    def always_shown(self) -> dict[str, Any]:
-        """What there is to show before the decisions have started, too."""
-        counts, times, evidence = self.sessions.counts, self.inbox.waiting_times, self.intake.evidence
+    def base_sections(self) -> dict[str, Any]:
+        """Return the sections that are available before the decision module has started, too."""
+        counts, times, aggregator = self.sessions.counts, self.inbox.waiting_times, self.intake.aggregator
         up_us = self.context.clock() - self.started_us
         return {
             "director": self.context.settings.director.number,
@@ -80,11 +80,11 @@
                 "sum_us": times.sum_us,
                 "most_us": times.max_us,
             },
-            "reports": {**evidence.verdicts, "told": evidence.handed_on},
+            "reports": {**aggregator.verdicts, "told": aggregator.forwarded_reports},
         }
 
     def servers(self, engine: Engine) -> list[dict[str, Any]]:
-        """A row for each listed server."""
+        """Return a row for each listed server."""
         names, now = self.context.settings, self.context.clock()
         weights = weights_by_server(engine.tables)
         listed = [(cast(Key, entry.address), entry) for entry in self.follower.membership.published()]
@@ -104,7 +104,7 @@
         ]
 
     def proxy_row(self, tables: Tables, session: ProxySession) -> dict[str, Any]:
-        """One proxy session."""
+        """Return the row of one proxy session."""
         joined = tables.proxies.get(session.number)
         return {
             "uid": session.uid,
@@ -114,12 +114,12 @@
             "push": session.accepts_push,
             "blocked": session.blocked_since_us is not None,
             "peer": session.stream.peer,
-            "rate": round(self.intake.evidence.rates.per_s.get(session.uid, 0.0), 2),
+            "rate": round(self.intake.aggregator.rates.per_s.get(session.uid, 0.0), 2),
         }
 
 
 def weights_by_server(tables: Tables) -> dict[Key, dict[str, int]]:
-    """By server and table number: the 16-bit weight that the decisions ordered, 0 while withdrawn."""
+    """Return the 16-bit weights set by the decision module, by server and table; 0 while withdrawn."""
     weights: dict[Key, dict[str, int]] = {}
     for number, lines in tables.lines.items():
         for server, weight in lines.items():
@@ -129,7 +129,7 @@
 
 
 def engine_section(engine: Engine) -> dict[str, int]:
-    """What the engine has done since it started."""
+    """Return the counters of the engine since it started."""
     stepper = engine.stepper
     return {
         "steps": stepper.step_count,
@@ -140,13 +140,13 @@
 
 
 def channel_section(engine: Engine, limit: int) -> dict[str, int]:
-    """What waits to be written; ``limit``: how many lines the decisions let wait."""
+    """Return the state of the channel; ``limit`` is the decision module's limit on pending lines."""
     channel = engine.channel
     return {
         "lines": channel.lines,
-        "lines_most": channel.lines_most,
+        "lines_most": channel.max_pending_lines,
         "limit": limit,
         "messages": len(channel.waiting),
         "blocked": len(channel.blocked),
-        "held_back": channel.held_back,
+        "held_back": channel.message_delays,
     }
--- a/rainpick/director/status_frontend.py
+++ b/rainpick/director/status_frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP status front: ``/status`` and the actions on ``/tables``, answered by the event loop."""
+"""The HTTP status frontend: ``/status`` and the actions on ``/tables``, answered by the event loop."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def error_answer(status: int, why: str) -> Response:
-    """An error as a JSON object."""
+    """Return an error response with a JSON object."""
     return Response(status, json.dumps({"error": why}).encode())
 
 
 def is_table_action(name: str) -> TypeGuard[TableAction]:
-    """Whether operators can do something of this name to a table."""
+    """Return whether this is the name of an action on tables."""
     return name in TABLE_ACTIONS
 
 
 def answer_table_request(inbox: Inbox, action: str, request: Request) -> Response:
-    """POST /tables/ACTION with the parameters as a JSON object."""
+    """Handle POST /tables/ACTION, with the parameters as a JSON object."""
     if not is_table_action(action):
         return error_answer(404, "show, pin, rollback and release can be done")
     if request.method != "POST":
@@ -42,7 +42,7 @@
 
 
 def answer_status_request(inbox: Inbox, request: Request) -> Response:
-    """GET /status."""
+    """Handle GET /status."""
     if request.method != "GET":
         return error_answer(405, "GET is wanted")
     document = inbox.query(StatusQuery())
@@ -52,7 +52,7 @@
 
 
 def status_handler(inbox: Inbox) -> Callable[[Request], Response]:
-    """The handler of the HTTP server of this front."""
+    """Return the request handler for the HTTP server of this frontend."""
 
     def handle(request: Request) -> Response:
         path = request.path.partition("?")[0]
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -1,4 +1,4 @@
-"""One ``Director`` and its timers, stepped by a clock that is handed in. Free of I/O, knows no frontend."""
+"""One ``Director`` and its timers, stepped by the caller's clock. Does no I/O and depends on no frontend."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 
 
 class Timer(NamedTuple):
-    """A timer that the decisions have set; timers are ordered by their time."""
+    """A timer set by the decision module; timers are ordered by due time."""
 
     due_us: int
     token: int
 
 
 class Stepper:
-    """Hands the decisions what waits in ``pending_events`` in one step, and keeps their timers.
+    """Passes ``pending_events`` to the decision module in one step, and manages its timers.
 
-    ``module`` is the class of the decisions: tests put a double there. ``settings`` is the decisions' map.
+    ``module`` creates the decision module; tests replace it. ``settings`` are its settings as a flat map.
     """
 
     def __init__(self, seed: int, settings: dict[str, Any], module: Callable[[], Director] = Director):
@@ -59,23 +59,26 @@
         self.pending_events: list[Event] = [model.Started(seed, settings)]
         self.timers: list[Timer] = []  # a heap
         self.step_count = 0
-        self.events_handled = 0  # events handed to the decisions
-        self.commands_issued = 0  # commands from them, timers included
-        # Called after each step with its time, the events and the commands: the recorder is.
+        self.events_handled = 0  # events passed to the decision module
+        self.commands_issued = 0  # commands that it returned, ``SetTimer`` included
+        # Called after each step with its time, its events and its commands; the recorder uses it.
         self.on_step: Callable[[int, list[Event], list[Command]], None] | None = None
 
     def due_us(self) -> int | None:
-        """When the next timer is due."""
+        """Return when the next timer is due; None if no timer is set."""
         return self.timers[0].due_us if self.timers else None
 
     def fire_timers(self, now: int) -> None:
-        """Turn the timers that are due into events."""
+        """Turn due timers into pending events."""
         while self.timers and self.timers[0].due_us <= now:
             self.pending_events.append(model.TimerFired(heappop(self.timers).token))
 
-    def step(self, now: int, more: Iterable[Event] = ()) -> list[Command]:
-        """Let the decisions take what waits, and ``more`` after it; all their commands but timers."""
-        events = [*self.pending_events, *more]
+    def step(self, now: int, extra_events: Iterable[Event] = ()) -> list[Command]:
+        """Pass the pending events, then ``extra_events``, to the decision module.
+
+        Returns its commands without ``SetTimer``, which is applied here.
+        """
+        events = [*self.pending_events, *extra_events]
         self.pending_events = []
         step: Callable[[int, list[Event]], list[Command]] = self.director.step
         commands = step(now, events)
--- a/rainpick/director/table_actions.py
+++ b/rainpick/director/table_actions.py
@@ -1,4 +1,4 @@
-"""What operators do to tables over the status front: show a version, pin, roll back, release."""
+"""Actions of operators on tables over the status frontend: show a version, pin, roll back, release."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def table_row(engine: Engine, pins: TablePins, number: int) -> dict[str, Any]:
-    """A table and its pin, as ``/status`` and the actions show them."""
+    """Return a table and its pin, as shown by ``/status`` and in the results of the actions."""
     tables, pin = engine.tables, pins.by_table.get(number)
     newest = tables.current(number)
     return {
@@ -36,21 +36,24 @@
 
 
 def pin_row(pin: PinnedVersion, idle: bool) -> dict[str, Any]:
-    """A pin; ``idle``: nothing open is left of its version, so the ordinary table is published."""
+    """Return the row of a pin.
+
+    ``idle``: no server of the pinned version is available, so the ordinary table is published.
+    """
     return {"version": pin.version, "who": pin.operator, "why": pin.reason, "idle": idle}
 
 
 class TableActions:
-    """Carries out requests about tables within the event loop's thread."""
+    """Executes requests about tables in the event loop's thread."""
 
     def __init__(self, context: Context, follower: ListFollower):
         self.context = context
         self.follower = follower
 
     def handle(self, request: TableActionRequest) -> None:
-        """Answer a request; errors of the operator become a status of 400 or 409."""
+        """Reply to a request; errors of the operator are reported with status 400 or 409."""
         try:
-            document = self.carry_out(request.action, request.parameters)
+            document = self.execute(request.action, request.parameters)
             result = TableActionResult(200, document)
         except PinError as error:
             result = TableActionResult(409, {"error": str(error)})
@@ -58,8 +61,11 @@
             result = TableActionResult(400, {"error": f"{type(error).__name__}: {error}"})
         request.reply(result)
 
-    def carry_out(self, action: TableAction, parameters: dict[str, Any]) -> dict[str, Any]:
-        """The JSON answer; ``PinError`` if it can't be done, other errors for bad parameters."""
+    def execute(self, action: TableAction, parameters: dict[str, Any]) -> dict[str, Any]:
+        """Return the JSON document of the reply.
+
+        ``PinError`` if the action is not possible now, other exceptions for invalid parameters.
+        """
         engine, pins = self.context.engine, self.follower.pins
         if engine is None or pins is None:
             raise PinError("the director has not begun yet")
@@ -81,7 +87,7 @@
 
     @staticmethod
     def show(tables: Tables, number: int, requested: Any) -> dict[str, Any]:
-        """The weights of one version of a table, the newest one unless another is requested."""
+        """Return the weights of the requested version of a table, by default the newest one."""
         newest = tables.current(number)
         version = int(requested or newest.version)
         snapshot = tables.version(number, version)
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -1,7 +1,7 @@
-"""The tables that the decisions ordered, and what each proxy must be sent so that it holds them. Free of I/O.
+"""The tables set by the decision module, and the lines to send to each proxy to bring it up to date. No I/O.
 
-A proxy that is bound to a table follows it. An unbound one keeps the servers that it held before it joined;
-of those, only withdrawals and re-admissions are sent to it.
+A bound proxy follows its table. An unbound proxy keeps the servers that it held before it joined; it is only
+sent withdrawals and readmissions of them.
 """
 
 from __future__ import annotations
@@ -15,48 +15,51 @@
 from rainpick.director.admission_rates import AdmissionRates, RouteAdmission
 from rainpick.director.snapshots import OPEN, WITHDRAWN, Delta, Line, Lines, Scale, Snapshot
 
-HISTORY = 32  # versions of a table that are retained
+HISTORY = 32  # retained versions of each table
 TableCommand = model.SetWeight | model.SetWithdrawn | model.ClearTable | model.BindProxy | model.SetAdmission
 
 
 class ProxyCommands(NamedTuple):
-    """What a proxy over MQTT is sent beside lines."""
+    """The commands that a proxy over MQTT is sent in addition to lines."""
 
     table: int | None
     admissions: tuple[RouteAdmission, ...] = ()
 
 
 class ProxyView:
-    """What one joined proxy holds, and which table it is to follow."""
+    """The state of one joined proxy: the lines that it holds, and the table that it is bound to."""
 
     __slots__ = ("number", "table", "snapshot", "initial_servers", "commands")
 
     def __init__(self, number: int, initial_servers: Iterable[Key], weight: int, takes_commands: bool):
         self.number = number
         self.table: int | None = None  # None: unbound
-        # What it was sent last; None for a proxy that takes no commands.
+        # The commands that it was sent last; None for a proxy that does not use commands.
         self.commands = ProxyCommands(None) if takes_commands else None
-        # Servers that it held before it joined; it named them, their weights are not known here.
+        # Servers that it held before it joined, as reported by it; their weights are unknown.
         self.initial_servers = frozenset(initial_servers)
         self.snapshot = Snapshot(dict.fromkeys(self.initial_servers, (weight, 0)), known=False)
 
 
 class Tables:
-    """All tables, withdrawals and bindings as ordered so far."""
+    """The tables, withdrawals and bindings that result from the commands so far."""
 
     def __init__(self, scale: Scale, listed_weight: Callable[[Key], float]):
-        """``listed_weight``: the listed weight of a server, with which unbound proxies re-admit it."""
+        """Create an empty state.
+
+        ``listed_weight`` returns the listed weight of a server, with which unbound proxies readmit it.
+        """
         self.scale = scale
         self.listed_weight = listed_weight
-        self.lines: dict[int, dict[Key, float]] = {}  # by table: the weights that were ordered
+        self.lines: dict[int, dict[Key, float]] = {}  # weights set by the decision module, by table
         self.withdrawn: set[Key] = set()
         self.proxies: dict[int, ProxyView] = {}
         self.bound: dict[int, set[int]] = {}  # by table
         self.unbound: set[int] = set()
-        self.snapshots: dict[int, Snapshot] = {}  # by table, as long as nothing was ordered since
+        self.snapshots: dict[int, Snapshot] = {}  # newest versions by table; dropped when a table changes
         self.history: dict[int, deque[Snapshot]] = {}
         self.admission = AdmissionRates()
-        # Replaces the lines of a table before they are published: pins do.
+        # Replaces the lines of a table before they are published; used by pins.
         self.overlay: Callable[[int, Lines], Lines] = lambda _, lines: lines
 
     # Proxies
@@ -68,7 +71,7 @@
         takes_commands: bool = False,
         resumed: Snapshot | None = None,
     ) -> None:
-        """A proxy joins, unbound. ``resumed``: the version of a table that it has proved to hold."""
+        """Add an unbound proxy. ``resumed``: the version of a table that it has proved to hold."""
         self.leave(number)
         servers = resumed.lines if resumed is not None else initial_servers
         proxy = self.proxies[number] = ProxyView(number, servers, self.scale(1.0), takes_commands)
@@ -76,7 +79,7 @@
         self.unbound.add(number)
 
     def leave(self, number: int) -> None:
-        """Forget a proxy."""
+        """Remove a proxy; does nothing for an unknown one."""
         proxy = self.proxies.pop(number, None)
         if proxy is not None:
             self.unbound.discard(number)
@@ -88,17 +91,20 @@
             self.bound[proxy.table].discard(proxy.number)
 
     def commands_for(self, proxy: ProxyView) -> ProxyCommands:
-        """What a proxy that takes commands must have been sent."""
+        """Return the current commands for a proxy."""
         return ProxyCommands(proxy.table, self.admission.of_table(proxy.table))
 
-    def distrust(self, number: int) -> int:
-        """A proxy does not hold what it was sent: the whole table must follow. How many lines that is."""
+    def invalidate_snapshot(self, number: int) -> int:
+        """Mark the weights that a proxy holds as unknown, so that its whole table is sent.
+
+        Returns the number of lines that this costs.
+        """
         proxy = self.proxies[number]
         proxy.snapshot = Snapshot(proxy.snapshot.lines, known=False)
         return 1 + len(self.target(proxy).lines)
 
     def extend(self, number: int, servers: Iterable[Key]) -> int:
-        """A proxy holds further servers from before; how many lines it will be sent because of them."""
+        """Add servers that a proxy held before it joined; return the number of lines that it will be sent."""
         proxy = self.proxies[number]
         held = proxy.snapshot.lines
         more: Lines = {server: (self.scale(1.0), 0) for server in servers if server not in held}
@@ -106,68 +112,68 @@
         proxy.snapshot = Snapshot(held | more, proxy.snapshot.known)
         return len(more)
 
-    # What the decisions order. Each gives, by proxy concerned, how many lines it costs there.
-
-    def carry_out(self, order: TableCommand | object) -> dict[int, int]:
-        """Carry out an order about tables, servers or bindings; other orders concern nobody."""
-        if isinstance(order, model.SetWeight):
-            return self.set_weight(order)
-        if isinstance(order, model.SetWithdrawn):
-            return self.set_withdrawn(order)
-        if isinstance(order, model.ClearTable):
-            self.lines.pop(order.table, None)
-            self.snapshots.pop(order.table, None)
-            return dict.fromkeys(self.bound.get(order.table, ()), 1)
-        if isinstance(order, model.BindProxy) and order.proxy in self.proxies:
-            return self.bind(order)
+    # Commands of the decision module. Each method returns the number of changed lines by affected proxy.
+
+    def carry_out(self, command: TableCommand | object) -> dict[int, int]:
+        """Apply a command about tables, servers or bindings; others affect no proxy."""
+        if isinstance(command, model.SetWeight):
+            return self.set_weight(command)
+        if isinstance(command, model.SetWithdrawn):
+            return self.set_withdrawn(command)
+        if isinstance(command, model.ClearTable):
+            self.lines.pop(command.table, None)
+            self.snapshots.pop(command.table, None)
+            return dict.fromkeys(self.bound.get(command.table, ()), 1)
+        if isinstance(command, model.BindProxy) and command.proxy in self.proxies:
+            return self.bind(command)
         return {}
 
-    def set_weight(self, order: model.SetWeight) -> dict[int, int]:
-        """Set the weight of a server in a table, or remove it from there with a weight of 0."""
-        server = cast(Key, order.server)
-        table = self.lines.setdefault(order.table, {})
-        if order.weight > 0:
-            table[server] = order.weight
+    def set_weight(self, command: model.SetWeight) -> dict[int, int]:
+        """Set the weight of a server in a table; a weight of 0 removes it from the table."""
+        server = cast(Key, command.server)
+        table = self.lines.setdefault(command.table, {})
+        if command.weight > 0:
+            table[server] = command.weight
         else:
             table.pop(server, None)
-        self.snapshots.pop(order.table, None)
-        return dict.fromkeys(self.bound.get(order.table, ()), 1)
+        self.snapshots.pop(command.table, None)
+        return dict.fromkeys(self.bound.get(command.table, ()), 1)
 
-    def set_withdrawn(self, order: model.SetWithdrawn) -> dict[int, int]:
-        """Withdraw a server from all tables and unbound proxies, or re-admit it."""
-        server = cast(Key, order.server)
-        if order.withdrawn:
+    def set_withdrawn(self, command: model.SetWithdrawn) -> dict[int, int]:
+        """Withdraw a server from all tables and unbound proxies, or readmit it."""
+        server = cast(Key, command.server)
+        if command.withdrawn:
             self.withdrawn.add(server)
         else:
             self.withdrawn.discard(server)
-        concerned: dict[int, int] = {}
+        affected: dict[int, int] = {}
         for number, table in self.lines.items():
             if server in table:
                 self.snapshots.pop(number, None)
-                concerned |= dict.fromkeys(self.bound.get(number, ()), 1)
+                affected |= dict.fromkeys(self.bound.get(number, ()), 1)
         holders = (number for number in self.unbound if server in self.proxies[number].initial_servers)
-        return concerned | dict.fromkeys(holders, 1)
+        return affected | dict.fromkeys(holders, 1)
 
-    def bind(self, order: model.BindProxy) -> dict[int, int]:
-        """Have a joined proxy follow a table."""
-        proxy = self.proxies[order.proxy]
-        self.unbound.discard(order.proxy)
+    def bind(self, command: model.BindProxy) -> dict[int, int]:
+        """Bind a joined proxy to a table."""
+        proxy = self.proxies[command.proxy]
+        self.unbound.discard(command.proxy)
         self.unbind(proxy)
-        self.bound.setdefault(order.table, set()).add(order.proxy)
-        proxy.table = order.table
-        return {order.proxy: 1 + len(self.lines.get(order.table, ()))}
-
-    def set_admission(self, order: model.SetAdmission, route_count: int) -> dict[int, int]:
-        """Set the admission rate of routes in a table, or in all."""
-        routes = self.admission.set(order, route_count)
-        everywhere = order.table == model.ALL_TABLES
-        proxies = self.proxies if everywhere else self.bound.get(order.table, ())
+        self.bound.setdefault(command.table, set()).add(command.proxy)
+        proxy.table = command.table
+        return {command.proxy: 1 + len(self.lines.get(command.table, ()))}
+
+    def set_admission(self, command: model.SetAdmission, route_count: int) -> dict[int, int]:
+        """Set the admission rate and retry policy of routes in one table or in all tables."""
+        routes = self.admission.set(command, route_count)
+        everywhere = command.table == model.ALL_TABLES
+        proxies = self.proxies if everywhere else self.bound.get(command.table, ())
         return dict.fromkeys(proxies, max(1, routes))
 
     # Versions
 
     def current(self, table: int) -> Snapshot:
-        """The newest version of a table; a version differs from the previous one in its lines."""
+        """Return the newest version of a table; a new version is created when its lines have changed."""
         snapshot = self.snapshots.get(table)
         if snapshot is not None:
             return snapshot
@@ -184,18 +190,18 @@
         return history[-1]
 
     def version(self, table: int, number: int) -> Snapshot | None:
-        """An earlier version, if it is still retained."""
+        """Return a version of a table; None if it is not retained."""
         history = self.history.get(table, ())
         return next((snapshot for snapshot in history if snapshot.version == number), None)
 
-    # What proxies must hold
+    # Lines that proxies must hold
 
     def target(self, proxy: ProxyView) -> Snapshot:
-        """What a proxy must hold now."""
+        """Return the lines that a proxy must hold now."""
         return self.unbound_target(proxy) if proxy.table is None else self.current(proxy.table)
 
     def unbound_target(self, proxy: ProxyView) -> Snapshot:
-        """An unbound proxy keeps what it has, less what is withdrawn."""
+        """Return the lines that an unbound proxy holds, with withdrawals and readmissions applied."""
         held = proxy.snapshot.lines
         lines = dict(held)
         for server, (weight, _) in held.items():
@@ -206,7 +212,7 @@
         return proxy.snapshot if lines == held else Snapshot(lines, known=False)
 
     def advance(self, number: int) -> Delta:
-        """The lines that bring a proxy up to date; it counts as holding them from here on."""
+        """Return the lines that bring a proxy up to date, and record that it holds them from now on."""
         proxy = self.proxies[number]
         target = self.target(proxy)
         if proxy.table is None:
@@ -218,7 +224,7 @@
 
     @staticmethod
     def unbound_delta(held: Mapping[Key, tuple[int, int]], target: Lines) -> Delta:
-        """Only what is withdrawn or re-admitted: an unbound proxy knows the other weights, we do not."""
+        """Return the withdrawn and readmitted servers only; an unbound proxy's other weights are unknown."""
         changed = [
             Line(server, *weight_and_flags)
             for server, weight_and_flags in sorted(target.items())
@@ -228,5 +234,5 @@
         return Delta(withdrawn, tuple([line for line in changed if line.weight]))
 
     def all_lines(self, number: int) -> tuple[Line, ...]:
-        """Everything that a proxy holds, for one that wants all lines each time."""
+        """Return all lines of a proxy, for one that does not accept deltas."""
         return self.proxies[number].snapshot.whole()
--- a/rainpick/director/weight_entries.py
+++ b/rainpick/director/weight_entries.py
@@ -1,4 +1,4 @@
-"""SASP weight entries as bytes; the proxies of one table share them."""
+"""Encoding of SASP weight entries; proxies of the same table share the encoded bytes."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 from rainpick.sasp.messages import Member
 from rainpick.sasp.wire import COMPONENT_HEADER, WEIGHT_ENTRY_TAIL
 
-MAX_ENCODED = 256  # line tuples whose bytes are cached
-MAX_SERVERS = 65_536  # whose first bytes are cached
+MAX_ENCODED = 256  # line tuples with cached bytes
+MAX_SERVERS = 65_536  # servers with cached entry prefixes
 
 
 class WeightEntryEncoder:
-    """Encodes lines; caches the bytes by the identity of the tuple, as many proxies are sent the same one."""
+    """Encodes lines.
+
+    Caches the bytes by the identity of the tuple of lines, because many proxies are sent the same tuple.
+    """
 
     def __init__(self) -> None:
         self.encoded: OrderedDict[int, tuple[tuple[Line, ...], bytes]] = OrderedDict()
-        self.heads: dict[Key, bytes] = {}
+        self.prefixes: dict[Key, bytes] = {}
 
     def encode(self, lines: tuple[Line, ...]) -> bytes:
-        """The entries of these lines, in their order."""
+        """Return the entries of these lines, in the same order."""
         if not lines:
             return b""
         cached = self.encoded.get(id(lines))
@@ -31,22 +34,22 @@
             return cached[1]
         pieces: list[bytes] = []
         for server, weight, flags in lines:
-            head = self.heads.get(server)
-            if head is None:
-                head = self.encode_head(server)
-            pieces += (head, WEIGHT_ENTRY_TAIL.pack(0, flags, weight))
+            prefix = self.prefixes.get(server)
+            if prefix is None:
+                prefix = self.encode_prefix(server)
+            pieces += (prefix, WEIGHT_ENTRY_TAIL.pack(0, flags, weight))
         data = b"".join(pieces)
         self.encoded[id(lines)] = lines, data
         if len(self.encoded) > MAX_ENCODED:
             self.encoded.popitem(last=False)
         return data
 
-    def encode_head(self, server: Key) -> bytes:
-        """The bytes of an entry that are the same whatever the weight."""
+    def encode_prefix(self, server: Key) -> bytes:
+        """Return the bytes of an entry that do not depend on the weight."""
         member = encode_member(Member.at(*server))
         length = COMPONENT_HEADER.size + WEIGHT_ENTRY_TAIL.size
-        head: bytes = COMPONENT_HEADER.pack(WEIGHT_ENTRY_TYPE, length) + member
-        if len(self.heads) > MAX_SERVERS:
-            self.heads.clear()
-        self.heads[server] = head
-        return head
+        prefix: bytes = COMPONENT_HEADER.pack(WEIGHT_ENTRY_TYPE, length) + member
+        if len(self.prefixes) > MAX_SERVERS:
+            self.prefixes.clear()
+        self.prefixes[server] = prefix
+        return prefix
--- a/tests/director/drive.py
+++ b/tests/director/drive.py
@@ -1,4 +1,4 @@
-"""Drives the engine by a virtual clock: proxies that read at once, and hold what they read."""
+"""Drives the engine under a virtual clock, with proxies that apply each message immediately."""
 
 from rainpick import model
 from rainpick.director.engine import Engine
@@ -11,8 +11,8 @@
 }"""
 
 
-def settings(text=""):
-    return parse(BASE % text)
+def settings(settings_text=""):
+    return parse(BASE % settings_text)
 
 
 def server(number, state=model.EndpointState.READY, weight=1.0, started_us=0, zone=0):
@@ -20,55 +20,60 @@
 
 
 class Drive:
-    """One engine and its proxies. ``reads`` False: what it is written is not delivered."""
+    """One engine and its proxies.
 
-    def __init__(self, text="", servers=4, **words):
-        self.settings, self.now = settings(text), 1_000_000
-        self.engine = Engine(self.settings, 7, self.now, **words)
+    ``confirms_delivery``, by proxy: False if the delivery of its messages is not confirmed to the engine.
+    """
+
+    def __init__(self, settings_text="", servers=4, **options):
+        self.settings, self.now = settings(settings_text), 1_000_000
+        self.engine = Engine(self.settings, 7, self.now, **options)
         self.engine.update_endpoints(
             model.EndpointUpdate(model.UpdateKind.CACHED, tuple(map(server, range(servers))), 1)
         )
-        self.held, self.reads, self.writes = {}, {}, []
+        self.held_lines, self.confirms_delivery, self.writes = {}, {}, []
 
     def join(self, number, rate=5.0, standing=()):
-        self.held[number] = dict.fromkeys(standing, (1, 0))
-        self.reads.setdefault(number, True)
+        self.held_lines[number] = dict.fromkeys(standing, (1, 0))
+        self.confirms_delivery.setdefault(number, True)
         self.engine.join(number, True, rate, 0, standing)
 
     def left(self, number):
         self.engine.leave(number)
-        del self.held[number]
+        del self.held_lines[number]
 
     def listed(self, *servers):
         self.engine.update_endpoints(model.EndpointUpdate(model.UpdateKind.DELTA, servers, 2))
 
-    def turn(self):
+    def run_engine(self):
         for write in self.engine.advance(self.now):
             self.writes.append((self.now, write))
             for line in write.delta.lines:
                 if line.weight or line.flags & 0x80:
-                    self.held[write.proxy][line.server] = line.weight, line.flags
+                    self.held_lines[write.proxy][line.server] = line.weight, line.flags
                 else:
-                    self.held[write.proxy].pop(line.server, None)
-            if self.reads[write.proxy]:
+                    self.held_lines[write.proxy].pop(line.server, None)
+            if self.confirms_delivery[write.proxy]:
                 self.engine.confirm_delivery(write.proxy, write.number)
 
-    def until(self, moment):
-        """Let the clock run; every due time is kept."""
-        self.turn()
-        while (due := self.engine.due_us()) is not None and due <= moment:
+    def run_until(self, end_us):
+        """Run the engine at each due time up to ``end_us``."""
+        self.run_engine()
+        while (due := self.engine.due_us()) is not None and due <= end_us:
             self.now = max(self.now, due)
-            self.turn()
-        self.now = moment
-        self.turn()
+            self.run_engine()
+        self.now = end_us
+        self.run_engine()
 
     def run(self, seconds):
-        self.until(self.now + int(seconds * 1e6))
+        self.run_until(self.now + int(seconds * 1e6))
 
-    def exact(self, number):
-        """Whether a proxy holds just what it must."""
+    def is_up_to_date(self, number):
+        """Return whether a proxy holds exactly the lines of its target."""
         tables = self.engine.tables
-        return self.held[number] == tables.target(tables.proxies[number]).lines
+        return self.held_lines[number] == tables.target(tables.proxies[number]).lines
 
     def open_lines(self, number):
-        return {place[1] - 9000: weight for place, (weight, _) in self.held[number].items() if weight}
+        return {
+            address[1] - 9000: weight for address, (weight, _) in self.held_lines[number].items() if weight
+        }
--- a/tests/director/test_membership.py
+++ b/tests/director/test_membership.py
@@ -1,4 +1,4 @@
-"""The server list from registrations, a list file and a cached list."""
+"""The endpoint list from registrations, a list file and a cached list."""
 
 import pytest
 
@@ -38,7 +38,8 @@
     return {entry.address[1]: entry.state for entry in update.endpoints} if update else {}
 
 
-def test_rules_by_address_come_before_the_label(membership):
+def test_rules_by_address_take_precedence_over_the_label(membership):
+    """Guards against a member whose label overrides the operators' rules."""
     membership.register(
         1, FLEET, (member(9001, "weight=9;zone=a;machine=y;pod=3"), member(8000, "weight=9")), 5
     )
@@ -61,13 +62,15 @@
         ("pod=1;pod=2", ReturnCode.NOT_UNDERSTOOD),
     ],
 )
-def test_a_label_that_makes_no_sense_is_rejected_with_all_of_its_registration(membership, label, code):
+def test_invalid_label_rejects_the_whole_registration(membership, label, code):
+    """Guards against a registration of which only some members are accepted."""
     with pytest.raises(RejectedMemberError) as error:
         membership.register(1, FLEET, (member(8000), member(8001, label)), 5)
     assert error.value.code == code and not membership.servers
 
 
-def test_the_wrong_group_or_uid_is_rejected(membership):
+def test_wrong_group_or_uid_is_rejected(membership):
+    """Guards against members of another fleet, and a wrong return code for them."""
     wrong = (Group("x", "servers"), ReturnCode.UNKNOWN_LB), (Group("rainpick", "x"), ReturnCode.INVALID_GROUP)
     for group, code in wrong:
         with pytest.raises(RejectedMemberError) as error:
@@ -75,49 +78,54 @@
         assert error.value.code == code
 
 
-def test_registering_twice_is_rejected_on_the_same_stream_and_takes_over_on_another(membership):
+def test_second_registration_is_rejected_on_one_stream_and_takes_over_on_another(membership):
+    """Guards against a dead stream that removes a server which has registered on a newer stream."""
     membership.register(1, FLEET, (member(9001, "boot=1"),), S)
     with pytest.raises(RejectedMemberError) as error:
         membership.register(1, FLEET, (member(9001, "boot=1"),), S)
     assert error.value.code == ReturnCode.ALREADY_REGISTERED
     assert changes(membership) == {9001: model.EndpointState.READY}
     membership.register(2, FLEET, (member(9001, "boot=1"),), 9 * S)
-    assert changes(membership) == {}, "the same start of the same server: nothing changed"
-    membership.stream_broke(1, 10 * S)
-    assert changes(membership, 60 * S) == {}, "the older stream speaks for it no more"
+    assert changes(membership) == {}, "the same start of the same server must not be a change"
+    membership.stream_ended(1, 10 * S)
+    assert changes(membership, 60 * S) == {}, "the older stream must not affect the server any more"
     with pytest.raises(RejectedMemberError):
         membership.deregister(1, FLEET, (member(9001),))
 
 
-def test_a_broken_stream_means_gone_only_after_the_grace(membership):
+def test_ended_stream_removes_its_server_after_the_grace_period(membership):
+    """Guards against removing a server too early, before it could register again."""
     membership.register(1, FLEET, (member(9001),), S)
     changes(membership)
-    membership.stream_broke(1, 10 * S)
+    membership.stream_ended(1, 10 * S)
     assert membership.due_us() == int(11.5 * S)
     assert changes(membership, 11 * S) == {} and changes(membership, 12 * S) == {
         9001: model.EndpointState.GONE
     }
 
 
-def test_a_server_back_within_the_grace_is_the_same_and_still_draining(membership):
+def test_server_that_registers_again_within_the_grace_period_stays_draining(membership):
+    """Guards against a drain that is undone by a reconnect of the same process."""
     membership.register(1, FLEET, (member(9001, "boot=1"),), S)
     membership.set_state(1, FLEET, (MemberState(member(9001), 5, True),))
     assert changes(membership) == {9001: model.EndpointState.DRAINING}
-    membership.stream_broke(1, 10 * S)
+    membership.stream_ended(1, 10 * S)
     membership.register(2, FLEET, (member(9001, "boot=1"),), 11 * S)
     assert changes(membership, 60 * S) == {}
 
 
-def test_another_boot_is_another_start_even_within_the_grace(membership):
+def test_different_boot_is_a_restart_even_within_the_grace_period(membership):
+    """Guards against a restarted server that stays draining or keeps the start time of its predecessor."""
     membership.register(1, FLEET, (member(9001, "boot=1;age=100"),), 200 * S)
     assert membership.next_update().endpoints[0].started_us == 100 * S
-    membership.stream_broke(1, 201 * S)
+    membership.stream_ended(1, 201 * S)
     membership.register(2, FLEET, (member(9001, "boot=2"),), 202 * S)
     (entry,) = membership.next_update().endpoints
     assert (entry.started_us, entry.state) == (202 * S, model.EndpointState.READY)
 
 
-def test_registered_drained_and_gone_within_one_batch_is_one_change_or_none(membership):
+def test_changes_of_a_server_in_one_batch_are_merged(membership):
+    """Guards against several changes of one server in a single update."""
     membership.register(1, FLEET, (member(9001),), S)
     membership.set_state(1, FLEET, (MemberState(member(9001), 0, True),))
     membership.deregister(1, FLEET, ())
@@ -130,7 +138,11 @@
     assert (entry.state, entry.started_us) == (model.EndpointState.READY, 7 * S)
 
 
-def test_after_a_restart_a_member_without_an_age_counts_as_old_and_later_as_new():
+def test_member_without_an_age_is_old_right_after_a_directors_restart():
+    """Guards against a slow start of all servers after each restart of a director.
+
+    While the director starts, a member without an age counts as started long ago; later it counts as new.
+    """
     membership = Membership(settings('fleet: {member_grace: "2s"}'), 100 * S)
     membership.register(1, FLEET, (member(9001), member(9002, "age=3")), 101 * S)
     membership.register(2, FLEET, (member(9003),), 103 * S)
@@ -138,23 +150,27 @@
     assert started == {9001: 0, 9002: 98 * S, 9003: 103 * S}
 
 
-def test_file_and_registration_are_one_membershipand_a_drain_in_either_counts(membership):
+def test_list_file_and_registrations_are_merged_and_either_can_drain(membership):
+    """Guards against one source that hides a server or a drain of the other."""
     membership.apply_list_file([file_entry(9001), file_entry(9500, weight=2.0)])
     membership.register(1, FLEET, (member(9001), member(9002)), S)
     assert changes(membership) == dict.fromkeys((9001, 9002, 9500), model.EndpointState.READY)
     membership.apply_list_file([file_entry(9001, draining=True)])
     assert changes(membership) == {9001: model.EndpointState.DRAINING, 9500: model.EndpointState.GONE}
     membership.apply_list_file([])
-    assert changes(membership) == {9001: model.EndpointState.READY}, "it is registered, and no longer drained"
+    assert changes(membership) == {9001: model.EndpointState.READY}, (
+        "it is still registered, and the drain in the file has ended"
+    )
     membership.deregister(1, FLEET, ())
     assert changes(membership) == {9001: model.EndpointState.GONE, 9002: model.EndpointState.GONE}
 
 
-def test_a_cached_membershipis_believed_for_the_grace_only():
+def test_cached_servers_are_removed_after_the_grace_period():
+    """Guards against servers that stay listed from the cache without registering again."""
     membership = Membership(settings('director: {settle: "1s"}, fleet: {member_grace: "2s"}'), 0)
     membership.apply_cached_list([file_entry(9001, started_us=50), file_entry(9002, draining=True)], 10 * S)
-    start = membership.initial_update()
-    assert {entry.address[1]: entry.state for entry in start.endpoints} == {
+    initial = membership.initial_update()
+    assert {entry.address[1]: entry.state for entry in initial.endpoints} == {
         9001: model.EndpointState.READY,
         9002: model.EndpointState.DRAINING,
     }
@@ -164,8 +180,12 @@
     }
 
 
-def test_the_decisions_start_when_no_new_member_came_for_a_while_or_the_wait_is_over():
-    """Begun with an empty list the module would lay one table for all, for as long as it lives."""
+def test_decision_module_starts_once_registrations_have_settled():
+    """Guards against starting the decision module with an empty or partial list.
+
+    Started with an empty list, it would use a single table for all proxies until the director ends. It starts
+    once no new member has registered for the settle time, or after ten times that.
+    """
     membership = Membership(settings('director: {settle: "1s"}'), 0)
     assert membership.start_due_us() is None
     membership.register(1, FLEET, (member(9001),), 5 * S)
@@ -179,7 +199,8 @@
     assert cached.start_due_us() == 3
 
 
-def test_the_number_of_members_is_bounded():
+def test_number_of_members_is_limited():
+    """Guards against an endpoint list that grows without limit."""
     membership = Membership(settings("fleet: {members_most: 2}"), 0)
     membership.register(1, FLEET, (member(9001), member(9002)), S)
     with pytest.raises(RejectedMemberError):
--- a/tests/director/test_tables.py
+++ b/tests/director/test_tables.py
@@ -1,4 +1,4 @@
-"""Sixteen bits for a weight: no live line is lost, ratios hold within a stated bound."""
+"""Conversion of weights to 16 bits, and the lines that commands cause for each proxy."""
 
 import pytest
 from hypothesis import given
@@ -12,30 +12,33 @@
 
 
 @given(st.floats(0.01, 16.0), st.sampled_from([16.0, 64.0, 65535.0]))
-def test_the_error_stays_within_its_bound(weight, most):
-    scale = Scale(most)
-    got = scale(weight)
-    assert got >= 1
-    exact = weight * 65535 / most
+def test_conversion_error_stays_within_its_bound(weight, max_weight):
+    """Guards against a positive weight that becomes 0, and an error above the documented bound."""
+    scale = Scale(max_weight)
+    converted = scale(weight)
+    assert converted >= 1
+    exact = weight * 65535 / max_weight
     if exact >= 1:
-        assert abs(got / exact - 1) <= scale.bound(weight) * (1 + 1e-9)
+        assert abs(converted / exact - 1) <= scale.bound(weight) * (1 + 1e-9)
 
 
-def test_the_steps_of_a_slow_start_stay_distinct_at_the_least_capacity():
+def test_slow_start_steps_stay_distinct_for_a_small_server():
+    """Guards against slow start steps that become equal after the conversion to 16 bits."""
     scale = Scale(16.0)
-    steps = [scale(0.1 * (0.16 + 0.84 * part / 100)) for part in range(101)]
+    steps = [scale(0.1 * (0.16 + 0.84 * percent / 100)) for percent in range(101)]
     assert len(set(steps)) == 101 and steps == sorted(steps)
 
 
 @pytest.fixture
 def tables():
-    made = Tables(Scale(16.0), lambda server: 2.0)
+    tables = Tables(Scale(16.0), lambda server: 2.0)
     for server, weight in ((A, 1.0), (B, 2.0)):
-        made.carry_out(model.SetWeight(0, server, weight))
-    return made
+        tables.carry_out(model.SetWeight(0, server, weight))
+    return tables
 
 
-def test_a_bind_costs_its_table_and_removes_what_was_held(tables):
+def test_bind_sends_the_table_and_removes_earlier_servers(tables):
+    """Guards against a bound proxy that keeps a server from before it joined."""
     tables.join(5, [A, C])
     assert tables.carry_out(model.BindProxy(0, 0, 5)) == {5: 3}
     lines = tables.advance(5).lines
@@ -44,7 +47,8 @@
     assert tables.advance(5).lines == ()
 
 
-def test_a_withdrawal_concerns_bound_and_unbound_holders_only(tables):
+def test_withdrawal_affects_only_proxies_that_hold_the_server(tables):
+    """Guards against a withdrawal that misses an unbound holder, or is sent to other proxies."""
     for number, standing in ((1, [A]), (2, [B]), (3, [])):
         tables.join(number, standing)
     tables.carry_out(model.BindProxy(0, 0, 3))
@@ -55,7 +59,8 @@
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(A, Scale(16.0)(2.0))]
 
 
-def test_a_proxy_is_sent_the_newest_state_only(tables):
+def test_reverted_changes_are_not_sent(tables):
+    """Guards against sending intermediate weights of a server that has its old weight again."""
     tables.join(1, [])
     tables.carry_out(model.BindProxy(0, 0, 1))
     tables.advance(1)
@@ -65,6 +70,7 @@
 
 
 def test_proxies_of_a_table_share_one_delta(tables):
+    """Guards against computing the same delta once for each proxy of a table."""
     for number in (1, 2):
         tables.join(number, [])
         tables.carry_out(model.BindProxy(0, 0, number))
@@ -74,6 +80,7 @@
 
 
 def test_further_initial_servers_of_a_bound_proxy_are_removed(tables):
+    """Guards against a bound proxy that keeps servers which it reports after its binding."""
     tables.join(1, [])
     tables.carry_out(model.BindProxy(0, 0, 1))
     tables.advance(1)
@@ -81,7 +88,8 @@
     assert [(line.server, line.weight) for line in tables.advance(1).lines] == [(C, 0)]
 
 
-def test_a_proxy_that_left_is_concerned_by_no_order(tables):
+def test_commands_do_not_affect_a_proxy_that_left(tables):
+    """Guards against messages to a proxy that left."""
     tables.join(1, [A])
     tables.carry_out(model.BindProxy(0, 0, 1))
     tables.leave(1)
