--- a/rainpick/decisions/__init__.py
+++ b/rainpick/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a director, one job a module; ``rainpick.decisions.director`` wires them."""
+"""The decisions of a director, one concern per module; ``rainpick.decisions.director`` combines them."""
--- a/rainpick/decisions/binding.py
+++ b/rainpick/decisions/binding.py
@@ -1,4 +1,4 @@
-"""Binds proxies to their tables, the earliest deadline first, then the busiest proxies."""
+"""Binds proxies to their tables, the earliest deadline first, then the proxies with the most requests."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 class Binding:
-    """Binds the proxies that wait for a table.
+    """Binds the proxies that are not bound to a table yet.
 
-    A table goes as a whole: what it uses that drains is removed before proxies are bound to it.
+    A table is sent as a whole with each bind, so its draining servers are removed before proxies are bound to
+    it.
     """
 
     def __init__(
@@ -35,46 +36,48 @@
             waiting[self.assignment.home(proxy)].append(proxy)
         if not waiting:
             return
-        claims, withdrawals = self.publisher.claims, self.withdrawals
-        ending, withdrawn = withdrawals.ending_by_table(), withdrawals.withdrawn_by_table()
+        quotas, withdrawals = self.publisher.quotas, self.withdrawals
+        terminating, withdrawn = withdrawals.terminating_by_table(), withdrawals.withdrawn_by_table()
         sizes = self.table_lines()
 
-        tables = waiting.keys() | ending.keys()
-        for table in sorted(tables, key=lambda table: self.urgency(table, waiting[table], ending[table])):
-            if ending[table] and withdrawals.remove(table, ending[table], claims.drain):
-                sizes[table.number] -= len(ending[table])
+        tables = waiting.keys() | terminating.keys()
+        for table in sorted(
+            tables, key=lambda table: self.urgency(table, waiting[table], terminating[table])
+        ):
+            if terminating[table] and withdrawals.remove(table, terminating[table], quotas.drain):
+                sizes[table.number] -= len(terminating[table])
             if (
                 withdrawn[table]
                 and self.saves_lines(table, waiting[table])
-                and withdrawals.remove(table, withdrawn[table], claims.bind)
+                and withdrawals.remove(table, withdrawn[table], quotas.bind)
             ):
                 sizes[table.number] -= 2 * len(withdrawn[table])
             self.bind_to(table, waiting[table], sizes[table.number])
 
     def urgency(
-        self, table: Table, waiting: Sequence[ProxyState], ending: Sequence[ServerState]
+        self, table: Table, waiting: Sequence[ProxyState], terminating: Sequence[ServerState]
     ) -> tuple[int, float, int]:
-        """Tables with the earliest deadline come first, then those with the busiest proxy that waits."""
+        """Return the sort key of a table: its deadline class, then the request rate of its busiest proxy."""
         busiest = max((proxy.request_rate for proxy in waiting), default=0.0)
-        return self.withdrawals.deadline(ending, waiting), -busiest, table.number
+        return self.withdrawals.deadline(terminating, waiting), -busiest, table.number
 
     def table_lines(self) -> Counter[int]:
-        """By table, the lines that a bind carries: its servers, and again those that are withdrawn."""
+        """Return, by table, the lines of a bind: one for each server, and another for each withdrawn one."""
         servers = self.fleet.servers.values()
         sizes = Counter(number for server in servers for number in server.published_weights)
         sizes.update(number for server in servers if server.withdrawn for number in server.published_weights)
         return sizes
 
     def saves_lines(self, table: Table, waiting: Sequence[ProxyState]) -> bool:
-        """Whether removing a server from a table costs less than binding proxies with it.
+        """Return whether removing a server from a table takes fewer lines than binding proxies with it.
 
-        In a takeover more proxies come than have joined so far.
+        In a takeover more proxies are expected than have joined so far.
         """
         lines = 1 if table.pending_lines else 1 + self.publisher.head_lines
         return self.withdrawals.is_takeover or len(table.proxies) * lines < 2 * len(waiting)
 
     def bind_to(self, table: Table, waiting: Sequence[ProxyState], table_lines: int) -> None:
-        """Bind proxies to a table, the busiest first, while there is capacity."""
+        """Bind proxies to a table while there is capacity, those with the most requests first."""
         lines = self.publisher.head_lines + 1 + len(table.published_admission) + table_lines
         for proxy in sorted(waiting, key=lambda proxy: (-proxy.request_rate, proxy.number)):
             if self.publisher.can_bind(proxy, lines):
--- a/rainpick/decisions/capacity.py
+++ b/rainpick/decisions/capacity.py
@@ -1,4 +1,4 @@
-"""How much warm capacity is in use, and what servers that warm up may take of the rest."""
+"""The warm capacity in use, and the reduction of servers that warm up once little of it is left."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.servers import ServerState
 
-FEW_WARM_FRACTION = 0.75  # servers that warm up get less once warm weight is under this part of its peak
+LOW_WARM_WEIGHT_FRACTION = 0.75  # of the peak warm weight; below it servers that warm up get less
 
 
 class WarmCapacity:
     """The listed weight of warm servers in use, in the fleet and in each table.
 
-    Once few are left, proxies would send what those had to the servers that warm up: these get less then,
-    ``warming_fraction`` of their percentage in the fleet, and each table's own fraction on top.
+    When few warm servers are left, proxies would send the requests of the lost ones to servers that warm up.
+    Therefore the percentage of servers that warm up is multiplied by ``warming_fraction`` in the whole fleet,
+    and additionally by the fraction of each table.
     """
 
     def __init__(self, fleet: Fleet):
@@ -24,17 +25,20 @@
         self.warming_fraction = 1.0
 
     def update_fleet(self, warm: Collection[ServerState]) -> None:
-        """Sum up the fleet. What is back but not yet published takes no requests: it spares nobody."""
+        """Update the warm weight of the fleet.
+
+        Servers that have returned but are not published yet receive no requests and do not count.
+        """
         in_use = (
             server.endpoint.weight for server in warm if not (server.ejected_until_us or server.withdrawn)
         )
         self.warm_weight = sum(in_use)
         self.peak_warm_weight = max(self.warm_weight, self.peak_warm_weight, 1e-9)
-        left = (self.warm_weight or self.peak_warm_weight) / self.peak_warm_weight
-        self.warming_fraction = min(1.0, left / FEW_WARM_FRACTION)
+        remaining = (self.warm_weight or self.peak_warm_weight) / self.peak_warm_weight
+        self.warming_fraction = min(1.0, remaining / LOW_WARM_WEIGHT_FRACTION)
 
     def update_tables(self) -> None:
-        """Sum up each table, once the servers' percentages are known."""
+        """Update the warm weight of each table, after the servers' percentages have been set."""
         for table in self.fleet.tables:
             table.warm_weight = 0.0
         for server in self.fleet.servers.values():
@@ -43,6 +47,6 @@
                     table.warm_weight += server.endpoint.weight
         for table in self.fleet.tables:
             table.peak_warm_weight = max(table.peak_warm_weight, table.warm_weight)
-            left = (table.warm_weight or table.peak_warm_weight) / table.peak_warm_weight
-            # The fleet's fraction is in the servers' percentages already.
-            table.warming_fraction = min(1.0, left / FEW_WARM_FRACTION / self.warming_fraction)
+            remaining = (table.warm_weight or table.peak_warm_weight) / table.peak_warm_weight
+            # The servers' percentages already include the fraction of the fleet.
+            table.warming_fraction = min(1.0, remaining / LOW_WARM_WEIGHT_FRACTION / self.warming_fraction)
--- a/rainpick/decisions/clock.py
+++ b/rainpick/decisions/clock.py
@@ -1,17 +1,17 @@
-"""The time of a step, and the buckets into which evidence is sorted by time."""
+"""The time of a step, and the time buckets into which observations are sorted."""
 
 from __future__ import annotations
 
 from rainpick.decisions.settings import TICK_US, DecisionSettings
 from rainpick.decisions.sliding_window import RECENT_BUCKETS
 
-OVERLOAD_BUCKET_US = TICK_US // 2  # the shortest buckets of the evidence of overload
+OVERLOAD_BUCKET_US = TICK_US // 2  # minimum length of overload buckets
 
 
 class StepClock:
-    """The clock of the step under way, and the numbers of its buckets.
+    """The time of the current step, and the numbers of its buckets.
 
-    ``bucket`` counts buckets of load reports, ``overload_bucket`` those of the evidence of overload.
+    ``bucket`` counts buckets of load reports, ``overload_bucket`` those of the overload observations.
     """
 
     __slots__ = ("bucket", "bucket_us", "now", "overload_bucket_us", "settings")
@@ -22,20 +22,20 @@
         self.advance(now)
 
     def advance(self, now: int) -> None:
-        """Begin a step."""
+        """Set the time of a new step."""
         self.now = now
         self.bucket = now // self.bucket_us
 
     @property
     def overload_bucket(self) -> int:
-        """The bucket of the evidence of overload."""
+        """The current bucket of the overload observations."""
         return self.now // self.overload_bucket_us
 
     def fit_buckets(self, servers: int, zones: int) -> None:
-        """Make buckets so long that the recent ones hold a report on every server.
+        """Set the length of buckets so that the recent ones contain a report on every server.
 
-        Reports come so many lines a second: a window shorter than a round of them has nothing of most
-        servers.
+        The rate of report lines is limited. A window shorter than one round of reports would contain no
+        reports on most servers.
         """
         settings = self.settings
         zones = max(settings.directors, zones)
--- a/rainpick/decisions/concentration.py
+++ b/rainpick/decisions/concentration.py
@@ -1,7 +1,7 @@
-"""Protects servers that warm up from being sent too much by the tables of few busy proxies.
+"""Protects servers that warm up from the tables of a few busy proxies.
 
-Each director knows of its own proxies alone, and some of them are far busier than the rest: their tables
-could send a server that has just started several times its part of all requests.
+Each director knows only its own proxies, and some of them are far busier than the others. Their tables could
+send a server that has just started several times its share of all requests.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 
 def update_concentration(fleet: Fleet, assignment: TableAssignment) -> None:
-    """Set the concentration factor of each server that warms up to what its fair part asks for."""
+    """Set the concentration factor of each server that warms up so that it receives at most its share."""
     for server in fleet.servers.values():
         server.concentration_factor = 1.0
     rates = {table: sum(proxy.request_rate for proxy in table.proxies.values()) for table in fleet.tables}
     weights = table_weights(fleet, assignment)
     total_rate = sum(proxy.request_rate for proxy in fleet.proxies.values())
     usable = [server.effective_weight() for server in fleet.servers.values() if not server.withdrawn]
-    missing_proxies = max(1, fleet.settings.expected_proxies / max(1, len(fleet.proxies)))
-    rate_per_weight = total_rate * missing_proxies / (sum(usable) or 1.0)
+    proxy_ratio = max(1, fleet.settings.expected_proxies / max(1, len(fleet.proxies)))
+    rate_per_weight = total_rate * proxy_ratio / (sum(usable) or 1.0)
     for server in fleet.servers.values():
         if server.percentage and not server.is_warm:
-            brought = sum(
+            received_rate = sum(
                 rates[table] * assignment.weight(server, table) / (weights[table] or 1.0)
                 for table in server.tables
             )
-            fair = rate_per_weight * server.effective_weight()
-            server.concentration_factor = fair / brought if brought > fair else 1.0
+            fair_rate = rate_per_weight * server.effective_weight()
+            server.concentration_factor = fair_rate / received_rate if received_rate > fair_rate else 1.0
 
 
 def table_weights(fleet: Fleet, assignment: TableAssignment) -> dict[Table, float]:
-    """By table, the weight of its servers that are not withdrawn."""
+    """Return, by table, the total weight of its servers that are not withdrawn."""
     weights: dict[Table, float] = defaultdict(float)
     for server in fleet.servers.values():
         for table in server.tables:
--- a/rainpick/decisions/director.py
+++ b/rainpick/decisions/director.py
@@ -1,15 +1,17 @@
 """The decisions of one director: events in, commands out.
 
-Make one ``Director`` per instance and hand ``step`` the clock and the events that came; it returns the
+Create one ``Director`` per instance. Call ``step`` with the current time and the new events; it returns the
 commands to carry out. The first event is ``Started``. Each concern has a module of its own, which owns its
-state; ``docs/design.md`` says what was kept of the design, what was changed, and when each exception acts:
-
-- ``endpoint_list``, ``proxy_membership``, ``fleet_load``: what is heard;
-- ``slow_start``, ``capacity``, ``outlier_detection``, ``overload``, ``concentration``: how much of its weight
-  a server gets;
-- ``locality``, ``table_assignment``, ``key_ranges``: where a server stands;
-- ``admission``: what proxies admit under congestion;
-- ``withdrawals``, ``binding``, ``weight_updates``, ``publisher``, ``send_queue``: what is published and when.
+state; ``docs/design.md`` lists the parts of the design that were kept, the changes to it, and the conditions
+of each exception:
+
+- ``endpoint_list``, ``proxy_membership``, ``fleet_load``: apply events to the state;
+- ``slow_start``, ``capacity``, ``outlier_detection``, ``overload``, ``concentration``: determine the
+  percentage of its weight that a server gets;
+- ``locality``, ``table_assignment``, ``key_ranges``: assign servers to tables and key ranges;
+- ``admission``: limits the requests that proxies admit under congestion;
+- ``withdrawals``, ``binding``, ``weight_updates``, ``publisher``, ``send_queue``: determine what is published
+  and when.
 """
 
 from __future__ import annotations
@@ -36,14 +38,14 @@
 from rainpick.decisions.settings import TICK_US, UPDATE_INTERVAL_US, read_settings
 from rainpick.decisions.slow_start import Conditions, SlowStart
 from rainpick.decisions.table_assignment import TableAssignment
-from rainpick.decisions.weight_updates import WeightUpdates, served_tables
+from rainpick.decisions.weight_updates import WeightUpdates, populated_tables
 from rainpick.decisions.withdrawals import Withdrawals
 
 UPDATE_TIMER, SUBSCRIBE_TIMER = 0, 1  # tokens of timers
 
 
 class Director:
-    """One instance. Nothing is shared with others. Its parts are built by the event ``Started``."""
+    """One director instance; it shares no state with others. The event ``Started`` creates its components."""
 
     fleet: Fleet
     load: FleetLoad
@@ -62,12 +64,12 @@
     proxy_membership: ProxyMembership
     key_ranges: KeyRanges
     handlers: Mapping[type, Callable[[Any], None]]
-    update_due: bool  # in this step; else at the next update interval
+    update_due: bool  # publish in this step instead of at the next update interval
     next_update_us: int
     next_tick_us: int
 
     def step(self, now: int, events: Sequence[Any]) -> list[Any]:
-        """Take in the events that came, as of ``now`` in microseconds; returns the commands."""
+        """Process events at the time ``now`` in microseconds, and return the resulting commands."""
         commands: list[Any] = []
         if events and type(events[0]) is model.Started:
             commands += self.start(now, events[0])
@@ -90,7 +92,7 @@
         return commands
 
     def start(self, now: int, event: model.Started) -> list[model.Subscribe]:
-        """Build all parts anew, holding nothing; returns the first commands."""
+        """Create all components with empty state; returns the first commands."""
         settings = read_settings(event.settings)
         self.fleet = fleet = Fleet(settings, now)
         self.load = FleetLoad(fleet)
@@ -116,7 +118,7 @@
     # Events
 
     def event_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """By type of event, what takes it in; other events change nothing."""
+        """Return the handler of each event type; events of other types are ignored."""
         return {
             model.EndpointUpdate: self.endpoints_updated,
             model.TimerFired: self.timer_fired,
@@ -131,7 +133,7 @@
         }
 
     def endpoints_updated(self, event: model.EndpointUpdate) -> None:
-        """The endpoint list changed, or could not be had: then it is asked for again."""
+        """Apply an endpoint list update; after a failed one, schedule a new subscription."""
         self.update_due = True
         if event.kind == model.UpdateKind.FAILED:
             self.publisher.commands.append(model.SetTimer(SUBSCRIBE_TIMER, TICK_US))
@@ -139,32 +141,32 @@
             self.endpoint_list.apply(event)
 
     def timer_fired(self, event: model.TimerFired) -> None:
-        """A timer is due; that of updates needs nothing but the step."""
+        """Subscribe again after a failed update; the update timer only has to trigger a step."""
         if event.token == SUBSCRIBE_TIMER:
             self.publisher.commands.append(model.Subscribe(True))
 
     def proxy_joined(self, event: model.ProxyJoined) -> None:
-        """A proxy joined and waits for a table."""
+        """Add a proxy, which is unbound at first, and request an update."""
         self.proxy_membership.joined(event)
         self.update_due = True
 
     def retransmitted(self, event: model.Retransmitted) -> None:
-        """A reply is sent again, since it may have been carried out unanswered."""
+        """Account for a reply that is sent again because it may have been applied without an answer."""
         self.publisher.retransmitted(event.nonce)
 
     def server_reported(self, event: model.ServerLoadReport) -> None:
-        """A load report on a server."""
+        """Record a load report on a server."""
         self.load.record(event, self.overload.settled_us)
 
     def key_range_assigned(self, event: model.KeyRangeAssigned) -> None:
-        """A key range came into this director's charge, or left it."""
+        """Add a key range that was assigned to this director, or remove one that was taken from it."""
         self.update_due = True
         self.key_ranges.assigned(event)
 
     # Decisions
 
     def publish(self) -> None:
-        """Work out what should be published, and publish what there is capacity for."""
+        """Compute the target state, and publish as much of the difference as there is capacity for."""
         if self.fleet.settings.uses_key_ranges:
             conditions = self.conditions()
             self.publisher.commands += self.key_ranges.publish(
@@ -174,8 +176,11 @@
             self.update_tables()
 
     def update_tables(self) -> None:
-        """Publish what changed: first what the rules need, then what has a deadline, then weight updates."""
-        fleet, publisher, claims = self.fleet, self.publisher, self.publisher.claims
+        """Publish changes of tables, in the order of their priority.
+
+        Changes that the rules require come first, then those with a deadline, then weight updates.
+        """
+        fleet, publisher, quotas = self.fleet, self.publisher, self.publisher.quotas
         publisher.begin()
         warm = self.warm_servers()
         self.readmit_if_all_are_ejected(warm)
@@ -188,19 +193,20 @@
         self.assignment.update()
         update_concentration(fleet, self.assignment)
         overdue = self.withdrawals.publish()
-        served, served_warm = served_tables(fleet.servers.values()), served_tables(warm)
-        self.weight_updates.fill_empty_tables(served, claims.rule)
+        populated, warm_populated = populated_tables(fleet.servers.values()), populated_tables(warm)
+        self.weight_updates.fill_empty_tables(populated, quotas.rule)
         self.publish_admission()
-        # Binds go before the rest, as what an unbound proxy holds may be draining.
+        # Binds precede the rest because an unbound proxy may still use a draining server.
         self.binding.publish()
-        self.weight_updates.protect_warming_servers(warm, served, served_warm, overdue)
-        # Updates leave a message more: a zone that is back costs several before all its starts are known.
+        self.weight_updates.protect_warming_servers(warm, populated, warm_populated, overdue)
+        # Weight updates leave one message more in reserve: when a zone returns, its servers' starts are
+        # discovered one after another, and this takes several messages.
         if not fleet.unbound_proxies():
-            self.weight_updates.publish_batch(claims.update)
+            self.weight_updates.publish_batch(quotas.update)
         publisher.finish()
 
     def tick(self) -> None:
-        """What is decided once a tick."""
+        """Run the decisions that are made once a tick."""
         self.endpoint_list.forget_gone()
         self.next_tick_us = self.fleet.clock.now + TICK_US
         self.weight_updates.schedule()
@@ -209,19 +215,19 @@
         self.admission.update()
 
     def warm_servers(self) -> dict[ServerState, None]:
-        """The servers that are warm, as an ordered set: in the order of the list."""
+        """Return the warm servers as an ordered set, in the order of the endpoint list."""
         fleet = self.fleet
         return {server: None for server in fleet.servers.values() if fleet.is_warm(server)}
 
     @staticmethod
     def readmit_if_all_are_ejected(warm: dict[ServerState, None]) -> None:
-        """End the ejections if nothing else is left: any server is better than none."""
+        """End all ejections if no other warm server is left: any server is better than none."""
         if all(server.ejected_until_us for server in warm):
             for server in warm:
                 server.ejected_until_us = 0
 
     def conditions(self) -> Conditions:
-        """What the percentages of this step depend on beside the servers themselves."""
+        """Return the fleet-wide inputs of the servers' percentages in this step."""
         return Conditions(
             machine_type_factors=self.overload.machine_type_factors,
             success_ratio=self.load.success_ratio,
@@ -230,7 +236,7 @@
         )
 
     def update_percentages(self, warm: dict[ServerState, None]) -> None:
-        """Set each server's percentage, and sum up how much warm weight is left."""
+        """Set each server's percentage, and update the warm capacity in use."""
         self.capacity.update_fleet(warm)
         conditions = self.conditions()
         for server in self.fleet.servers.values():
@@ -239,7 +245,7 @@
         self.capacity.update_tables()
 
     def publish_admission(self) -> None:
-        """Publish admission rates to the tables that do not have them."""
+        """Publish admission rates to the tables whose published rates differ."""
         rates = self.admission.rates
         for table in self.fleet.tables:
             published = table.published_admission
@@ -250,16 +256,16 @@
                 model.SetAdmission(table.number, 1 << route, rates[route], model.RetryPolicy.NO_RETRY)
                 for route in changed
             ]
-            if self.publisher.write(commands, [table], len(commands), self.publisher.claims.admission):
+            if self.publisher.write(commands, [table], len(commands), self.publisher.quotas.admission):
                 published.update(rates)
 
     # For logs, metrics and inspection
 
     @property
     def now(self) -> int:
-        """The clock of the last step, in microseconds."""
+        """The time of the last step, in microseconds."""
         return self.fleet.clock.now
 
     def channel(self) -> ChannelState:
-        """How the channel stands."""
+        """Return the state of the paced channel."""
         return self.withdrawals.channel_state()
--- a/rainpick/decisions/endpoint_list.py
+++ b/rainpick/decisions/endpoint_list.py
@@ -1,14 +1,14 @@
-"""Follows the endpoint list: which servers there are, and which of them drain, are gone or doubtful."""
+"""Applies the endpoint list to the fleet: which servers exist, and which are draining, gone or missing."""
 
 from __future__ import annotations
 
 from rainpick.decisions.fleet import Fleet
-from rainpick.decisions.servers import DRAINING, GONE, MISSING, OBSERVED, READY, ServerState
+from rainpick.decisions.servers import DRAINING, GONE, MISSING, OBSERVATION_COLUMNS, READY, ServerState
 from rainpick.decisions.sliding_window import SlidingWindow
 from rainpick.model import Address, Endpoint, EndpointUpdate, UpdateKind
 
-FORGET_TICKS = 30  # a server gone for so many ticks is forgotten
-FORGOTTEN_MAX = 4096  # forgotten servers of which it is still known that they were withdrawn
+FORGET_TICKS = 30  # ticks after which a gone server is forgotten
+FORGOTTEN_MAX = 4096  # forgotten servers that are remembered as withdrawn
 
 
 class EndpointList:
@@ -16,11 +16,11 @@
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
-        # Forgotten servers that proxies still hold as withdrawn, the newest last.
+        # Forgotten servers that are still withdrawn at the proxies, the newest last.
         self.forgotten: dict[Address, bool] = {}
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Take in an update that did not fail."""
+        """Apply an update that did not fail."""
         for entry in update.endpoints:
             self.apply_entry(entry)
         servers = self.fleet.servers
@@ -33,7 +33,7 @@
             self.fleet.clock.fit_buckets(len(present), zones)
 
     def apply_entry(self, entry: Endpoint) -> None:
-        """Take in one entry."""
+        """Apply one entry of the list."""
         if entry.state == GONE and entry.address in self.forgotten:
             return
         server = self.fleet.servers.setdefault(entry.address, ServerState(entry))
@@ -53,19 +53,20 @@
         server.presumed_gone = False
 
     def drop(self, server: ServerState) -> None:
-        """The list no longer has a server. Where that is not final, what still answers is kept."""
+        """Mark a server that the list dropped as missing if that is not final, else as gone."""
         if server.status == READY and self.fleet.settings.gone_is_not_final:
             server.status = MISSING
-            server.observations = SlidingWindow(OBSERVED)
+            server.observations = SlidingWindow(OBSERVATION_COLUMNS)
         elif server.status != MISSING:
             if server.status != DRAINING:
                 server.drain_started_us = self.fleet.clock.now
             server.status = GONE
 
     def forget_gone(self) -> None:
-        """Once a tick: forget servers that are long gone.
+        """Forget servers that have been gone for long; called once a tick.
 
-        Servers are replaced all day: neither memory nor the time of a step may grow with those that left.
+        Servers are replaced continuously: neither memory nor the time of a step may grow with the number of
+        servers that have left.
         """
         servers = self.fleet.servers
         for address, server in list(servers.items()):
--- a/rainpick/decisions/fleet.py
+++ b/rainpick/decisions/fleet.py
@@ -1,4 +1,4 @@
-"""What all decisions of a director share: settings, clock, servers, proxies and tables."""
+"""The state shared by all decisions of a director: settings, clock, servers, proxies and tables."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class Fleet:
-    """The state that several decisions read. Who writes what is said in ``docs/architecture.md``.
+    """The state that several decisions read; ``docs/architecture.md`` lists which module writes what.
 
-    ``unbound`` are proxies that wait for a table and may hold anything; each table has a group of its own
-    for those that may hold what another director published under its number.
+    ``unbound`` contains proxies that are not bound to a table and may use any servers. Each table has its own
+    group of unbound proxies that may still use the servers another director published under the table's
+    number.
     """
 
     def __init__(self, settings: DecisionSettings, now: int):
@@ -28,21 +29,24 @@
         self.unbound = ProxyGroup()
 
     def is_warm(self, server: ServerState) -> bool:
-        """Whether a server is serving and old enough for its full capacity."""
+        """Return whether a server is serving and old enough for its full capacity."""
         started_us = server.endpoint.started_us
         old = not started_us or self.clock.now - started_us >= self.settings.warm_after_us
         return server.is_serving and old
 
     def unbound_groups(self) -> Iterable[ProxyGroup]:
-        """All groups of proxies that wait for a table."""
+        """Return all groups of unbound proxies."""
         yield self.unbound
         for table in self.tables:
             yield table.unbound
 
     def unbound_proxies(self) -> list[ProxyState]:
-        """All proxies that wait for a table."""
+        """Return all proxies that are not bound to a table."""
         return [proxy for group in self.unbound_groups() for proxy in group.proxies.values()]
 
     def unbound_holders(self, server: ServerState) -> list[ProxyGroup]:
-        """Proxies that wait for a table and may hold the server: from a former director, or by default."""
+        """Return the groups of unbound proxies that may use a server.
+
+        A proxy may use it because an earlier director published it, or because it is in its default table.
+        """
         return [self.unbound, *(table.unbound for table in server.tables or self.tables)]
--- a/rainpick/decisions/fleet_load.py
+++ b/rainpick/decisions/fleet_load.py
@@ -1,4 +1,4 @@
-"""How the fleet as a whole is doing, from load reports: latency, answered attempts, congestion."""
+"""The load of the whole fleet, from load reports: latency, success ratio, congestion."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from rainpick.decisions.sliding_window import RECENT_BUCKETS, SlidingWindow
 from rainpick.model import ServerLoadReport
 
-FEW_ATTEMPTS = 4  # failures say nothing of the fleet under so many attempts
-CALM_SUCCESS_RATIO = 0.7  # a fleet that answers a lower part of its attempts is congested
-CONGESTED_LATENCY_RATIO = 0.6  # so is one whose median latency is over this part of the objective
+SUCCESS_RATIO_ATTEMPTS_MIN = 4  # fewer attempts do not represent the fleet
+HEALTHY_SUCCESS_RATIO = 0.7  # a fleet that answers a smaller fraction of its attempts is not healthy
+CONGESTED_LATENCY_RATIO = 0.6  # a fleet is congested above this ratio of median latency to the objective
 
 
 class Observations(NamedTuple):
-    """Attempts at a server over a window."""
+    """Attempts at a server over a time window."""
 
     attempts: int
     failures: int
-    latency_us: int  # sum of those that were answered
+    latency_us: int  # sum over answered attempts
 
     @property
     def answered(self) -> int:
-        """Attempts that did not fail."""
+        """The number of attempts that did not fail."""
         return self.attempts - self.failures
 
 
 class FleetLoad:
-    """Evidence from all servers together.
+    """Aggregated load reports of all servers.
 
-    ``latency_ratio`` is the median latency of servers over the latency objective, ``success_ratio`` the part
-    of all attempts that was answered lately, ``typical_success_ratio`` that part at the median server.
+    ``latency_ratio`` is the median latency of servers over the latency objective, ``success_ratio`` the
+    recent fraction of answered attempts, and ``typical_success_ratio`` that fraction at the median server.
     """
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
-        # Everywhere: attempts, failures, the reports' intervals, how many reports.
+        # Over all servers: attempts, failures, the sum of report intervals, the number of reports.
         self.totals = SlidingWindow(4)
         self.has_new_reports = False
         self.latency_ratio = 0.0
@@ -47,7 +47,7 @@
         self.mean_report_interval_us = 0.0
 
     def record(self, report: ServerLoadReport, capacity_settled_us: int) -> None:
-        """Take in a report. Evidence of overload counts from ``capacity_settled_us`` on."""
+        """Record a report; it counts as an overload observation only from ``capacity_settled_us`` on."""
         clock = self.fleet.clock
         self.totals.add(clock.bucket, report.attempts, report.failures, report.interval_us, 1)
         server = self.fleet.servers.get(report.server)
@@ -62,13 +62,13 @@
         self.has_new_reports = True
 
     def update_totals(self) -> None:
-        """Work out what the reports on all servers say together."""
+        """Update the ratios over all servers from the recent reports."""
         attempts, failures, interval_us, reports = self.totals.sums(self.fleet.clock.bucket, RECENT_BUCKETS)
-        self.success_ratio = 1 - failures / max(attempts, FEW_ATTEMPTS)
+        self.success_ratio = 1 - failures / max(attempts, SUCCESS_RATIO_ATTEMPTS_MIN)
         self.mean_report_interval_us = interval_us / max(1, reports)
 
     def update_medians(self, recent: Mapping[ServerState, Observations]) -> None:
-        """Work out how the median server is doing, from the recent observations of each."""
+        """Update the ratios of the median server from the recent observations of each server."""
         latencies = [row.latency_us / row.answered for row in recent.values() if row.answered > 0]
         failed = [row.failures / row.attempts for row in recent.values() if row.attempts]
         self.latency_ratio = median(latencies or [0]) / self.fleet.settings.latency_objective_us
@@ -76,10 +76,10 @@
 
     @property
     def is_congested(self) -> bool:
-        """Whether servers are so slow that a full one and a dead one look alike."""
+        """Whether latency is too high to distinguish an overloaded server from a broken one."""
         return self.latency_ratio > CONGESTED_LATENCY_RATIO
 
     @property
-    def is_calm(self) -> bool:
-        """Whether the fleet is neither slow nor failing as a whole."""
-        return not self.is_congested and self.success_ratio >= CALM_SUCCESS_RATIO
+    def is_healthy(self) -> bool:
+        """Whether the fleet as a whole is neither congested nor failing."""
+        return not self.is_congested and self.success_ratio >= HEALTHY_SUCCESS_RATIO
--- a/rainpick/decisions/locality.py
+++ b/rainpick/decisions/locality.py
@@ -1,4 +1,4 @@
-"""Zone preference and spill-over: how much the tables of a zone use servers of other zones."""
+"""Zone preference and spill-over: the extent to which the tables of a zone use servers of other zones."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rainpick.decisions.servers import ServerState
 from rainpick.decisions.tables import Table
 
-SPILL_STEP = 0.25  # steps in which a zone's tables use servers of other zones
+SPILL_STEP = 0.25  # spill-over changes in steps of this size
 
 
 class Locality:
-    """The part of their weight that servers of other zones have in the tables of each zone.
+    """The fraction of their weight that servers of other zones have in the tables of each zone.
 
-    0: the zone can do all its own requests; 1: its tables use all zones alike.
+    0: the zone has capacity for all its own requests; 1: its tables use all zones alike.
     """
 
     def __init__(self, fleet: Fleet):
@@ -23,17 +23,17 @@
         self.spill: dict[int | None, float] = {}
 
     def is_remote(self, server: ServerState, table: Table) -> bool:
-        """Whether a server is of another zone than a table."""
+        """Return whether a server is in another zone than a table."""
         return table.zone not in (None, server.endpoint.zone)
 
     def update(self, zones: Iterable[int | None]) -> None:
-        """Work out the spill-over of each zone that has tables, in steps."""
-        for zone, wanted in self.wanted_spill(zones).items():
-            if abs(wanted - self.spill.setdefault(zone, 0.0)) > SPILL_STEP:
-                self.spill[zone] = round(wanted / SPILL_STEP) * SPILL_STEP
+        """Update the spill-over of each zone that has tables, in steps."""
+        for zone, target in self.target_spill(zones).items():
+            if abs(target - self.spill.setdefault(zone, 0.0)) > SPILL_STEP:
+                self.spill[zone] = round(target / SPILL_STEP) * SPILL_STEP
 
-    def wanted_spill(self, zones: Iterable[int | None]) -> dict[int | None, float]:
-        """What each zone's proxies ask beyond what its usable servers can do, from 0 to 1."""
+    def target_spill(self, zones: Iterable[int | None]) -> dict[int | None, float]:
+        """Return, by zone, the demand above the capacity of its usable servers, from 0 to 1."""
         fleet, settings = self.fleet, self.fleet.settings
         usable: dict[int | None, float] = defaultdict(float)
         requested: dict[int | None, float] = defaultdict(float)
@@ -42,10 +42,10 @@
         for proxy in fleet.proxies.values():
             requested[proxy.zone] += proxy.request_rate
         rate_per_proxy = sum(requested.values()) / max(1, len(fleet.proxies)) or 1.0
-        wanted = {}
+        target = {}
         for zone in zones:
             own = settings.proxies_by_zone and zone == settings.zone
             ratio = requested[zone] * (1 if own else settings.directors) / rate_per_proxy
             ratio *= sum(usable.values()) / max(1, settings.expected_proxies) / max(usable[zone], 1e-9)
-            wanted[zone] = min(1.0, max(0.0, ratio - 1))
-        return wanted
+            target[zone] = min(1.0, max(0.0, ratio - 1))
+        return target
--- a/rainpick/decisions/proxies.py
+++ b/rainpick/decisions/proxies.py
@@ -1,4 +1,4 @@
-"""What a director knows of each joined proxy, and how many messages it may be sent."""
+"""The state that a director keeps of each joined proxy, and the limit of messages to a proxy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rainpick.decisions.sliding_window import SlidingWindow
 from rainpick.model import ProxyJoined
 
-BURST_FRACTION = 0.4  # of the messages that a proxy may be sent, this part may go out at once
+BURST_FRACTION = 0.4  # of the message cap that may be sent at once
 
 
 class SentMessage(NamedTuple):
@@ -20,7 +20,7 @@
 
 
 class ProxyState:
-    """One joined proxy. ``group`` is the table that it follows, or those proxies that wait for one."""
+    """One joined proxy; ``group`` is the table that it is bound to, or a group of unbound proxies."""
 
     def __init__(self, event: ProxyJoined, now: int, group: ProxyGroup):
         self.number = event.proxy
@@ -28,26 +28,26 @@
         self.request_rate = event.request_rate
         self.group = group
         self.joined_us = now
-        self.requests: dict[int, SlidingWindow] = {}  # by route: requests, and over how many microseconds
+        self.requests: dict[int, SlidingWindow] = {}  # by route: requests, report intervals in us
         self.unacknowledged: deque[SentMessage] = deque()
-        self.message_tokens = 1e9  # filled up to a burst when it is first asked for
+        self.message_tokens = 1e9  # reduced to the burst size at the first use
         self.tokens_filled_us = now
 
     def inherit(self, former: ProxyState) -> None:
-        """It joined again and nobody saw it leave: what it was sent may still wait in the channel."""
+        """Copy the message state from before an unnoticed rejoin: messages may still be in the channel."""
         self.unacknowledged = former.unacknowledged
         self.message_tokens = former.message_tokens
         self.tokens_filled_us = former.tokens_filled_us
 
     def unacknowledged_lines(self) -> int:
-        """Lines of the messages that it has not acknowledged."""
+        """Return the number of lines in unacknowledged messages."""
         return sum(message.lines for message in self.unacknowledged)
 
 
 class ProxyGroup:
-    """Proxies that the same commands reach.
+    """Proxies that receive the same commands.
 
-    ``pending_lines`` counts the lines that the step under way writes to each of them, the head left out.
+    ``pending_lines`` counts the lines that the current step writes to each of them, without the message head.
     """
 
     def __init__(self) -> None:
@@ -56,22 +56,22 @@
 
 
 class MessageLimit:
-    """The cap of messages to one proxy within a window of time, as a token bucket.
+    """The cap on messages to one proxy within a time window, as a token bucket.
 
-    A small burst may go out at once, then messages go evenly, so that no window of that length holds more
-    than the cap. One message is kept in reserve.
+    A small burst may be sent at once; further messages are spaced evenly, so that no time window of that
+    length contains more messages than the cap. One message is kept in reserve.
     """
 
     def __init__(self, settings: DecisionSettings):
-        self.most = settings.messages_max - 1
-        self.burst = max(1.0, BURST_FRACTION * self.most)
-        self.per_us = (self.most - self.burst) / settings.messages_window_us
+        self.cap = settings.messages_max - 1
+        self.burst = max(1.0, BURST_FRACTION * self.cap)
+        self.tokens_per_us = (self.cap - self.burst) / settings.messages_window_us
 
     def available(self, proxy: ProxyState, now: int) -> float:
-        """Messages that may be sent to a proxy now."""
-        if self.most <= 0:
+        """Return the number of messages that may be sent to a proxy now."""
+        if self.cap <= 0:
             return self.burst
-        filled = proxy.message_tokens + (now - proxy.tokens_filled_us) * self.per_us
+        filled = proxy.message_tokens + (now - proxy.tokens_filled_us) * self.tokens_per_us
         proxy.message_tokens = min(self.burst, filled)
         proxy.tokens_filled_us = now
         return proxy.message_tokens
--- a/rainpick/decisions/proxy_membership.py
+++ b/rainpick/decisions/proxy_membership.py
@@ -1,4 +1,4 @@
-"""Follows which proxies are joined, and which of them wait for a table."""
+"""Tracks which proxies are joined, and which of them are not bound to a table."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ProxyMembership:
-    """Applies what is heard of proxies to the fleet and to the send queue."""
+    """Applies events about proxies to the fleet and to the send queue."""
 
     def __init__(self, fleet: Fleet, assignment: TableAssignment, queue: SendQueue):
         self.fleet = fleet
@@ -19,7 +19,7 @@
         self.queue = queue
 
     def joined(self, event: ProxyJoined) -> None:
-        """A proxy joined, perhaps once more and unseen: it waits for a table."""
+        """Add a proxy, unbound, which may have rejoined without a notice that it left."""
         former = self.fleet.proxies.get(event.proxy)
         proxy = ProxyState(event, self.fleet.clock.now, self.fleet.unbound)
         self.remove(event.proxy)
@@ -32,18 +32,18 @@
         proxy.group.proxies[event.proxy] = proxy
 
     def left(self, event: ProxyLeft) -> None:
-        """A proxy left."""
+        """Remove a proxy that left."""
         self.remove(event.proxy)
 
     def remove(self, number: int) -> None:
-        """Forget a proxy, and what it was sent."""
+        """Remove a proxy, and stop counting the lines sent to it."""
         proxy = self.fleet.proxies.pop(number, None)
         if proxy:
             self.queue.forget(proxy.unacknowledged_lines())
             proxy.group.proxies.pop(number)
 
     def reported(self, report: RouteLoadReport) -> None:
-        """A report on the requests of a route that reached a proxy."""
+        """Record a load report on the requests of a route that reached a proxy."""
         proxy = self.fleet.proxies.get(report.proxy)
         if proxy:
             window = proxy.requests.setdefault(report.route, SlidingWindow(2))
--- a/rainpick/decisions/publisher.py
+++ b/rainpick/decisions/publisher.py
@@ -1,7 +1,7 @@
-"""Writes the commands of a step, within the send queue's limit and each proxy's allowance of messages.
+"""Writes the commands of a step, within the send queue's limit and each proxy's message limit.
 
-One reply of a step is one message to each proxy that it reaches. A message costs its head and the lines of
-its commands, and is counted until the proxy has acknowledged it.
+The reply of a step is one message to each proxy that it reaches. A message takes the lines of its head and of
+its commands, and counts as waiting until the proxy has acknowledged it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.proxies import MessageLimit, ProxyGroup, ProxyState, SentMessage
-from rainpick.decisions.send_queue import Claim, Claims, SendQueue
+from rainpick.decisions.send_queue import Quota, Quotas, SendQueue
 from rainpick.decisions.settings import UPDATE_INTERVAL_US, DecisionSettings
 from rainpick.decisions.tables import Table
 from rainpick.model import (
@@ -23,42 +23,49 @@
     SetWithdrawn,
 )
 
-NONCES = 65536
-AHEAD_INTERVALS = 1.5  # update intervals of the channel's pace that are written ahead: a step may be late
-AHEAD_DELAYS = 2  # and so many delivery delays of it: what is on its way or not acknowledged yet
-QUEUE_GRACE_FRACTION = 0.5  # binds and weight updates fill a queue that lasts for this part of the grace
-UPDATE_QUEUE_FRACTION = 0.5  # of that, and of the span written ahead: what weight updates leave to others
-UPDATE_MESSAGES = 3  # that a proxy must have left for a weight update, for an ejection, for an admission rate
-EJECTION_MESSAGES = 2
-ADMISSION_MESSAGES = 2
+NONCE_COUNT = 65536
+# The send window covers this many update intervals, since a step may be late, plus this many delivery delays,
+# for lines in transit and for those not acknowledged yet.
+WINDOW_UPDATE_INTERVALS = 1.5
+WINDOW_DELIVERY_DELAYS = 2
+# Binds and weight updates fill the queue with at most the lines that leave within this fraction of the grace.
+QUEUE_GRACE_FRACTION = 0.5
+# Weight updates leave this fraction of those lines, and of the send window, to other commands.
+UPDATE_QUEUE_FRACTION = 0.5
+# Messages that a proxy must have available to be sent a command of each kind.
+UPDATE_MESSAGES_MIN = 3
+EJECTION_MESSAGES_MIN = 2
+ADMISSION_MESSAGES_MIN = 2
 
 TableCommand = SetWeight | SetWithdrawn | SetAdmission
 
 
-def make_claims(settings: DecisionSettings) -> Claims:
-    """What each kind of command may fill of the send queue."""
+def make_quotas(settings: DecisionSettings) -> Quotas:
+    """Return the part of the send queue that each kind of command may fill."""
     limit = settings.channel_lines_max
     capacity = min(limit, QUEUE_GRACE_FRACTION * settings.grace_lines)
-    bind = Claim(1, limit - (1 + UPDATE_QUEUE_FRACTION) / 2 * capacity, 1.0)
-    return Claims(
-        rule=Claim(1, 0, None),
-        drain=Claim(1, 0, 1.0),
+    bind = Quota(1, limit - (1 + UPDATE_QUEUE_FRACTION) / 2 * capacity, 1.0)
+    return Quotas(
+        rule=Quota(1, 0, None),
+        drain=Quota(1, 0, 1.0),
         bind=bind,
-        ejection=bind._replace(messages=EJECTION_MESSAGES),
-        admission=Claim(ADMISSION_MESSAGES, 0, None),
-        update=Claim(UPDATE_MESSAGES, limit - UPDATE_QUEUE_FRACTION * capacity, UPDATE_QUEUE_FRACTION),
+        ejection=bind._replace(messages=EJECTION_MESSAGES_MIN),
+        admission=Quota(ADMISSION_MESSAGES_MIN, 0, None),
+        update=Quota(UPDATE_MESSAGES_MIN, limit - UPDATE_QUEUE_FRACTION * capacity, UPDATE_QUEUE_FRACTION),
     )
 
 
 class Publisher:
-    """Owns the send queue and the commands of the step under way."""
+    """Owns the send queue and the commands of the current step."""
 
     def __init__(self, fleet: Fleet):
         settings = fleet.settings
         self.fleet = fleet
-        self.claims = make_claims(settings)
-        ahead_us = AHEAD_INTERVALS * UPDATE_INTERVAL_US + AHEAD_DELAYS * settings.delivery_delay_us
-        self.queue = SendQueue(settings.channel_lines_max, ahead_us * settings.channel_lines_per_s / 1e6)
+        self.quotas = make_quotas(settings)
+        window_us = (
+            WINDOW_UPDATE_INTERVALS * UPDATE_INTERVAL_US + WINDOW_DELIVERY_DELAYS * settings.delivery_delay_us
+        )
+        self.queue = SendQueue(settings.channel_lines_max, window_us * settings.channel_lines_per_s / 1e6)
         self.head_lines = settings.message_head_lines
         self.message_limit = MessageLimit(settings)
         self.nonce = 0
@@ -68,14 +75,14 @@
     # Events
 
     def acknowledged(self, event: Acknowledged) -> None:
-        """A proxy has applied a message, and so all before it."""
+        """Record that a proxy has applied a message and all messages before it."""
         proxy = self.fleet.proxies.get(event.proxy)
         while proxy and any(message.nonce == event.nonce for message in proxy.unacknowledged):
             message = proxy.unacknowledged.popleft()
             self.queue.acknowledge(message.nonce, message.lines)
 
     def retransmitted(self, nonce: int) -> None:
-        """A reply is sent again: its lines may wait twice, and each proxy it reached has a message less."""
+        """Count a repeated reply: its lines may wait twice, and each proxy it reached has a message less."""
         for proxy in self.fleet.proxies.values():
             lines = next((sent.lines for sent in proxy.unacknowledged if sent.nonce == nonce), 0)
             if lines:
@@ -83,25 +90,25 @@
                 self.queue.retransmit(lines)
                 proxy.message_tokens -= 1
 
-    # The reply under way
+    # The reply of the current step
 
     def begin(self) -> None:
-        """Begin the messages of a step."""
+        """Begin the reply of a step."""
         self.queue.begin()
 
     def available_messages(self, proxy: ProxyState) -> float:
-        """Messages that may be sent to a proxy now."""
+        """Return the number of messages that may be sent to a proxy now."""
         return self.message_limit.available(proxy, self.fleet.clock.now)
 
     def cost(self, groups: Iterable[ProxyGroup], lines: int) -> int:
-        """Lines of the queue that so many lines for each proxy of some groups take, heads included."""
+        """Return the queue lines, message heads included, for ``lines`` lines to each proxy of the groups."""
         return sum(
             len(group.proxies) * (lines + (0 if group.pending_lines else self.head_lines)) for group in groups
         )
 
-    def is_allowed(self, groups: Iterable[ProxyGroup], claim: Claim) -> bool:
-        """Whether each proxy of some groups may be sent a message, or has one in this step already."""
-        needed = min(claim.messages, self.message_limit.burst)
+    def is_allowed(self, groups: Iterable[ProxyGroup], quota: Quota) -> bool:
+        """Return whether each proxy may receive a message, or already receives one in this step."""
+        needed = min(quota.messages, self.message_limit.burst)
         return all(
             self.available_messages(proxy) >= needed
             for group in groups
@@ -110,11 +117,14 @@
         )
 
     def write(
-        self, commands: Iterable[TableCommand], groups: Sequence[ProxyGroup], lines: int, claim: Claim
+        self, commands: Iterable[TableCommand], groups: Sequence[ProxyGroup], lines: int, quota: Quota
     ) -> bool:
-        """Write commands, so many lines to each proxy of some groups; False if there is no capacity."""
+        """Write commands that take ``lines`` lines in the message to each proxy of the groups.
+
+        Returns False, and writes nothing, if there is no capacity.
+        """
         cost = self.cost(groups, lines)
-        if not self.queue.fits(cost, claim) or not self.is_allowed(groups, claim):
+        if not self.queue.fits(cost, quota) or not self.is_allowed(groups, quota):
             return False
         self.queue.plan(cost)
         self.commands += commands
@@ -123,11 +133,11 @@
         return True
 
     def can_bind(self, proxy: ProxyState, lines: int) -> bool:
-        """Whether a proxy may be bound with a message of so many lines."""
-        return self.queue.fits(lines, self.claims.bind) and self.available_messages(proxy) >= 1
+        """Return whether a proxy may be bound with a message of ``lines`` lines."""
+        return self.queue.fits(lines, self.quotas.bind) and self.available_messages(proxy) >= 1
 
     def bind(self, proxy: ProxyState, table: Table, lines: int) -> None:
-        """Bind a proxy to a table; ``lines`` is the size of the message."""
+        """Bind a proxy to a table with a message of ``lines`` lines."""
         self.commands.append(BindProxy(table.number, ALL_ROUTES, proxy.number))
         self.written.append((proxy, lines + proxy.group.pending_lines))
         table.proxies[proxy.number] = proxy.group.proxies.pop(proxy.number)
@@ -135,13 +145,13 @@
         self.queue.plan(lines)
 
     def finish(self) -> None:
-        """Ask for an acknowledgement of the reply, and count its messages until they are acknowledged."""
+        """Request an acknowledgement of the reply, and count its messages until they are acknowledged."""
         for group in (*self.fleet.tables, *self.fleet.unbound_groups()):
             lines = group.pending_lines
             group.pending_lines = 0
             if lines:
                 self.written += [(proxy, lines + self.head_lines) for proxy in group.proxies.values()]
-        self.nonce = (self.nonce + 1) % NONCES
+        self.nonce = (self.nonce + 1) % NONCE_COUNT
         if not self.written:
             return
         self.commands.append(RequestAcknowledgement(self.nonce, False))
--- a/rainpick/decisions/send_queue.py
+++ b/rainpick/decisions/send_queue.py
@@ -1,12 +1,13 @@
-"""The send queue: how many lines wait in the paced channel, and what may be written now.
+"""The send queue: counts the lines that wait in the paced channel and decides which may be written now.
 
-The channel is first in, first out: a line that is written waits behind all that was written before,
-whatever is due first. So no more is written ahead than a short span of the channel's pace, and what is still
-unwritten can go in the order of its deadlines and be merged with what comes meanwhile.
+The channel is first in, first out: a line that is written waits behind all lines before it, whatever their
+deadlines. Therefore only a short send window is written ahead of transmission. Commands that are not written
+yet can still be sent in the order of their deadlines and merged with later ones.
 
-Two counts are kept. ``waiting`` is what proxies have not acknowledged, which errs to the full side: it bounds
-what the rule on the queue's length limits. ``backlog`` is what is still in the channel, by the newest message
-that any proxy has acknowledged: proxies that fall silent do not hold it up.
+Two counts are kept. ``waiting`` is the number of lines that proxies have not acknowledged. It overestimates
+the queue, and is what the rule on the queue's length limits. ``backlog`` is the number of lines still in the
+channel, derived from the newest message that any proxy has acknowledged: unresponsive proxies do not keep it
+from falling.
 """
 
 from __future__ import annotations
@@ -14,87 +15,90 @@
 from collections.abc import Hashable
 from typing import NamedTuple
 
-REPLIES_MAX = 1_024  # replies that are remembered; acknowledgements are due long before so many more
+REPLIES_MAX = 1_024  # remembered replies; acknowledgements arrive long before this many newer replies
 
 
-class Claim(NamedTuple):
-    """How full the queue may be for a kind of command to be written: the better its claim, the fuller."""
+class Quota(NamedTuple):
+    """The part of the send queue that a kind of command may fill; a higher priority allows a fuller queue."""
 
-    messages: int  # that each proxy concerned must have left
-    reserve: float  # lines of the queue's limit that it leaves to others
-    span_fraction: float | None  # of the span that may be filled; None: the span does not count
+    messages: int  # messages that each receiving proxy must have available
+    reserve: float  # lines of the queue's limit that are left to other kinds
+    window_fraction: float | None  # of the send window that may be filled; None: the window is ignored
 
 
-class Claims(NamedTuple):
-    """By kind of command, the strongest first."""
+class Quotas(NamedTuple):
+    """The quota of each kind of command, the highest priority first."""
 
-    rule: Claim  # what keeps the rules: no empty table, no server overloaded while it warms up
-    drain: Claim
-    bind: Claim
-    ejection: Claim
-    admission: Claim
-    update: Claim  # of weights, once a tick
+    rule: Quota  # required by the rules: no empty table, no server overloaded while it warms up
+    drain: Quota
+    bind: Quota
+    ejection: Quota
+    admission: Quota
+    update: Quota  # weight updates, once a tick
 
 
 class ChannelState(NamedTuple):
-    """How the channel stands, for logs and metrics."""
+    """The state of the paced channel, for logs and metrics."""
 
     waiting: int  # lines that proxies have not acknowledged
-    backlog: int  # lines that have not left, as far as acknowledgements tell
-    limit: float  # lines that may wait
-    ahead: float  # lines that are written ahead at most
-    unbound: int  # proxies that wait for their table
-    drains: int  # tables that still use a server that drains
-    grace_used: float  # of the grace, by what is due first: a draining server or a proxy's table
-    takeover: bool  # more proxies wait to be bound than can be at once
+    backlog: int  # lines still in the channel, as far as acknowledgements show
+    limit: float  # maximum of waiting lines
+    ahead: float  # maximum of lines written ahead of transmission: the send window
+    unbound: int  # proxies that are not bound to a table yet
+    drains: int  # tables that still use a draining or gone server
+    grace_used: float  # fraction of the grace that has passed for the earliest drain or bind
+    takeover: bool  # more proxies are unbound than can be bound at once
 
 
 class Reply(NamedTuple):
-    """The messages of one reply."""
+    """The messages of one step's reply."""
 
-    start: int  # lines written before it
-    acknowledged: int  # of its own lines
+    start: int  # lines written before this reply
+    acknowledged: int  # lines of this reply that were acknowledged
 
 
 class SendQueue:
-    """Counts of lines.
+    """Counts the lines that were written, transmitted and acknowledged.
 
-    ``limit``: how many may wait unacknowledged; ``span``: how many are written ahead at most.
+    ``limit`` is the maximum of unacknowledged lines, ``window`` the maximum of lines written ahead of
+    transmission.
     """
 
-    def __init__(self, limit: float, span: float):
-        self.limit, self.span = limit, min(limit, span)
+    def __init__(self, limit: float, window: float):
+        self.limit, self.window = limit, min(limit, window)
         self.waiting = 0  # lines that proxies have not acknowledged
-        self.total = 0  # lines written in all
-        self.left = 0  # of those, how many are known to have left the channel
-        self.planned: float = 0  # lines of the reply that is being made
+        self.total = 0  # all lines written so far
+        self.transmitted = 0  # lines of the total that are known to have left the channel
+        self.planned: float = 0  # lines of the reply that is being composed
         self.replies: dict[Hashable, Reply] = {}  # by nonce, the newest last
 
     def backlog(self) -> int:
-        """Lines that have not left the channel, as far as acknowledgements tell."""
-        return min(self.waiting, self.total - self.left)
+        """Return the lines still in the channel, as far as acknowledgements show."""
+        return min(self.waiting, self.total - self.transmitted)
 
-    def spare(self) -> float:
-        """Lines that may be written until the limit."""
+    def available_lines(self) -> float:
+        """Return the lines that may be written before the limit is reached."""
         return self.limit - self.waiting - self.planned
 
-    def fits(self, lines: float, claim: Claim) -> bool:
-        """Whether so many lines may be written now.
+    def fits(self, lines: float, quota: Quota) -> bool:
+        """Return whether ``lines`` lines may be written now.
 
-        >>> queue = SendQueue(limit=100, span=20)
-        >>> [queue.fits(lines, Claim(1, 0, span)) for lines, span in ((20, 1.0), (21, 1.0), (21, None))]
+        >>> queue = SendQueue(limit=100, window=20)
+        >>> [queue.fits(lines, Quota(1, 0, window)) for lines, window in ((20, 1.0), (21, 1.0), (21, None))]
         [True, True, True]
         >>> queue.write("a nonce", 5)
-        >>> [queue.fits(lines, Claim(1, 0, span)) for lines, span in ((15, 1.0), (16, 1.0), (16, None))]
+        >>> [queue.fits(lines, Quota(1, 0, window)) for lines, window in ((15, 1.0), (16, 1.0), (16, None))]
         [True, False, True]
         """
-        if lines > self.spare() - claim.reserve:
+        if lines > self.available_lines() - quota.reserve:
             return False
         ahead = self.backlog() + self.planned
-        return claim.span_fraction is None or not ahead or lines <= claim.span_fraction * self.span - ahead
+        return (
+            quota.window_fraction is None or not ahead or lines <= quota.window_fraction * self.window - ahead
+        )
 
     def plan(self, lines: float) -> None:
-        """So many lines are part of the reply that is being made."""
+        """Add lines to the reply that is being composed."""
         self.planned += lines
 
     def begin(self) -> None:
@@ -102,7 +106,7 @@
         self.planned = 0
 
     def write(self, nonce: Hashable, lines: int) -> None:
-        """The messages of a reply have been written."""
+        """Record that the messages of a reply have been written."""
         self.replies.pop(nonce, None)
         self.replies[nonce] = Reply(self.total, 0)
         self.total += lines
@@ -112,21 +116,21 @@
             del self.replies[next(iter(self.replies))]
 
     def retransmit(self, lines: int) -> None:
-        """A message that may have been written is written again."""
+        """Count a message again that may have been written twice."""
         self.total += lines
         self.waiting += lines
 
     def acknowledge(self, nonce: Hashable, lines: int) -> None:
-        """A proxy has applied a message: all that was written before it has left the channel."""
+        """Record that a proxy applied a message: all lines written before it have left the channel."""
         self.waiting -= lines
         if reply := self.replies.get(nonce):
             reply = self.replies[nonce] = Reply(reply.start, reply.acknowledged + lines)
-            self.left = min(self.total, max(self.left, reply.start + reply.acknowledged))
+            self.transmitted = min(self.total, max(self.transmitted, reply.start + reply.acknowledged))
 
     def forget(self, lines: int) -> None:
-        """A proxy has left: what it was sent is no longer counted."""
+        """Stop counting the lines sent to a proxy that has left."""
         self.waiting -= lines
 
     def restore(self, lines: int) -> None:
-        """A proxy has joined again, unseen: what it was sent may still wait."""
+        """Count the lines sent to a proxy again, which rejoined unnoticed: they may still wait."""
         self.waiting += lines
--- a/rainpick/decisions/settings.py
+++ b/rainpick/decisions/settings.py
@@ -1,7 +1,7 @@
-"""The settings that the decisions read, typed, from the flat map that ``Started`` brings.
+"""The settings that the decisions read, typed, from the flat map in ``Started``.
 
-Lengths of time are microseconds, sizes are lines of the paced channel. A setting that is missing has the
-value with which its mechanism never acts.
+Durations are microseconds, sizes are lines of the paced channel. The default of each setting is a value at
+which its mechanism never takes effect.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-TICK_US = 2_000_000  # the design's tick: weights move a step a tick at most
-UPDATE_INTERVAL_US = TICK_US // 8  # how often what was put off is looked at again
+TICK_US = 2_000_000  # the tick of the design: weights change by at most one step a tick
+UPDATE_INTERVAL_US = TICK_US // 8  # interval at which deferred updates are retried
 INITIAL_FRACTION = 0.25  # the first percentage of a server that recovers from a drain or an ejection
-SEVERE_LATENCY_RATIO = 2.7  # see slow_start: the fall multiple of a fleet that says nothing of it
+SEVERE_LATENCY_RATIO = 2.7  # see slow_start; also the default of rules.fall_multiple
 UNLIMITED = 1e9
 
 
 class Route(NamedTuple):
-    """A kind of request."""
+    """A kind of request, with its latency objective and priority."""
 
     latency_objective_us: int
     priority_weight: float
@@ -27,41 +27,41 @@
     """All settings that a decision depends on."""
 
     directors: int
-    zone: int  # this director's
-    subscribe_on_request: bool  # the endpoint list comes only after Subscribe
+    zone: int  # of this director
+    subscribe_on_request: bool  # the endpoint list is sent only after Subscribe
     routes: tuple[Route, ...]
-    latency_objective_us: int  # the strictest of all routes
+    latency_objective_us: int  # the strictest objective of all routes
     cross_zone_penalty: float
-    admission: str  # how proxies admit: "silent" (they do not), "ratio" or a rate
+    admission: str  # admission mode of proxies: "silent" (no admission control), "ratio" or a rate
     default_retry_policy: int | None
-    proxies_by_zone: bool  # a proxy joins a director of its own zone
+    proxies_by_zone: bool  # proxies join a director of their own zone
     expected_proxies: int
-    default_table_size: float | None  # servers in the table that a proxy starts with
-    proxies_eject: bool  # proxies shun failing servers by themselves
-    message_head_lines: int  # lines of a message beside those of its commands
-    reports_per_s: float  # load reports that reach a director
+    default_table_size: float | None  # servers in the default table of a proxy
+    proxies_eject: bool  # proxies eject failing servers themselves
+    message_head_lines: int  # lines of a message in addition to its commands
+    reports_per_s: float  # maximum rate of load reports to a director
     delivery_delay_us: int
     channel_lines_per_s: float
-    channel_lines_max: float  # lines that may wait in the channel
-    messages_max: int  # messages that a proxy may be sent within messages_window_us; 0: any number
+    channel_lines_max: float  # maximum of lines waiting in the channel
+    messages_max: int  # maximum of messages to a proxy within messages_window_us; 0: unlimited
     messages_window_us: int
     report_interval_us: int
     uses_key_ranges: bool
     key_range_single_owner: bool
     drain_grace_us: float
     fall_multiple: float
-    gone_is_not_final: bool  # a server that the list dropped may go on serving
-    start_capacity: float  # fraction of its capacity that a server surely has when it starts
+    gone_is_not_final: bool  # a server that the list dropped may continue to serve
+    start_capacity: float  # fraction of its capacity that a server is guaranteed to have at its start
     warm_after_us: int  # age from which a server has its full capacity
 
     @property
     def grace_lines(self) -> float:
-        """Lines that leave the channel within the drain grace."""
+        """The lines that leave the channel within the drain grace."""
         return self.channel_lines_per_s * self.drain_grace_us / 1e6
 
 
 def read_settings(values: Mapping[str, Any]) -> DecisionSettings:
-    """The settings in a flat map by dotted path; unknown paths are ignored."""
+    """Return the settings in a flat map by dotted path; unknown paths are ignored."""
     get = values.get
     routes = tuple(
         Route(get(f"routes.{number}.slo_time_us", 1), get(f"routes.{number}.importance", 1))
@@ -80,7 +80,7 @@
         expected_proxies=get("proxies.proxy_count", 0),
         default_table_size=get("proxies.default_size", None),
         proxies_eject=bool(get("proxies.ejects_after", 0)),
-        message_head_lines=get("proxies.head", 0) + 1,  # the acknowledgement request is a line, too
+        message_head_lines=get("proxies.head", 0) + 1,  # plus the line of the acknowledgement request
         reports_per_s=get("proxies.hears_per_s", UNLIMITED),
         delivery_delay_us=get("proxies.late_us", 0),
         channel_lines_per_s=get("proxies.lines_per_s", UNLIMITED),
--- a/rainpick/decisions/sliding_window.py
+++ b/rainpick/decisions/sliding_window.py
@@ -1,15 +1,15 @@
-"""Sums over the last few buckets of time."""
+"""Sums over the most recent time buckets."""
 
 from __future__ import annotations
 
-BUCKETS = 4  # buckets that a window holds
-RECENT_BUCKETS = 2  # of how things are now: the time within which every server is reported on
+BUCKETS = 4  # buckets in a window
+RECENT_BUCKETS = 2  # buckets of the current state: long enough for a report on every server
 
 
 class SlidingWindow:
-    """Sums of some columns over the last ``BUCKETS`` buckets; the cells are reused in a ring.
+    """Sums of several columns over the last ``BUCKETS`` buckets, stored in a ring buffer.
 
-    Buckets are numbered by time: a bucket is the clock divided by the length of a bucket.
+    The number of a bucket is the time divided by the length of a bucket.
 
     >>> window = SlidingWindow(2)
     >>> window.add(7, 1, 10)
@@ -25,7 +25,7 @@
         self.newest = 0
 
     def add(self, bucket: int, *values: int) -> None:
-        """Add to the columns of a bucket; buckets that were skipped count as empty."""
+        """Add values to the columns of a bucket; buckets that were skipped count as empty."""
         for number in range(max(self.newest + 1, bucket - BUCKETS + 1), bucket + 1):
             self.cells[number % BUCKETS][:] = [0] * len(self.cells[0])
         self.newest = max(bucket, self.newest)
@@ -34,7 +34,7 @@
             cell[column] += value
 
     def sums(self, bucket: int, last: int = BUCKETS) -> list[int]:
-        """The sums of the columns over the ``last`` buckets that end with this one; empties older cells."""
+        """Return the column sums of the ``last`` buckets up to this one; clears cells that are too old."""
         self.add(bucket)
         cells = [self.cells[number % BUCKETS] for number in range(bucket - last + 1, bucket + 1)]
         return [sum(column) for column in zip(*cells, strict=True)]
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -1,4 +1,4 @@
-"""Publishes weights: of empty tables, of servers that warm up, and the steps of slow start in batches."""
+"""Publishes weights: of empty tables, of servers that warm up, and slow start steps in batches."""
 
 from __future__ import annotations
 
@@ -8,138 +8,146 @@
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.proxies import ProxyGroup
 from rainpick.decisions.publisher import Publisher, TableCommand
-from rainpick.decisions.send_queue import Claim
+from rainpick.decisions.send_queue import Quota
 from rainpick.decisions.servers import GONE, ServerState
 from rainpick.decisions.table_assignment import TableAssignment
 from rainpick.decisions.tables import Table
 from rainpick.model import SetWeight, SetWithdrawn
 
-LOWERED_MULTIPLE = 1.5  # a published weight over so many times the wanted one is lowered without delay
+IMMEDIATE_LOWERING_MULTIPLE = 1.5  # a published weight above this multiple of the target is lowered at once
 
 
-def served_tables(servers: Iterable[ServerState]) -> set[int]:
-    """The numbers of the tables in which some of these servers is published and not withdrawn."""
+def populated_tables(servers: Iterable[ServerState]) -> set[int]:
+    """Return the numbers of the tables in which any of these servers is published and not withdrawn."""
     return {number for server in servers if not server.withdrawn for number in server.published_weights}
 
 
 class WeightUpdates:
-    """Brings published weights up to the wanted ones, as the send queue allows."""
+    """Updates published weights to the target weights, as far as the send queue allows."""
 
     def __init__(self, fleet: Fleet, assignment: TableAssignment, publisher: Publisher):
         self.fleet = fleet
         self.assignment = assignment
         self.publisher = publisher
         self.pending_readmissions: list[ServerState] = []
-        self.pending_tables: list[Table] = []  # that are due new weights, in turn
-        self.batch_due = False  # all tables are due new weights in this tick
+        self.pending_tables: list[Table] = []  # tables whose weights are due, in turn
+        self.batch_due = False  # whether the weights of all tables are due
 
     def schedule(self) -> None:
-        """Once a tick: all tables are due their new weights."""
+        """Schedule weight updates of all tables; called once a tick."""
         self.pending_readmissions = list(self.fleet.servers.values())
         self.batch_due = True
 
-    def fill_empty_tables(self, served: Collection[int], claim: Claim) -> None:
-        """Publish what a table should hold that has no server; ``served``: numbers of those that have one."""
+    def fill_empty_tables(self, populated: Collection[int], quota: Quota) -> None:
+        """Publish servers to used tables without any; ``populated`` has the numbers of the other tables."""
         for server in self.fleet.servers.values():
-            empty = [table for table in server.tables if table.used and table.number not in served]
+            empty = [table for table in server.tables if table.used and table.number not in populated]
             if empty:
-                self.publish(server, claim, empty)
+                self.publish(server, quota, empty)
 
     def protect_warming_servers(
         self,
         warm: Collection[ServerState],
-        served: Collection[int],
-        served_warm: Collection[int],
+        populated: Collection[int],
+        warm_populated: Collection[int],
         overdue: Collection[Table],
     ) -> None:
-        """Lower weights without waiting for the tick, and bring warm servers to tables that have none.
+        """Lower weights without waiting for the tick, and publish warm servers to tables that have none.
 
-        ``served`` and ``served_warm`` are the numbers of tables that have a server, or a warm one;
-        ``overdue`` are tables that still use one that drains.
+        ``populated`` and ``warm_populated`` are the numbers of tables that have a server, or a warm one;
+        ``overdue`` are tables that still use a terminating server.
         """
         for server in [server for server in self.fleet.servers.values() if server.percentage]:
-            # A table that nobody uses need not be sent a server that is not to be readmitted.
+            # An unused table needs no warm server, unless the server has to be readmitted anyway.
             without_warm = [
                 table
                 for table in server.tables
-                if server in warm and table.number not in served_warm and (table.used or server.withdrawn)
+                if server in warm and table.number not in warm_populated and (table.used or server.withdrawn)
             ]
             lowered = [table for table in server.tables if self.is_lowered(server, table)]
-            # They may use what is kept for drains, all in one message, and each table as it can: half a zone
-            # was back in a second, sent in six pieces, and waited for all of its tables' proxies at once. So
-            # may warm weights for a table of servers that warm up: it waited 3 s, and then the other zone
-            # was lost.
+            # Lowered weights may use the message and the capacity reserved for drains, and each table is
+            # sent one message as soon as its own proxies can receive it. Otherwise half a zone that returned
+            # within a second, in six list updates, waited until all proxies of its tables could receive a
+            # message. The same holds for warm servers in a table that has only servers that warm up: such a
+            # table waited 3 s, and then the other zone was lost.
             for table in dict.fromkeys((*lowered, *without_warm)):
-                urgent = table in without_warm and table.number in served
+                urgent = table in without_warm and table.number in populated
                 deferrable = table in overdue or server in warm and not urgent
-                claims = self.publisher.claims
-                self.publish(server, claims.ejection if deferrable else claims.rule, [table])
+                quotas = self.publisher.quotas
+                self.publish(server, quotas.ejection if deferrable else quotas.rule, [table])
 
     def is_lowered(self, server: ServerState, table: Table) -> bool:
-        """Whether the wanted weight of a server is far under the published one."""
+        """Return whether the target weight of a server is far below the published one."""
         published = server.published_weights.get(table.number, 0.0)
-        limit = LOWERED_MULTIPLE * self.assignment.weight(server, table)
+        limit = IMMEDIATE_LOWERING_MULTIPLE * self.assignment.weight(server, table)
         return not server.withdrawn and published > limit
 
-    def wanted_weights(self, server: ServerState, only: Sequence[Table] | None) -> dict[int, float]:
-        """The weights of a server by table once it is published, if it is in use in ``only`` some tables."""
-        wanted = {}
+    def target_weights(self, server: ServerState, only: Sequence[Table] | None) -> dict[int, float]:
+        """Return the weights of a server by table number after it is published.
+
+        Only the tables in ``only`` get their target weights; all tables do if it is None or the server is
+        withdrawn.
+        """
+        target = {}
         for table in server.tables:
             weight = self.assignment.weight(server, table) if table.used else 0.0
             if weight:
-                wanted[table.number] = weight
+                target[table.number] = weight
         if only is None or server.withdrawn:
-            return wanted
-        # Other tables keep what they have: laying a table for proxies that just joined must not bring
-        # updates forward in all others, which waited in the channel before the binds of a lost director's.
+            return target
+        # Other tables keep their published weights: filling a table for proxies that have just joined must
+        # not trigger early updates of all others, which waited in the channel ahead of the binds of a failed
+        # director's proxies.
         numbers = {table.number for table in only}
-        weights = {number: weight for number, weight in wanted.items() if number in numbers}
+        weights = {number: weight for number, weight in target.items() if number in numbers}
         return weights | {
             number: weight for number, weight in server.published_weights.items() if number not in numbers
         }
 
-    def publish(self, server: ServerState, claim: Claim, only: Sequence[Table] | None = None) -> bool:
-        """Send tables the weight of a server, readmit it if it was withdrawn; False if there is no capacity.
+    def publish(self, server: ServerState, quota: Quota, only: Sequence[Table] | None = None) -> bool:
+        """Publish the weight of a server to tables, and readmit it if it was withdrawn.
 
-        The weights of one that drained and is gone go, too: a deployment would fill tables with them, and
-        each is two lines of a bind: binding the proxies of a lost director took longer than the grace.
+        Returns False if there is no capacity. The weights of a gone server that is withdrawn are removed as
+        well. During a deployment they would otherwise fill the tables, and each takes two lines of a bind:
+        binding the proxies of a failed director took longer than the drain grace.
         """
         removable = server.withdrawn and server.status == GONE
         readmitted = server.withdrawn and server.status != GONE
         if not server.percentage and not removable:
             return True
-        wanted = self.wanted_weights(server, only)
+        target = self.target_weights(server, only)
         stale = [
             table
             for table in server.tables
-            if wanted.get(table.number) != server.published_weights.get(table.number)
+            if target.get(table.number) != server.published_weights.get(table.number)
         ]
         if not stale and not readmitted:
             return True
         address = server.endpoint.address
         commands: list[TableCommand] = [
-            SetWeight(table.number, address, wanted.get(table.number, 0.0)) for table in stale
+            SetWeight(table.number, address, target.get(table.number, 0.0)) for table in stale
         ]
         groups: list[ProxyGroup] = list(stale)
         if readmitted:
             commands.append(SetWithdrawn(address, False))
-            groups = [table for table in server.tables if table.number in wanted or table in stale]
+            groups = [table for table in server.tables if table.number in target or table in stale]
             groups += self.fleet.unbound_holders(server)
-        if not self.publisher.write(commands, groups, 1 + readmitted, claim):
+        if not self.publisher.write(commands, groups, 1 + readmitted, quota):
             return False
         server.withdrawn = removable
-        server.published_weights = wanted
+        server.published_weights = target
         return True
 
-    def publish_batch(self, claim: Claim) -> None:
-        """Readmit servers, and send tables their new weights, all of a table in one message.
+    def publish_batch(self, quota: Quota) -> None:
+        """Readmit servers, and publish new weights to tables, all of a table in one message.
 
-        The tables take turns: where the queue has no capacity for all of them each gets its message in time.
+        The tables take turns, so that each gets its message eventually when the queue has no capacity for
+        all.
         """
         self.pending_readmissions = [
             server
             for server in self.pending_readmissions
-            if server.withdrawn and server.percentage and not self.publish(server, claim)
+            if server.withdrawn and server.percentage and not self.publish(server, quota)
         ]
         stale = self.stale_weights()
         if self.batch_due:
@@ -149,11 +157,11 @@
         self.pending_tables = [
             table
             for table in self.pending_tables
-            if table in stale and not self.publish_table(table, stale[table], claim)
+            if table in stale and not self.publish_table(table, stale[table], quota)
         ]
 
     def stale_weights(self) -> dict[Table, dict[ServerState, float]]:
-        """By table, the servers whose published weight is not the wanted one, with that."""
+        """Return, by table, the servers whose published weight differs from the target, with the target."""
         stale: dict[Table, dict[ServerState, float]] = defaultdict(dict)
         for server in self.fleet.servers.values():
             removable = server.withdrawn and server.status == GONE
@@ -166,12 +174,12 @@
                     stale[table][server] = weight
         return stale
 
-    def publish_table(self, table: Table, weights: dict[ServerState, float], claim: Claim) -> bool:
-        """Send a table new weights in one message; False if there is no capacity."""
+    def publish_table(self, table: Table, weights: dict[ServerState, float], quota: Quota) -> bool:
+        """Publish new weights of a table in one message; returns False if there is no capacity."""
         commands = [
             SetWeight(table.number, server.endpoint.address, weight) for server, weight in weights.items()
         ]
-        if not self.publisher.write(commands, [table], len(commands), claim):
+        if not self.publisher.write(commands, [table], len(commands), quota):
             return False
         for server, weight in weights.items():
             if weight:
--- a/rainpick/decisions/withdrawals.py
+++ b/rainpick/decisions/withdrawals.py
@@ -1,8 +1,9 @@
-"""Withdraws servers that drain, are gone or ejected, so that no proxy uses one past the drain grace.
+"""Withdraws draining, gone and ejected servers, so that no proxy uses one longer than the drain grace.
 
-Withdrawals go out at once while the span that is written ahead has capacity for all that they reach.
-Otherwise each table lets go of its draining servers as its deadline comes, all in one message: who is to be
-bound soon need not be sent them, and a message less is a head less for each of its proxies.
+Withdrawals are published at once while the send window has capacity for all proxies that they reach.
+Otherwise each table removes its draining servers when its deadline comes, all in one message. This saves
+lines: proxies that are bound soon need not be sent the withdrawals, and each proxy of the table is sent fewer
+message heads.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.proxies import ProxyState
 from rainpick.decisions.publisher import Publisher, TableCommand
-from rainpick.decisions.send_queue import ChannelState, Claim
+from rainpick.decisions.send_queue import ChannelState, Quota
 from rainpick.decisions.servers import DRAINING, GONE, ServerState
-from rainpick.decisions.table_assignment import DEFAULT_TABLES
+from rainpick.decisions.table_assignment import TABLE_SIZE_MULTIPLE
 from rainpick.decisions.tables import Table
 from rainpick.model import SetWeight, SetWithdrawn
 
-TAKEOVER_FRACTION = 0.5  # of the span written ahead: binds that take more are a takeover
-DEFERRED_GRACE_FRACTION = 0.8  # of the grace that a deferred withdrawal leaves proxies to their binds
-DEADLINES = 8  # parts of the grace in which deadlines count as the same: the busiest proxies go first
+TAKEOVER_FRACTION = 0.5  # binds that take more than this fraction of the send window are a takeover
+DEFERRED_GRACE_FRACTION = 0.8  # of the drain grace for which a withdrawal is deferred in favour of binds
+DEADLINE_CLASSES = 8  # per drain grace; within one deadline class the busiest proxies go first
 
 ServersByTable = dict[Table, list[ServerState]]
 
 
 class Withdrawals:
-    """Owns whether a takeover is under way: more proxies wait to be bound than can be at once."""
+    """Publishes withdrawals; owns the takeover state: more proxies are unbound than can be bound at once."""
 
     def __init__(self, fleet: Fleet, publisher: Publisher):
         self.fleet = fleet
@@ -35,45 +36,50 @@
         self.is_takeover = False
 
     def publish(self) -> set[Table]:
-        """Withdraw what drains, is gone or ejected; returns the tables that still use one that drains."""
-        claims = self.publisher.claims
-        closing = [
+        """Withdraw draining, gone and ejected servers; return the tables that still use a terminating one."""
+        quotas = self.publisher.quotas
+        unpublished = [
             server
             for server in self.fleet.servers.values()
             if server.percentage <= 0 and not server.withdrawn
         ]
-        self.is_takeover = self.binds_exceed_span()
-        self.withdraw_ending([server for server in closing if server.is_ending])
-        self.remove_without_waiting_proxies(claims.drain)
-        # Ejections, and what only a list that may be wrong calls gone, leave capacity and a message to
-        # drains: a queue that they had filled let drains in one by one, each with the heads of its messages.
-        others = [server for server in closing if not server.is_ending]
+        self.is_takeover = self.binds_exceed_window()
+        self.withdraw_terminating([server for server in unpublished if server.is_terminating])
+        self.remove_terminating(quotas.drain)
+        # Ejections, and servers that only a possibly wrong list reports as gone, leave capacity and a message
+        # to drains. When they filled the queue, drains went out one by one, each with its own message heads.
+        others = [server for server in unpublished if not server.is_terminating]
         for server in sorted(others, key=lambda server: server.presumed_gone):
-            self.withdraw(server, claims.ejection)
-        return set(self.ending_by_table())
+            self.withdraw(server, quotas.ejection)
+        return set(self.terminating_by_table())
 
-    def withdraw_ending(self, ending: list[ServerState]) -> None:
-        """Withdraw servers that drain or are gone; in a takeover those in tables wait for their deadlines."""
+    def withdraw_terminating(self, terminating: list[ServerState]) -> None:
+        """Withdraw servers that are draining or gone.
+
+        In a takeover servers in tables wait for their deadlines.
+        """
         now, grace_us = self.fleet.clock.now, self.fleet.settings.drain_grace_us
-        behind = any(server.withdrawal_deferred and server.published_weights for server in ending)
-        for server in ending:
+        earlier_deferred = any(
+            server.withdrawal_deferred and server.published_weights for server in terminating
+        )
+        for server in terminating:
             overdue = now - server.drain_started_us > DEFERRED_GRACE_FRACTION * grace_us
-            deferred = self.is_takeover and not overdue or behind and bool(server.published_weights)
-            server.withdrawal_deferred = deferred or not self.withdraw(server, self.publisher.claims.drain)
-            behind = behind or server.withdrawal_deferred
+            deferred = self.is_takeover and not overdue or earlier_deferred and bool(server.published_weights)
+            server.withdrawal_deferred = deferred or not self.withdraw(server, self.publisher.quotas.drain)
+            earlier_deferred = earlier_deferred or server.withdrawal_deferred
 
-    def binds_exceed_span(self) -> bool:
-        """Whether binding the proxies that wait takes more than half of what is written ahead."""
+    def binds_exceed_window(self) -> bool:
+        """Return whether binding all unbound proxies takes more than half of the send window."""
         settings, publisher = self.fleet.settings, self.publisher
-        table_lines = DEFAULT_TABLES * (settings.default_table_size or 0)
+        table_lines = TABLE_SIZE_MULTIPLE * (settings.default_table_size or 0)
         lines = publisher.head_lines + 1 + len(settings.routes) + table_lines
-        return len(self.fleet.unbound_proxies()) * lines > TAKEOVER_FRACTION * publisher.queue.span
+        return len(self.fleet.unbound_proxies()) * lines > TAKEOVER_FRACTION * publisher.queue.window
 
-    def withdraw(self, server: ServerState, claim: Claim) -> bool:
-        """Withdraw a server from all who may use it; False if there is no capacity.
+    def withdraw(self, server: ServerState, quota: Quota) -> bool:
+        """Withdraw a server from all proxies that may use it; returns False if there is no capacity.
 
-        Where nobody is known to use it no command is given: it would be a message to each proxy that has
-        joined but is not known yet, and those are bound without it.
+        If no known proxy uses it, no command is published: it would cost a message to each proxy that has
+        joined but is not known yet, and those proxies are bound without the server.
         """
         address, gone = server.endpoint.address, server.status == GONE
         tables = [table for table in server.tables if table.number in server.published_weights]
@@ -83,23 +89,23 @@
             commands += [SetWeight(table.number, address, 0.0) for table in tables]
         if server.withdrawal_deferred and not tables and not any(group.proxies for group in holders):
             commands = []
-        if not self.publisher.write(commands, [*tables, *holders], 1 + gone, claim):
+        if not self.publisher.write(commands, [*tables, *holders], 1 + gone, quota):
             return False
         server.withdrawn = True
         if gone:
             server.published_weights = {}
         return True
 
-    def ending_by_table(self) -> ServersByTable:
-        """By table, the servers that drain or are gone and that its proxies still use."""
+    def terminating_by_table(self) -> ServersByTable:
+        """Return, by table, the draining or gone servers that its proxies still use."""
         return self.by_table(
             server
             for server in self.fleet.servers.values()
-            if server.percentage <= 0 and not server.withdrawn and server.is_ending
+            if server.percentage <= 0 and not server.withdrawn and server.is_terminating
         )
 
     def withdrawn_by_table(self) -> ServersByTable:
-        """By table, the withdrawn servers that drain or are gone: a bind carries two lines for each."""
+        """Return, by table, withdrawn servers that are draining or gone; a bind has two lines for each."""
         return self.by_table(
             server
             for server in self.fleet.servers.values()
@@ -108,7 +114,7 @@
 
     @staticmethod
     def by_table(servers: Iterable[ServerState]) -> ServersByTable:
-        """Servers by each table that has published them."""
+        """Group servers by each table in which they are published."""
         result: ServersByTable = defaultdict(list)
         for server in servers:
             for table in server.tables:
@@ -116,41 +122,45 @@
                     result[table].append(server)
         return result
 
-    def deadline(self, ending: Sequence[ServerState], waiting: Sequence[ProxyState]) -> int:
-        """In which part of the grace a table is due: for what it uses, and for those who wait for it."""
-        since_us = [server.drain_started_us for server in ending] + [proxy.joined_us for proxy in waiting]
-        return int(min(since_us) // (self.fleet.settings.drain_grace_us / DEADLINES))
+    def deadline(self, terminating: Sequence[ServerState], waiting: Sequence[ProxyState]) -> int:
+        """Return the deadline class of a table: of its terminating servers and the proxies waiting for it."""
+        since_us = [server.drain_started_us for server in terminating] + [
+            proxy.joined_us for proxy in waiting
+        ]
+        return int(min(since_us) // (self.fleet.settings.drain_grace_us / DEADLINE_CLASSES))
 
-    def remove_without_waiting_proxies(self, claim: Claim) -> None:
-        """While no proxy waits: remove ending servers from tables, the earliest deadline first."""
+    def remove_terminating(self, quota: Quota) -> None:
+        """Remove terminating servers from tables, the earliest deadline first, unless proxies are unbound."""
         if self.fleet.unbound_proxies():
             return
-        ending = self.ending_by_table()
-        for table in sorted(ending, key=lambda table: (self.deadline(ending[table], ()), table.number)):
-            self.remove(table, ending[table], claim)
-
-    def remove(self, table: Table, servers: Sequence[ServerState], claim: Claim) -> bool:
-        """Remove servers from a table, all in one message for each proxy; False if there is no capacity."""
+        terminating = self.terminating_by_table()
+        for table in sorted(
+            terminating, key=lambda table: (self.deadline(terminating[table], ()), table.number)
+        ):
+            self.remove(table, terminating[table], quota)
+
+    def remove(self, table: Table, servers: Sequence[ServerState], quota: Quota) -> bool:
+        """Remove servers from a table in one message to each proxy; returns False if there is no capacity."""
         commands = [SetWeight(table.number, server.endpoint.address, 0.0) for server in servers]
-        if not self.publisher.write(commands, [table], len(commands), claim):
+        if not self.publisher.write(commands, [table], len(commands), quota):
             return False
         for server in servers:
             server.published_weights.pop(table.number)
         return True
 
     def channel_state(self) -> ChannelState:
-        """How full the send queue is, and how near what is still due comes to its deadline."""
-        unbound, ending = self.fleet.unbound_proxies(), self.ending_by_table()
+        """Return the load of the send queue, and how near pending drains and binds are to their deadlines."""
+        unbound, terminating = self.fleet.unbound_proxies(), self.terminating_by_table()
         since_us = [proxy.joined_us for proxy in unbound]
-        since_us += [server.drain_started_us for group in ending.values() for server in group]
+        since_us += [server.drain_started_us for group in terminating.values() for server in group]
         now, queue = self.fleet.clock.now, self.publisher.queue
         return ChannelState(
             waiting=queue.waiting,
             backlog=queue.backlog(),
             limit=queue.limit,
-            ahead=queue.span,
+            ahead=queue.window,
             unbound=len(unbound),
-            drains=len(ending),
+            drains=len(terminating),
             grace_used=(now - min(since_us, default=now)) / self.fleet.settings.drain_grace_us,
             takeover=self.is_takeover,
         )
--- a/rainpick/model/__init__.py
+++ b/rainpick/model/__init__.py
@@ -1,9 +1,10 @@
-"""What a director hears and what it orders: events, commands and the values in them, as typed values.
+"""Events and commands of a director, and the values in them, as typed values.
 
-Events go into ``Director.step``, commands come out of it. Nothing here decides. Times are whole microseconds.
-A server is named by its address, an opaque hashable value that is handed back as it came.
+Events are passed to ``Director.step``, which returns commands. This package makes no decisions. Times are
+whole microseconds. A server is identified by its address, an opaque hashable value that is returned
+unchanged.
 
-The names and fields under which records store these types are in ``rainpick.record.schema``.
+The names under which records store these types and their fields are in ``rainpick.record.schema``.
 """
 
 from rainpick.model.commands import (
--- a/rainpick/model/commands.py
+++ b/rainpick/model/commands.py
@@ -1,4 +1,4 @@
-"""Commands: what a director orders."""
+"""The commands that a director returns."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from rainpick.model.endpoints import Address
 
-ALL_TABLES = 65535  # in SetAdmission: for all joined proxies
-ALL_ROUTES = 0  # as a set of routes: every route
+ALL_TABLES = 65535  # table number in SetAdmission that stands for all joined proxies
+ALL_ROUTES = 0  # route bit mask that stands for every route
 
 
 class RetryPolicy(IntEnum):
-    """When a proxy retries a request at another server."""
+    """The failures after which a proxy retries a request at another server."""
 
     NO_RETRY = 0
-    ON_PROOF = 1  # that the attempt had no effect
+    ON_PROOF = 1  # proof that the failed attempt had no effect
     ANY_FAILURE = 2
     ANY_FAILURE_TWICE = 3
 
@@ -35,16 +35,16 @@
 
 
 class SetWithdrawn(NamedTuple):
-    """Withdraw a server from every table and proxy at once, or readmit it."""
+    """Withdraw a server from all tables and proxies at once, or readmit it."""
 
     server: Address
     withdrawn: bool
 
 
 class RequestAcknowledgement(NamedTuple):
-    """Ask the proxies that this reply reaches to acknowledge it with ``Acknowledged``.
+    """Request an ``Acknowledged`` event from each proxy that receives this reply.
 
-    ``all_proxies``: ask all joined proxies, whether the reply reaches them or not.
+    ``all_proxies`` extends the request to all joined proxies, including those that receive no other command.
     """
 
     nonce: int
@@ -52,7 +52,7 @@
 
 
 class BindProxy(NamedTuple):
-    """Have a proxy follow a shared table for a set of routes, a bit a route."""
+    """Bind a proxy to a shared table for a set of routes, a bit mask with one bit per route."""
 
     table: int
     routes: int
@@ -60,9 +60,9 @@
 
 
 class SetAdmission(NamedTuple):
-    """How much of a set of routes the proxies of a table admit, and when they retry.
+    """Set the admission rate and the retry policy of a set of routes for the proxies of a table.
 
-    ``rate`` is a ratio or requests a second, as the setting ``proxies.admit`` says.
+    ``rate`` is a ratio or requests per second, depending on the setting ``proxies.admit``.
     """
 
     table: int
@@ -78,30 +78,30 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Send bytes to another director, or to all of them if ``peer`` is None."""
+    """Send bytes to another director, or to all others if ``peer`` is None."""
 
     peer: int | None
     data: bytes
 
 
 class SetTimer(NamedTuple):
-    """Ask for ``TimerFired`` with this token after a delay."""
+    """Schedule a ``TimerFired`` event with this token after a delay."""
 
     token: int
     delay_us: int
 
 
 class Subscribe(NamedTuple):
-    """Begin or end following the endpoint list."""
+    """Start or stop the subscription to the endpoint list."""
 
     enabled: bool
 
 
 class FetchEndpoints(NamedTuple):
-    """Fetch the whole endpoint list once."""
+    """Fetch the complete endpoint list once."""
 
 
 class LogMessage(NamedTuple):
-    """Write a line to the log."""
+    """Write a message to the log."""
 
     text: str
--- a/rainpick/model/endpoints.py
+++ b/rainpick/model/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: its entries, the states of an entry, and updates of the list."""
+"""The endpoint list: its entries, the states of an entry, and list updates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list says of a server."""
+    """The state of a server in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -18,19 +18,19 @@
 
 
 class UpdateKind(IntEnum):
-    """What an update of the endpoint list holds."""
+    """The content of an endpoint list update."""
 
     DELTA = 0  # only the entries that changed
     FULL = 1
-    CACHED = 2  # the whole list as it was last known before the start
-    FAILED = 3  # nothing: the list could not be had
+    CACHED = 2  # the complete list as last known before the start
+    FAILED = 3  # no entries: the list could not be fetched
 
 
 class Endpoint(NamedTuple):
     """An entry of the endpoint list: one server.
 
-    ``started_us`` is 0 for a server that started long ago. ``machine_type`` is an index into the settings,
-    ``pod`` a number of the group of servers that share their fate.
+    ``started_us`` is 0 for a server that started long ago. ``machine_type`` is an index into the settings.
+    ``pod`` is the number of the failure domain that the server belongs to.
     """
 
     weight: float
@@ -43,7 +43,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """An event: the endpoint list or a part of it, at a version that the discovery service counts."""
+    """An event: the endpoint list or a part of it, with the version assigned by the discovery service."""
 
     kind: UpdateKind | int
     endpoints: tuple[Endpoint, ...]
--- a/rainpick/model/events.py
+++ b/rainpick/model/events.py
@@ -1,4 +1,4 @@
-"""Events: what a director is told of, beside updates of the endpoint list."""
+"""The events that a director receives, except for updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ProbeOutcome(IntEnum):
-    """How a health check ended, by the numbers of the simulator's wire."""
+    """The result of a health check, with the numbers of the simulator's wire protocol."""
 
     OK = 0
     ERROR = 5
@@ -20,7 +20,7 @@
 
 
 class Started(NamedTuple):
-    """The instance starts, holding nothing; a cached endpoint list follows.
+    """The instance starts without state; a cached endpoint list follows.
 
     ``settings`` is the flat map of the settings by dotted path, for example ``rules.drain_grace_us``.
     """
@@ -30,13 +30,13 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer that the instance set is due."""
+    """A timer that the instance has set is due."""
 
     token: int
 
 
 class ProbeCompleted(NamedTuple):
-    """A health check ended. ``load`` has the values that the setting ``load.names`` names, or is empty."""
+    """A health check completed; ``load`` has the values listed in the setting ``load.names``, or is empty."""
 
     server: Address
     outcome: ProbeOutcome | int
@@ -45,7 +45,7 @@
 
 
 class PeerMessageReceived(NamedTuple):
-    """Another director sent bytes."""
+    """A message from another director was received."""
 
     peer: int
     data: bytes
@@ -54,8 +54,8 @@
 class ProxyJoined(NamedTuple):
     """A proxy joined this director.
 
-    ``newly_started``: it holds its default table and nothing of an earlier director.
-    ``request_rate``: the requests a second that it usually gets.
+    ``newly_started``: the proxy has only its default table, and no state from an earlier director.
+    ``request_rate``: the usual rate of its requests per second.
     """
 
     proxy: int
@@ -65,13 +65,13 @@
 
 
 class ProxyLeft(NamedTuple):
-    """A proxy is no longer joined."""
+    """A proxy left this director."""
 
     proxy: int
 
 
 class Acknowledged(NamedTuple):
-    """A proxy has applied the message that carried the request with this nonce."""
+    """A proxy has applied the message that contained the acknowledgement request with this nonce."""
 
     proxy: int
     nonce: int
@@ -79,15 +79,15 @@
 
 
 class Retransmitted(NamedTuple):
-    """The commands under this nonce are sent again, since they may have been carried out unanswered."""
+    """The commands with this nonce are sent again, since they may have been applied without an answer."""
 
     nonce: int
 
 
 class ServerLoadReport(NamedTuple):
-    """What the joined proxies of a zone observed at a server over an interval.
+    """The attempts of the joined proxies of a zone at a server over an interval.
 
-    ``mean_latency_us`` is that of answered attempts; ``load`` is as in ``ProbeCompleted``.
+    ``mean_latency_us`` is the mean over answered attempts; ``load`` is as in ``ProbeCompleted``.
     """
 
     server: Address
@@ -120,14 +120,14 @@
 
 
 class KeyRangeAssigned(NamedTuple):
-    """A key range is assigned to this instance, or taken from it."""
+    """A key range was assigned to this instance, or taken from it."""
 
     key_range: int
     assigned: bool
 
 
 class KeyRangeWeight(NamedTuple):
-    """A weight that the store holds for a key range just assigned."""
+    """A weight that the store holds for a newly assigned key range."""
 
     key_range: int
     server: Address
