--- a/tests/takeover/channel.py
+++ b/tests/takeover/channel.py
@@ -1,7 +1,8 @@
-"""A paced channel: what a director orders, and when each proxy has applied it.
+"""A simulated paced channel: applies a director's commands, and computes when each proxy has applied them.
 
-It follows the operators' page on the wire: one reply is one message for each proxy concerned, a message costs
-a head and a line for each of its orders, and messages leave one after another at a fixed pace.
+It follows the operators' page on the wire protocol. One reply is one message to each proxy that it reaches.
+A message takes a head and one line for each of its commands. Messages are sent one after another at a fixed
+pace.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 from rainpick import model
 
-BIND_LINES = 1  # of a bind, beside the lines of its table
+BIND_LINES = 1  # of a bind, in addition to the lines of its table
 
 
 @dataclass
 class Held:
-    """What one proxy may pick from, as it has applied it."""
+    """The servers that one proxy may use, according to the messages that it has applied."""
 
     zone: int
     rate: float
@@ -24,7 +25,7 @@
     lines: dict[str, float] = field(default_factory=dict)
     withdrawn: set[str] = field(default_factory=set)
 
-    def picks(self, server: str) -> bool:
+    def can_use(self, server: str) -> bool:
         return server in self.lines and server not in self.withdrawn
 
     def usable(self) -> set[str]:
@@ -33,26 +34,26 @@
 
 @dataclass
 class Message:
-    """The orders of one reply for one proxy."""
+    """The commands of one reply for one proxy."""
 
     proxy: int
     cost: int
-    changes: list = field(default_factory=list)  # callables that take the proxy's Held
+    changes: list = field(default_factory=list)  # callables that modify the proxy's Held
     mark: int | None = None
 
 
 class Channel:
-    """One director's tables, withdrawals and queue, as the relay keeps them."""
+    """The tables, withdrawals and queue that the relay keeps for one director."""
 
-    def __init__(self, pace: float, head: int, late_us: int):
-        self.pace, self.head, self.late_us = pace, head, late_us
+    def __init__(self, lines_per_s: float, head_lines: int, delivery_delay_us: int):
+        self.lines_per_s, self.head_lines, self.delivery_delay_us = lines_per_s, head_lines, delivery_delay_us
         self.tables: dict[int, dict[str, float]] = defaultdict(dict)
-        self.levels: dict[int, set[int]] = defaultdict(set)
-        self.users: dict[int, set[int]] = defaultdict(set)
+        self.admissions: dict[int, set[int]] = defaultdict(set)
+        self.proxies: dict[int, set[int]] = defaultdict(set)
         self.bound: dict[int, int] = {}
         self.withdrawn: set[str] = set()
         self.joined: dict[int, Held] = {}
-        self.free_us = 0.0  # when all that was written will have left
+        self.idle_us = 0.0  # time at which all written messages will have been sent
         self.waiting_most = 0.0
         self.lines_sent = 0
         self.messages_sent = 0
@@ -61,49 +62,51 @@
         self.joined[proxy] = held
 
     def waiting(self, now: float) -> float:
-        """Lines that have not left yet."""
-        return max(0.0, self.free_us - now) * self.pace / 1e6
+        """Return the number of lines that have not been sent yet."""
+        return max(0.0, self.idle_us - now) * self.lines_per_s / 1e6
 
-    def write(self, now: int, orders: list) -> list[tuple[float, Message]]:
-        """Carry out a reply; the messages that it makes, each with the time at which it is applied."""
+    def write(self, now: int, commands: list) -> list[tuple[float, Message]]:
+        """Apply the commands of a reply; returns its messages, each with the time at which it is applied."""
         messages: dict[int, Message] = {}
-        mark = next((order.nonce for order in orders if type(order) is model.RequestAcknowledgement), None)
+        nonce = next(
+            (command.nonce for command in commands if type(command) is model.RequestAcknowledgement), None
+        )
 
-        def reach(proxy: int, lines: int, change) -> None:
+        def add_lines(proxy: int, lines: int, change) -> None:
             message = messages.get(proxy)
             if message is None:
-                message = messages[proxy] = Message(proxy, self.head + (mark is not None), mark=mark)
+                message = messages[proxy] = Message(proxy, self.head_lines + (nonce is not None), mark=nonce)
             message.cost += lines
             if change is not None:
                 message.changes.append(change)
 
-        for order in orders:
-            self.take(order, reach)
+        for command in commands:
+            self.apply(command, add_lines)
         sent = []
-        at = max(self.free_us, float(now))
+        sent_us = max(self.idle_us, float(now))
         for message in messages.values():
-            at += message.cost / self.pace * 1e6
+            sent_us += message.cost / self.lines_per_s * 1e6
             self.lines_sent += message.cost
-            sent.append((at + self.late_us, message))
+            sent.append((sent_us + self.delivery_delay_us, message))
         self.messages_sent += len(messages)
-        self.free_us = at
+        self.idle_us = sent_us
         self.waiting_most = max(self.waiting_most, self.waiting(now))
         return sent
 
-    def take(self, order: object, reach) -> None:
-        match order:
+    def apply(self, command: object, add_lines) -> None:
+        match command:
             case model.SetWeight(table, server, weight):
-                self.set_line(table, server, weight, reach)
-            case model.SetWithdrawn(server, on):
-                self.withdraw(server, on, reach)
+                self.set_weight(table, server, weight, add_lines)
+            case model.SetWithdrawn(server, withdrawn):
+                self.set_withdrawn(server, withdrawn, add_lines)
             case model.SetAdmission(table, routes, _, _):
-                self.levels[table].add(routes)
-                for proxy in self.users[table]:
-                    reach(proxy, 1, None)
+                self.admissions[table].add(routes)
+                for proxy in self.proxies[table]:
+                    add_lines(proxy, 1, None)
             case model.BindProxy(table, _, proxy):
-                self.bind(table, proxy, reach)
+                self.bind(table, proxy, add_lines)
 
-    def set_line(self, table: int, server: str, weight: float, reach) -> None:
+    def set_weight(self, table: int, server: str, weight: float, add_lines) -> None:
         if weight:
             self.tables[table][server] = weight
         else:
@@ -115,31 +118,31 @@
             else:
                 held.lines.pop(server, None)
 
-        for proxy in self.users[table]:
-            reach(proxy, 1, change)
+        for proxy in self.proxies[table]:
+            add_lines(proxy, 1, change)
 
-    def withdraw(self, server: str, on: bool, reach) -> None:
-        (self.withdrawn.add if on else self.withdrawn.discard)(server)
+    def set_withdrawn(self, server: str, withdrawn: bool, add_lines) -> None:
+        (self.withdrawn.add if withdrawn else self.withdrawn.discard)(server)
 
         def change(held: Held) -> None:
-            (held.withdrawn.add if on else held.withdrawn.discard)(server)
+            (held.withdrawn.add if withdrawn else held.withdrawn.discard)(server)
 
         for proxy, held in self.joined.items():
             table = self.bound.get(proxy)
-            holds = server in (held.lines if table is None else self.tables[table])
-            if holds:
-                reach(proxy, 1, change)
-
-    def bind(self, table: int, proxy: int, reach) -> None:
-        before = self.bound.get(proxy)
-        if before is not None:
-            self.users[before].discard(proxy)
+            uses_server = server in (held.lines if table is None else self.tables[table])
+            if uses_server:
+                add_lines(proxy, 1, change)
+
+    def bind(self, table: int, proxy: int, add_lines) -> None:
+        previous = self.bound.get(proxy)
+        if previous is not None:
+            self.proxies[previous].discard(proxy)
         self.bound[proxy] = table
-        self.users[table].add(proxy)
+        self.proxies[table].add(proxy)
         lines = dict(self.tables[table])
         withdrawn = self.withdrawn & lines.keys()
 
         def change(held: Held) -> None:
             held.lines, held.withdrawn = dict(lines), set(withdrawn)
 
-        reach(proxy, BIND_LINES + len(lines) + len(self.levels[table]) + len(withdrawn), change)
+        add_lines(proxy, BIND_LINES + len(lines) + len(self.admissions[table]) + len(withdrawn), change)
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -1,4 +1,4 @@
-"""A day in virtual time: a release runs, all directors but one are killed, and that one takes over."""
+"""A day in virtual time: during a release all directors but one are killed, and the last one takes over."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 @dataclass(frozen=True)
-class Shape:
+class DayConfig:
     """The settings and faults of a day."""
 
     proxies: int = 1536
     servers: int = 200
     zones: int = 4
     directors: int = 5
-    pace: float = 2100.0
-    pending: float = 36_900.0
-    grace_us: int = 18_300_000
-    head: int = 6
-    standing: int = 5
-    cross_zone: float = 0.06
+    lines_per_s: float = 2100.0
+    pending_lines_max: float = 36_900.0
+    drain_grace_us: int = 18_300_000
+    head_lines: int = 6
+    default_table_size: int = 5
+    cross_zone_penalty: float = 0.06
     warm_after_us: int = 12_000_000
-    late_us: int = 180_000
+    delivery_delay_us: int = 180_000
     killed_us: int = 9_000_000
-    redial_us: int = 1_500_000  # all proxies of the killed directors have joined the last one by then
+    reconnect_us: int = 1_500_000  # all proxies of the killed directors have joined the last one by then
     end_us: int = 30_000_000
     waves: tuple[Wave, ...] = (
         Wave(6_000_000, 30),
@@ -47,16 +47,16 @@
         Wave(10_000_000, 30),
         Wave(12_500_000, 10),
     )
-    list_every_us: int = 500_000
+    list_interval_us: int = 500_000
     seed: int = 1
 
-    def replace(self, **changes) -> Shape:
+    def replace(self, **changes) -> DayConfig:
         return replace(self, **changes)
 
-    def settings(self, me: int) -> dict:
+    def settings(self, number: int) -> dict:
         return {
-            "me": me,
-            "zone": me % self.zones,
+            "me": number,
+            "zone": number % self.zones,
             "directors": self.directors,
             "discovery": "pushed",
             "routes.count": 2,
@@ -64,21 +64,21 @@
             "routes.1.slo_time_us": 400_000,
             "routes.0.importance": 1.0,
             "routes.1.importance": 5.0,
-            "penalties.cross_zone": self.cross_zone,
+            "penalties.cross_zone": self.cross_zone_penalty,
             "proxies.by_zone": True,
             "proxies.proxy_count": self.proxies,
-            "proxies.pending_max": self.pending,
-            "proxies.lines_per_s": self.pace,
-            "proxies.head": self.head,
+            "proxies.pending_max": self.pending_lines_max,
+            "proxies.lines_per_s": self.lines_per_s,
+            "proxies.head": self.head_lines,
             "proxies.hears_per_s": 75.0,
             "proxies.report_every_us": 500_000,
-            "proxies.default_size": self.standing,
+            "proxies.default_size": self.default_table_size,
             "proxies.admit": "silent",
             "proxies.default_retry": 0,
             "proxies.pushes_allowed": 0,
             "proxies.ejects_after": 0,
-            "proxies.late_us": self.late_us,
-            "rules.drain_grace_us": self.grace_us,
+            "proxies.late_us": self.delivery_delay_us,
+            "rules.drain_grace_us": self.drain_grace_us,
             "rules.warm_after_us": self.warm_after_us,
             "rules.start_capacity": 0.16,
             "rules.fall_multiple": 3.0,
@@ -90,26 +90,26 @@
 class Outcome:
     """How near the day came to the limits."""
 
-    drain_most: float  # the longest time a server was picked after its drain was told, in graces
-    late: int  # how many of those were over a grace
-    unsent: int  # that were never taken off, though their grace had passed
-    queue_most: float  # the fullest queue over its limit
-    bare_us: int  # the longest time a proxy had nothing to pick
+    longest_drain: float  # longest use of a server after its drain was announced, in drain graces
+    late_drains: int  # number of such uses that exceeded the drain grace
+    unapplied_drains: int  # number of those that had not ended by the end of the day
+    peak_queue: float  # maximum queue length over its limit
+    longest_empty_us: int  # longest time for which a proxy had no usable server
     lines: int
     messages: int
-    unbound: int  # proxies that had no table of the last director at the end
+    unbound: int  # proxies that the last director had not bound to a table by the end
 
 
-class Life:
-    """One director: its module, its channel and what it was told."""
+class DirectorInstance:
+    """One director with its decisions and its channel."""
 
-    def __init__(self, day: Day, me: int):
-        shape = day.shape
+    def __init__(self, day: Day, number: int):
+        config = day.config
         self.day, self.alive, self.told = day, True, {}
-        self.channel = Channel(shape.pace, shape.head, shape.late_us)
-        self.stepper = Stepper(shape.seed + me, shape.settings(me), Director)
+        self.channel = Channel(config.lines_per_s, config.head_lines, config.delivery_delay_us)
+        self.stepper = Stepper(config.seed + number, config.settings(number), Director)
         self.stepper.pending_events.append(
-            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(day.listed.values()), 0)
+            model.EndpointUpdate(model.UpdateKind.CACHED, tuple(day.endpoints.values()), 0)
         )
 
     def step(self, now: int) -> None:
@@ -118,151 +118,158 @@
         self.stepper.fire_timers(now)
         if not self.stepper.pending_events:
             return
-        for at, message in self.channel.write(now, self.stepper.step(now)):
-            self.day.at(at, lambda message=message: self.applied(message))
+        for applied_us, message in self.channel.write(now, self.stepper.step(now)):
+            self.day.schedule(applied_us, lambda message=message: self.message_applied(message))
         due = self.stepper.due_us()
         if due is not None:
-            self.day.at(max(due, now + 1), lambda: self.step(self.day.now))
+            self.day.schedule(max(due, now + 1), lambda: self.step(self.day.now))
 
-    def applied(self, message) -> None:
+    def message_applied(self, message) -> None:
         held = self.channel.joined.get(message.proxy)
         if not self.alive or held is None:
             return
         self.day.apply(message.proxy, held, message.changes)
         if message.mark is not None:
-            self.hear(model.Acknowledged(message.proxy, message.mark, 0))
+            self.receive(model.Acknowledged(message.proxy, message.mark, 0))
 
-    def hear(self, *events) -> None:
+    def receive(self, *events) -> None:
         self.stepper.pending_events += events
-        self.day.at(self.day.now + 1_000, lambda: self.step(self.day.now))
+        self.day.schedule(self.day.now + 1_000, lambda: self.step(self.day.now))
 
 
 class Day:
-    """Plays a ``Shape`` on the real decision module."""
+    """Plays a ``DayConfig`` on the real decisions."""
 
-    def __init__(self, shape: Shape):
-        self.shape, self.now, self.heap, self.numbers = shape, 0, [], count()
-        self.random = random.Random(shape.seed)
-        self.listed = {
-            name: self.server(name, 0) for name in (f"s-{number:04x}" for number in range(shape.servers))
+    def __init__(self, config: DayConfig):
+        self.config, self.now, self.heap, self.numbers = config, 0, [], count()
+        self.random = random.Random(config.seed)
+        self.endpoints = {
+            name: self.server(name, 0) for name in (f"s-{number:04x}" for number in range(config.servers))
         }
-        self.fresh = count(shape.servers)
-        self.told: dict[str, int] = {}  # when a drain was told, by server
+        self.server_numbers = count(config.servers)
+        self.drained_us: dict[str, int] = {}  # time at which a server's drain was announced
         self.proxies: dict[int, Held] = {}
-        self.changes: dict[str, model.Endpoint] = {}  # that the next version of the list has
-        self.drain_most = 0.0
-        self.late = 0
-        self.bare_since: dict[int, int] = {}
-        self.bare_us = 0
-        self.lives = [Life(self, me) for me in range(shape.directors)]
+        self.changes: dict[str, model.Endpoint] = {}  # entries of the next list update
+        self.longest_drain = 0.0
+        self.late_drains = 0
+        self.empty_since: dict[int, int] = {}
+        self.longest_empty_us = 0
+        self.directors = [DirectorInstance(self, number) for number in range(config.directors)]
 
     def server(self, name: str, started_us: int, state: int = model.EndpointState.READY) -> model.Endpoint:
-        zone = self.random.randrange(self.shape.zones)
-        kind = self.random.random() < 0.45
-        return model.Endpoint(3.0 if kind else 2.0, zone, started_us, int(kind), 0, name, state)
+        zone = self.random.randrange(self.config.zones)
+        large = self.random.random() < 0.45
+        return model.Endpoint(3.0 if large else 2.0, zone, started_us, int(large), 0, name, state)
 
-    def at(self, moment: float, work) -> None:
-        heappush(self.heap, (int(moment), next(self.numbers), work))
+    def schedule(self, time_us: float, callback) -> None:
+        heappush(self.heap, (int(time_us), next(self.numbers), callback))
 
     def apply(self, proxy: int, held: Held, changes: list) -> None:
-        before = {server for server in held.usable() if server in self.told}
+        used = {server for server in held.usable() if server in self.drained_us}
         for change in changes:
             change(held)
-        for server in before - held.usable():
-            self.judge(held, server, self.now)
+        for server in used - held.usable():
+            self.record_drain(held, server, self.now)
         if held.usable():
-            self.bare_us = max(self.bare_us, self.now - self.bare_since.pop(proxy, self.now))
+            self.longest_empty_us = max(
+                self.longest_empty_us, self.now - self.empty_since.pop(proxy, self.now)
+            )
         else:
-            self.bare_since.setdefault(proxy, self.now)
+            self.empty_since.setdefault(proxy, self.now)
 
-    def judge(self, held: Held, server: str, until_us: int) -> bool:
-        used = (until_us - max(self.told[server], held.joined_us)) / self.shape.grace_us
-        self.drain_most = max(self.drain_most, used)
-        self.late += used > 1
-        return used > 1
+    def record_drain(self, held: Held, server: str, until_us: int) -> bool:
+        """Record the use of a server after its drain was announced; returns whether it exceeded the grace."""
+        duration = (until_us - max(self.drained_us[server], held.joined_us)) / self.config.drain_grace_us
+        self.longest_drain = max(self.longest_drain, duration)
+        self.late_drains += duration > 1
+        return duration > 1
 
-    def change(self, entry: model.Endpoint) -> None:
+    def change(self, endpoint: model.Endpoint) -> None:
         if not self.changes:
-            pause = self.shape.list_every_us
-            self.at((self.now // pause + 1) * pause, self.publish)
-        self.changes[entry.address] = entry
+            interval_us = self.config.list_interval_us
+            self.schedule((self.now // interval_us + 1) * interval_us, self.publish)
+        self.changes[endpoint.address] = endpoint
 
     def publish(self) -> None:
-        entries, self.changes = tuple(self.changes.values()), {}
-        for entry in entries:
-            if entry.state != model.EndpointState.READY:
-                self.told.setdefault(entry.address, self.now)
-            self.listed[entry.address] = entry
-        for life in self.lives:
-            if life.alive:
-                life.hear(model.EndpointUpdate(model.UpdateKind.DELTA, entries, 1))
+        endpoints, self.changes = tuple(self.changes.values()), {}
+        for endpoint in endpoints:
+            if endpoint.state != model.EndpointState.READY:
+                self.drained_us.setdefault(endpoint.address, self.now)
+            self.endpoints[endpoint.address] = endpoint
+        for director in self.directors:
+            if director.alive:
+                director.receive(model.EndpointUpdate(model.UpdateKind.DELTA, endpoints, 1))
 
     def replace(self, wave: Wave) -> None:
-        ready = [entry for entry in self.listed.values() if entry.state == model.EndpointState.READY]
-        for entry in self.random.sample(ready, min(wave.servers, len(ready) // 2)):
+        ready = [
+            endpoint for endpoint in self.endpoints.values() if endpoint.state == model.EndpointState.READY
+        ]
+        for endpoint in self.random.sample(ready, min(wave.servers, len(ready) // 2)):
             notice_us = self.random.randrange(1_500_000)
-            self.at(
+            self.schedule(
                 self.now + notice_us,
-                lambda entry=entry: self.change(entry._replace(state=model.EndpointState.DRAINING)),
+                lambda endpoint=endpoint: self.change(endpoint._replace(state=model.EndpointState.DRAINING)),
             )
-            self.at(
+            self.schedule(
                 self.now + notice_us + wave.gone_after_us,
-                lambda entry=entry: self.change(entry._replace(state=model.EndpointState.GONE)),
+                lambda endpoint=endpoint: self.change(endpoint._replace(state=model.EndpointState.GONE)),
             )
-            new = self.server(f"s-{next(self.fresh):04x}", self.now)
-            self.at(self.now + notice_us + 500_000, lambda new=new: self.change(new))
+            new = self.server(f"s-{next(self.server_numbers):04x}", self.now)
+            self.schedule(self.now + notice_us + 500_000, lambda new=new: self.change(new))
 
-    def join(self, proxy: int, life: Life) -> None:
+    def join(self, proxy: int, director: DirectorInstance) -> None:
         held = self.proxies[proxy]
         held.joined_us = self.now
-        life.channel.join(proxy, held)
-        fresh = not held.lines
-        life.hear(model.ProxyJoined(proxy, fresh, held.rate, held.zone))
+        director.channel.join(proxy, held)
+        newly_started = not held.lines
+        director.receive(model.ProxyJoined(proxy, newly_started, held.rate, held.zone))
 
     def kill(self) -> None:
-        """All but the last director die; their proxies dial the last one."""
-        last = self.lives[-1]
-        for life in self.lives[:-1]:
-            life.alive = False
-            for proxy in life.channel.joined:
-                self.at(
-                    self.now + self.random.randrange(100_000, self.shape.redial_us),
+        """Kill all directors but the last one; their proxies reconnect to that one."""
+        last = self.directors[-1]
+        for director in self.directors[:-1]:
+            director.alive = False
+            for proxy in director.channel.joined:
+                self.schedule(
+                    self.now + self.random.randrange(100_000, self.config.reconnect_us),
                     lambda proxy=proxy: self.join(proxy, last),
                 )
 
     def play(self) -> Outcome:
-        shape = self.shape
-        for proxy in range(shape.proxies):
-            held = Held(self.random.randrange(shape.zones), self.random.lognormvariate(0, 0.8))
-            local = [name for name, entry in self.listed.items() if entry.zone == held.zone]
-            held.lines = dict.fromkeys(self.random.sample(local or list(self.listed), shape.standing), 1.0)
+        config = self.config
+        for proxy in range(config.proxies):
+            held = Held(self.random.randrange(config.zones), self.random.lognormvariate(0, 0.8))
+            local = [name for name, endpoint in self.endpoints.items() if endpoint.zone == held.zone]
+            held.lines = dict.fromkeys(
+                self.random.sample(local or list(self.endpoints), config.default_table_size), 1.0
+            )
             self.proxies[proxy] = held
-            life = self.lives[proxy % shape.directors]
-            life.channel.join(proxy, held)
-            life.stepper.pending_events.append(model.ProxyJoined(proxy, True, held.rate, held.zone))
-        for life in self.lives:
-            self.at(0, lambda life=life: life.step(self.now))
-        for wave in shape.waves:
-            self.at(wave.at_us, lambda wave=wave: self.replace(wave))
-        self.at(shape.killed_us, self.kill)
-        while self.heap and self.heap[0][0] <= shape.end_us:
-            self.now, _, work = heappop(self.heap)
-            work()
+            director = self.directors[proxy % config.directors]
+            director.channel.join(proxy, held)
+            director.stepper.pending_events.append(model.ProxyJoined(proxy, True, held.rate, held.zone))
+        for director in self.directors:
+            self.schedule(0, lambda director=director: director.step(self.now))
+        for wave in config.waves:
+            self.schedule(wave.at_us, lambda wave=wave: self.replace(wave))
+        self.schedule(config.killed_us, self.kill)
+        while self.heap and self.heap[0][0] <= config.end_us:
+            self.now, _, callback = heappop(self.heap)
+            callback()
         return self.outcome()
 
     def outcome(self) -> Outcome:
-        self.now = self.shape.end_us
-        unsent = 0
+        self.now = self.config.end_us
+        unapplied = 0
         for held in self.proxies.values():
-            for server in held.usable() & self.told.keys():
-                unsent += self.judge(held, server, self.now)
-        last = self.lives[-1].channel
+            for server in held.usable() & self.drained_us.keys():
+                unapplied += self.record_drain(held, server, self.now)
+        last = self.directors[-1].channel
         return Outcome(
-            round(self.drain_most, 3),
-            self.late,
-            unsent,
-            round(last.waiting_most / self.shape.pending, 3),
-            self.bare_us,
+            round(self.longest_drain, 3),
+            self.late_drains,
+            unapplied,
+            round(last.waiting_most / self.config.pending_lines_max, 3),
+            self.longest_empty_us,
             last.lines_sent,
             last.messages_sent,
             len(last.joined) - len(last.bound),
