--- a/tests/decisions/scenario_player.py
+++ b/tests/decisions/scenario_player.py
@@ -1,26 +1,27 @@
-"""Plays a scenario: a small text file about one director. ``play(text)`` raises AssertionError if it fails.
+"""Plays scenarios: small text files about one director. ``play(text)`` raises AssertionError if one fails.
 
-A line is ``MS: EVENT; EVENT ...`` (one batch at that millisecond; timers ring on the way there) or a check of
-how things stand after it. ``#`` begins a comment. Servers have short names; ``a:new`` is one that starts at
-that time, ``a:drain`` and ``a:gone`` say what the list says, ``a:*2`` gives a listed weight, and ``A`` is of
-another machine type than ``a``.
+A line is either ``MS: EVENT; EVENT ...``, one batch of events at that millisecond, or a check of the state
+after it. Timers that are due before the batch fire first. ``#`` begins a comment. Servers have short names.
+In an endpoint list, ``a:new`` is a server that starts at that time, ``a:drain`` and ``a:gone`` give its
+state, ``a:*2`` gives its listed weight, and ``A`` has another machine type than ``a``.
 
     set NAME=VALUE ...        settings, before the start
-    MS: start | cached a b | full a b | list a:drain     a director starts; the list as cached, whole, changes
-    MS: join P [RATE [ZONE]] | left P | deaf P           a proxy joins or leaves; it answers no mark any more
-    MS: back P [RATE [ZONE]]                             one joins that holds what another director laid
-    MS: met a TRIES DROPPED [MEAN_MS [SPAN_MS]]          a report of what the proxies met at a server
-    MS: again MARK                                       what had this mark may have been written twice
-    MS: calls P ROUTE N                                  a report of what came to a proxy in the last second
-    MS: probed a OUTCOME                                 a probe's end, by the number of its outcome
-    MS: stall MS2                                        no batch before MS2; then all at once
-    see ORDER...              this order was given since the last batch line began, ``*``: anything
-    not ORDER...              none like this was given
-    picks P a b               what proxy P may pick: the lines of its table that are not withdrawn
-    lines P N                 how many it may pick
-    keeps P                   it may pick what it could at the last such check (the first one only notes it)
-    part a 0.25               the weight of a's line over its listed weight
-    messages N MS             no proxy was written more than N messages within MS
+    MS: start | cached a b | full a b | list a:drain     a director starts; its cached, full or changed list
+    MS: join P [RATE [ZONE]] | left P                    a proxy joins or leaves
+    MS: rejoin P [RATE [ZONE]]                           a proxy joins that has the tables of another director
+    MS: unresponsive P                                   a proxy acknowledges nothing from now on
+    MS: report a ATTEMPTS FAILURES [MEAN_MS [INTERVAL_MS]]   a load report on a server
+    MS: retransmitted NONCE                              the reply with this nonce may have been applied twice
+    MS: requests P ROUTE N                               a load report: requests to a proxy in the last second
+    MS: probed a OUTCOME                                 a health check ends, with the number of its outcome
+    MS: stall MS2                                        no step before MS2; then all events at once
+    expect COMMAND...         this command was given since the last batch line began; ``*`` matches anything
+    forbid COMMAND...         no such command was given
+    usable P a b              proxy P may use these servers: those of its table that are not withdrawn
+    usable_count P N          proxy P may use N servers
+    unchanged P               proxy P may use the same servers as at the first such check
+    weight a 0.25             the published weight of a over its listed weight
+    messages N MS             no proxy was sent more than N messages within MS
 """
 
 import fnmatch
@@ -31,20 +32,20 @@
 from rainpick.decisions.director import Director
 from rainpick.operator_settings import translate_value
 
-# What scenarios call the commands.
+# The names of the commands in scenarios.
 COMMAND_NAMES = {
-    model.SetWeight: "setline",
-    model.ClearTable: "cleartable",
-    model.SetWithdrawn: "withdraw",
-    model.RequestAcknowledgement: "mark",
+    model.SetWeight: "set_weight",
+    model.ClearTable: "clear_table",
+    model.SetWithdrawn: "set_withdrawn",
+    model.RequestAcknowledgement: "request_acknowledgement",
     model.BindProxy: "bind",
-    model.SetAdmission: "admit",
+    model.SetAdmission: "set_admission",
     model.ProbeServer: "probe",
-    model.SendPeerMessage: "tell",
-    model.SetTimer: "settimer",
+    model.SendPeerMessage: "send_peer_message",
+    model.SetTimer: "set_timer",
     model.Subscribe: "subscribe",
-    model.FetchEndpoints: "fetchlist",
-    model.LogMessage: "note",
+    model.FetchEndpoints: "fetch_endpoints",
+    model.LogMessage: "log_message",
 }
 STATES = {
     "": model.EndpointState.READY,
@@ -55,9 +56,9 @@
 
 
 class ScenarioPlayer:
-    """One director, what it ordered, and what its proxies hold.
+    """One director, the commands that it gave, and the state of its proxies.
 
-    ``checks`` and ``events`` map the words of a scenario to the methods that play them.
+    ``checks`` and ``events`` map the first words of scenario lines and events to the methods that play them.
     """
 
     def __init__(self):
@@ -65,21 +66,21 @@
         self.director = Director()
         self.now = 0
         self.stalled_until = 0  # no step before that time
-        self.entries = {}  # the endpoint list, by name
-        self.commands = []  # what was ordered since the last line of events
-        self.first_seen = {}  # by proxy, what "keeps" noted
-        self.sent = {}  # by proxy, when messages were written to it
-        self.deaf = set()  # proxies that acknowledge nothing
-        self.forget_director()
+        self.endpoints = {}  # the endpoint list, by name
+        self.commands = []  # commands since the last line of events
+        self.first_usable = {}  # by proxy, the usable servers at its first "unchanged" check
+        self.sent = {}  # by proxy, the times at which messages were sent to it
+        self.unresponsive = set()  # proxies that acknowledge nothing
+        self.reset_director_state()
         self.checks = {
             "set": self.set,
-            "see": self.see,
-            "not": self.see_not,
-            "picks": self.picks,
-            "lines": self.count_lines,
-            "keeps": self.keeps,
-            "part": self.part,
-            "messages": self.messages,
+            "expect": self.expect_command,
+            "forbid": self.forbid_command,
+            "usable": self.expect_usable,
+            "usable_count": self.expect_usable_count,
+            "unchanged": self.expect_unchanged,
+            "weight": self.expect_weight,
+            "messages": self.expect_message_limit,
         }
         self.events = {
             "start": self.start,
@@ -87,16 +88,16 @@
             "full": partial(self.update, model.UpdateKind.FULL),
             "list": partial(self.update, model.UpdateKind.DELTA),
             "join": partial(self.join, True),
-            "back": partial(self.join, False),
+            "rejoin": partial(self.join, False),
             "left": self.left,
-            "met": self.met,
-            "again": self.again,
-            "calls": self.calls,
-            "probed": self.probed,
+            "report": self.server_report,
+            "retransmitted": self.retransmitted,
+            "requests": self.route_report,
+            "probed": self.probe_completed,
         }
 
-    def forget_director(self):
-        """Whatever the director set up is gone with it."""
+    def reset_director_state(self):
+        """Discard all state that the director created."""
         self.timers = []
         self.bound = {}  # by joined proxy, its table
         self.tables = {}  # by table, the weights in it
@@ -105,23 +106,23 @@
     # Events
 
     def start(self):
-        self.forget_director()
+        self.reset_director_state()
         self.director = Director()
         return model.Started(7, dict(self.settings))
 
-    def entry(self, word):
-        """An entry of the list as a scenario names it: ``a``, ``a:new``, ``a:drain*2``."""
+    def endpoint(self, word):
+        """Parse an entry of the endpoint list: ``a``, ``a:new``, ``a:drain*2``."""
         name, _, rest = word.partition(":")
         state, _, weight = rest.partition("*")
-        old = self.entries.get(name)
+        old = self.endpoints.get(name)
         started = self.now if state == "new" else old.started_us if old else 0
-        zone = old.zone if old else len(self.entries) % 2
+        zone = old.zone if old else len(self.endpoints) % 2
         fields = float(weight or 1), zone, started, name.isupper(), 0, name, STATES[state]
-        self.entries[name] = model.Endpoint(*fields)
-        return self.entries[name]
+        self.endpoints[name] = model.Endpoint(*fields)
+        return self.endpoints[name]
 
     def update(self, kind, *words):
-        return model.EndpointUpdate(kind, tuple(self.entry(word) for word in words), 1)
+        return model.EndpointUpdate(kind, tuple(self.endpoint(word) for word in words), 1)
 
     def join(self, newly_started, proxy, rate="1", zone="0"):
         self.bound[int(proxy)], self.sent[int(proxy)] = None, []
@@ -131,33 +132,33 @@
         del self.bound[int(proxy)]
         return model.ProxyLeft(int(proxy))
 
-    def met(self, server, attempts, failures, mean_ms="50", interval_ms="1000"):
+    def server_report(self, server, attempts, failures, mean_ms="50", interval_ms="1000"):
         latency_us, interval_us = int(mean_ms) * 1000, int(interval_ms) * 1000
         return model.ServerLoadReport(server, 0, int(attempts), int(failures), latency_us, interval_us, ())
 
-    def again(self, nonce):
+    def retransmitted(self, nonce):
         return model.Retransmitted(int(nonce))
 
-    def calls(self, proxy, route, requests):
+    def route_report(self, proxy, route, requests):
         return model.RouteLoadReport(int(proxy), int(route), int(requests), 0, 1_000_000)
 
-    def probed(self, server, outcome):
+    def probe_completed(self, server, outcome):
         return model.ProbeCompleted(server, int(outcome), 1000, ())
 
     # Steps
 
     def step(self, events):
-        """Step the director, and carry out what it orders."""
+        """Step the director, and apply its commands."""
         reached = set()
         for command in self.director.step(self.now, events):
-            reached |= self.carry_out(command, frozenset(reached))
+            reached |= self.apply_command(command, frozenset(reached))
             fields = (str(field) for field in command)
             self.commands.append(" ".join([COMMAND_NAMES[type(command)], *fields]))
         for proxy in reached:
             self.sent[proxy].append(self.now)
 
-    def carry_out(self, command, reached):
-        """Do what a command says; the proxies that it reaches. ``reached``: those of the commands before."""
+    def apply_command(self, command, reached):
+        """Apply a command; returns the proxies that it reaches. ``reached``: those of earlier commands."""
         kind = type(command)
         if kind is model.SetTimer:
             heappush(self.timers, (self.now + command.delay_us, command.token))
@@ -174,31 +175,33 @@
             (self.withdrawn.add if command.withdrawn else self.withdrawn.discard)(command.server)
             return set(self.bound)
         elif kind is model.RequestAcknowledgement:
-            answers = [model.Acknowledged(proxy, command.nonce, 0) for proxy in reached - self.deaf]
-            heappush(self.timers, (self.now + 300_000, -1, command.nonce, answers))
+            acknowledgements = [
+                model.Acknowledged(proxy, command.nonce, 0) for proxy in reached - self.unresponsive
+            ]
+            heappush(self.timers, (self.now + 300_000, -1, command.nonce, acknowledgements))
         return set()
 
-    def until(self, moment):
-        """Let timers and acknowledgements come that are due by a time."""
-        while self.timers and max(self.timers[0][0], self.stalled_until) <= moment:
-            due, token, *answers = heappop(self.timers)
+    def advance_to(self, time_us):
+        """Fire the timers and deliver the acknowledgements that are due by a time."""
+        while self.timers and max(self.timers[0][0], self.stalled_until) <= time_us:
+            due, token, *rest = heappop(self.timers)
             self.now = max(due, self.stalled_until, self.now)
-            answers = [event for event in answers[-1] if event.proxy in self.bound] if answers else []
-            self.step(answers if token == -1 else [model.TimerFired(token)])
-        self.now = moment
+            rest = [event for event in rest[-1] if event.proxy in self.bound] if rest else []
+            self.step(rest if token == -1 else [model.TimerFired(token)])
+        self.now = time_us
 
-    def batch(self, moment_ms, text):
-        """A line of events at a time."""
+    def play_events(self, time_ms, text):
+        """Play a line of events at a time."""
         self.commands.clear()
-        self.until(moment_ms * 1000)
+        self.advance_to(time_ms * 1000)
         events = []
         for verb, *words in (part.split() for part in text.split(";") if part.strip()):
             if verb == "stall":
                 self.stalled_until = int(words[0]) * 1000
-            elif verb == "deaf":
-                self.deaf.add(int(words[0]))
+            elif verb == "unresponsive":
+                self.unresponsive.add(int(words[0]))
             else:
-                assert verb in self.events, f"no event is called {verb}"
+                assert verb in self.events, f"unknown event {verb}"
                 events.append((self.events[verb], words))
         if events:
             self.step([event(*words) for event, words in events])
@@ -210,44 +213,44 @@
             name, _, value = word.partition("=")
             self.settings[name] = translate_value(value)
 
-    def see(self, *words):
+    def expect_command(self, *words):
         assert fnmatch.filter(self.commands, " ".join(words)), self.commands
 
-    def see_not(self, *words):
+    def forbid_command(self, *words):
         assert not fnmatch.filter(self.commands, " ".join(words)), self.commands
 
     def usable(self, proxy):
         return set(self.tables.get(self.bound[int(proxy)], {})) - self.withdrawn
 
-    def picks(self, proxy, *servers):
+    def expect_usable(self, proxy, *servers):
         table = self.tables.get(self.bound[int(proxy)], {})
         assert self.usable(proxy) == set(servers), (table, self.withdrawn, set(servers))
 
-    def count_lines(self, proxy, count):
+    def expect_usable_count(self, proxy, count):
         assert len(self.usable(proxy)) == int(count), self.usable(proxy)
 
-    def keeps(self, proxy):
-        expected = self.first_seen.setdefault(proxy, self.usable(proxy))
+    def expect_unchanged(self, proxy):
+        expected = self.first_usable.setdefault(proxy, self.usable(proxy))
         assert self.usable(proxy) == expected, (self.usable(proxy), expected)
 
-    def part(self, server, fraction):
+    def expect_weight(self, server, fraction):
         weights = [table[server] for table in self.tables.values() if server in table]
-        expected = float(fraction) * self.entries[server].weight
+        expected = float(fraction) * self.endpoints[server].weight
         assert weights and all(abs(weight - expected) < 0.01 for weight in weights), weights
 
-    def messages(self, count, window_ms):
-        for moments in self.sent.values():
-            for last, moment in enumerate(moments):
-                recent = [early for early in moments[: last + 1] if moment - early < int(window_ms) * 1000]
-                assert len(recent) <= int(count), moments
+    def expect_message_limit(self, count, window_ms):
+        for times_us in self.sent.values():
+            for last, time_us in enumerate(times_us):
+                recent = [early for early in times_us[: last + 1] if time_us - early < int(window_ms) * 1000]
+                assert len(recent) <= int(count), times_us
 
-    def line(self, text):
+    def play_line(self, text):
         """Play a line: events at a time, or a check."""
         verb, *words = text.split()
         if verb.endswith(":"):
-            self.batch(int(verb[:-1]), text.partition(":")[2])
+            self.play_events(int(verb[:-1]), text.partition(":")[2])
         else:
-            assert verb in self.checks, f"no check is called {verb}"
+            assert verb in self.checks, f"unknown check {verb}"
             self.checks[verb](*words)
 
 
@@ -255,16 +258,16 @@
     """Play a scenario.
 
     >>> play("0: start; cached a b; join 1")
-    >>> play("0: start; cached a b; join 1 \\n picks 1 a b \\n not withdraw *")
-    >>> play("0: start; cached a b; join 1 \\n picks 1 a")
+    >>> play("0: start; cached a b; join 1 \\n usable 1 a b \\n forbid set_withdrawn *")
+    >>> play("0: start; cached a b; join 1 \\n usable 1 a")
     Traceback (most recent call last):
-    AssertionError: line 2 (picks 1 a): ({'a': 1.0, 'b': 1.0}, set(), {'a'})
+    AssertionError: line 2 (usable 1 a): ({'a': 1.0, 'b': 1.0}, set(), {'a'})
     """
     player = ScenarioPlayer()
     for number, raw in enumerate(text.splitlines(), 1):
         line = raw.partition("#")[0].strip()
         try:
             if line:
-                player.line(line)
+                player.play_line(line)
         except AssertionError as error:
             raise AssertionError(f"line {number} ({line}): {error}") from None
--- a/tests/decisions/test_director.py
+++ b/tests/decisions/test_director.py
@@ -1,4 +1,4 @@
-"""What the module reckons and no scenario can see."""
+"""Tests of the director's internal state, which scenarios cannot observe."""
 
 from rainpick import model
 from rainpick.decisions import endpoint_list
@@ -15,9 +15,9 @@
 SERVERS = tuple(model.Endpoint(1.0, 0, 0, 0, 0, name, model.EndpointState.READY) for name in "abcd")
 
 
-def begun():
+def started_director():
     director = Director()
-    orders = director.step(
+    commands = director.step(
         0,
         [
             model.Started(1, SETTINGS),
@@ -25,78 +25,88 @@
             model.ProxyJoined(1, True, 5.0, 0),
         ],
     )
-    (mark,) = [order.nonce for order in orders if type(order) is model.RequestAcknowledgement]
-    return director, mark
+    (nonce,) = [command.nonce for command in commands if type(command) is model.RequestAcknowledgement]
+    return director, nonce
 
 
-def test_lines_of_a_proxy_that_joins_again_unseen_still_wait():
-    """After a break in the news a proxy is told as joining anew, though its stream may never have ended: what
-    it was written is in the channel yet. Counted as gone, as much again was ordered, over the queue's end."""
-    director, _ = begun()
-    once = director.publisher.queue.waiting
-    assert once > 0
-    orders = director.step(100_000, [model.ProxyJoined(1, False, 5.0, 0)])
-    assert director.publisher.queue.waiting == 2 * once
-    (mark,) = [order.nonce for order in orders if type(order) is model.RequestAcknowledgement]
-    director.step(400_000, [model.Acknowledged(1, mark, 0)])
-    assert director.publisher.queue.waiting == 0, "the answer to the later message is one to the earlier, too"
+def test_lines_of_a_proxy_that_rejoins_unnoticed_still_count_as_waiting():
+    """Guards against exceeding the queue limit after an unnoticed rejoin.
+
+    After a gap in the events a proxy is reported as joining anew, though its stream may never have ended. Its
+    earlier lines are still in the channel; when they were not counted, as many again were sent.
+    """
+    director, _ = started_director()
+    lines = director.publisher.queue.waiting
+    assert lines > 0
+    commands = director.step(100_000, [model.ProxyJoined(1, False, 5.0, 0)])
+    assert director.publisher.queue.waiting == 2 * lines
+    (nonce,) = [command.nonce for command in commands if type(command) is model.RequestAcknowledgement]
+    director.step(400_000, [model.Acknowledged(1, nonce, 0)])
+    assert director.publisher.queue.waiting == 0, (
+        "acknowledging the later message acknowledges the earlier one, too"
+    )
 
 
-def test_lines_of_a_proxy_that_left_wait_no_more():
-    director, mark = begun()
+def test_lines_of_a_proxy_that_left_no_longer_count_as_waiting():
+    director, nonce = started_director()
     director.step(100_000, [model.ProxyLeft(1)])
     assert director.publisher.queue.waiting == 0
-    director.step(200_000, [model.Acknowledged(1, mark, 0)])
+    director.step(200_000, [model.Acknowledged(1, nonce, 0)])
     assert director.publisher.queue.waiting == 0
 
 
-def replaced(director, now, old, new):
-    """A server drains, is gone, and another one takes its place; the clock after a tick or so."""
+def replace_server(director, now, old, new):
+    """Drain and remove a server, and add another; returns the time afterwards and the commands given."""
 
-    def listed(name, state, started):
+    def endpoint_update(name, state, started):
         return model.EndpointUpdate(
             model.UpdateKind.DELTA, (model.Endpoint(1.0, 0, started, 0, 0, name, state),), 2
         )
 
-    found = []
-    for change in (
-        listed(old, model.EndpointState.DRAINING, 0),
-        listed(old, model.EndpointState.GONE, 0),
-        listed(new, model.EndpointState.READY, now),
+    given = []
+    for update in (
+        endpoint_update(old, model.EndpointState.DRAINING, 0),
+        endpoint_update(old, model.EndpointState.GONE, 0),
+        endpoint_update(new, model.EndpointState.READY, now),
     ):
-        orders = director.step(now, [change, model.TimerFired(0)])
-        marks = [
-            model.Acknowledged(1, order.nonce, 0)
-            for order in orders
-            if type(order) is model.RequestAcknowledgement
+        commands = director.step(now, [update, model.TimerFired(0)])
+        acknowledgements = [
+            model.Acknowledged(1, command.nonce, 0)
+            for command in commands
+            if type(command) is model.RequestAcknowledgement
         ]
-        found += orders + director.step(now + 300_000, marks)
+        given += commands + director.step(now + 300_000, acknowledgements)
         now += 1_000_000
-    return now, found
+    return now, given
 
 
-def test_servers_long_gone_are_forgotten_but_for_being_shut_out(monkeypatch):
-    """Two thousand replaced servers made each step four times as dear; the relay keeps them shut out, so one
-    that comes back under its old id has to be readmitted, or nobody would ever use it again."""
+def test_gone_servers_are_forgotten_but_remembered_as_withdrawn(monkeypatch):
+    """Guards against steps that take longer with each replaced server.
+
+    Two thousand replaced servers made each step four times as slow. The relay keeps forgotten servers
+    withdrawn, so one that returns under its old id has to be readmitted, or no proxy would use it again.
+    """
     monkeypatch.setattr(endpoint_list, "FORGOTTEN_MAX", 20)
-    director, mark = begun()
-    now, found = 1_000_000, director.step(500_000, [model.Acknowledged(1, mark, 0)])
+    director, nonce = started_director()
+    now, given = 1_000_000, director.step(500_000, [model.Acknowledged(1, nonce, 0)])
     for number in range(100):
-        now, found = replaced(director, now, "abcd"[number] if number < 4 else f"s{number - 4}", f"s{number}")
+        now, given = replace_server(
+            director, now, "abcd"[number] if number < 4 else f"s{number - 4}", f"s{number}"
+        )
         assert len(director.fleet.servers) <= 4 + 1 + endpoint_list.FORGET_TICKS
     assert len(director.endpoint_list.forgotten) == 20
     last = list(director.endpoint_list.forgotten)[-1]
-    now, found = replaced(director, now, "s98", last)
+    now, given = replace_server(director, now, "s98", last)
     for _ in range(12):
         now += 1_000_000
-        orders = director.step(now, [model.TimerFired(0)])
-        found += orders
+        commands = director.step(now, [model.TimerFired(0)])
+        given += commands
         director.step(
             now + 300_000,
             [
-                model.Acknowledged(1, order.nonce, 0)
-                for order in orders
-                if type(order) is model.RequestAcknowledgement
+                model.Acknowledged(1, command.nonce, 0)
+                for command in commands
+                if type(command) is model.RequestAcknowledgement
             ],
         )
-    assert model.SetWithdrawn(last, False) in found and last not in director.endpoint_list.forgotten
+    assert model.SetWithdrawn(last, False) in given and last not in director.endpoint_list.forgotten
--- a/tests/decisions/test_scenarios.py
+++ b/tests/decisions/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every file in ``scenarios/`` is played by the one runner."""
+"""Plays every file in ``scenarios/`` with the scenario player."""
 
 from pathlib import Path
 
