--- a/tests/compat/drawn_day.py
+++ b/tests/compat/drawn_day.py
@@ -1,7 +1,7 @@
-"""Days drawn by a seed for one director: settings, servers, proxies, faults and acknowledgements.
+"""Days drawn from a seed for one director: settings, servers, proxies, faults and acknowledgements.
 
-A day feeds events to the decision module and digests the commands that come back. The digest is taken over
-neutral names and plain numbers, so that it does not depend on what types and fields are called.
+A day passes events to the decisions and digests the resulting commands. The digest covers neutral names and
+plain numbers, so that it does not depend on the names of types and fields.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 ROUND_US = 250_000
 ROUNDS = 200
 
-# Neutral names: the digests are taken over these, whatever the types are called.
+# Neutral names: the digests cover these instead of the names of the types.
 NAMES = {
     model.SetWeight: "line",
     model.ClearTable: "clear",
@@ -34,37 +34,37 @@
 }
 
 
-def plain(value: object) -> object:
-    """A field of a command as a plain value: an enumeration's member or a flag is its number."""
+def plain_value(value: object) -> object:
+    """Return a field of a command as a plain value: an enumeration's member or a flag becomes its number."""
     return int(value) if isinstance(value, int) else value
 
 
-def row(command: tuple) -> tuple:
-    """A command as its neutral name and its plain fields, in their order."""
-    return NAMES[type(command)], *map(plain, command)
+def command_row(command: tuple) -> tuple:
+    """Return a command as its neutral name and its plain fields in order."""
+    return NAMES[type(command)], *map(plain_value, command)
 
 
 class Digest:
-    """The digest of all that a director ordered, and how many commands of each kind there were."""
+    """The digest of all commands of a director, and the number of commands of each kind."""
 
     def __init__(self) -> None:
         self.hash = sha256()
         self.counts: dict[str, int] = {}
 
     def add(self, now: int, commands: list) -> None:
-        """Take in what one step ordered."""
+        """Add the commands of one step."""
         for command in commands:
-            fields = row(command)
+            fields = command_row(command)
             self.counts[fields[0]] = self.counts.get(fields[0], 0) + 1
             self.hash.update(f"{now} {fields!r}\n".encode())
 
     def result(self) -> dict:
-        """The digest as the committed file holds it."""
+        """Return the digest in the form of the committed file."""
         return {"sha256": self.hash.hexdigest(), "commands": dict(sorted(self.counts.items()))}
 
 
 def draw_settings(draw: random.Random) -> dict:
-    """Settings as the module reads them; each key is left out now and then."""
+    """Draw settings for the decisions; each key is left out occasionally."""
     settings = {
         "routes.count": draw.choice((1, 2, 3)),
         "directors": draw.choice((1, 2, 5)),
@@ -103,7 +103,7 @@
 
 
 class DrawnDay:
-    """One director among drawn servers and proxies; ``play`` returns the digest of its commands."""
+    """One director with drawn servers and proxies; ``play`` returns the digest of its commands."""
 
     def __init__(self, seed: int):
         self.draw = random.Random(seed)
@@ -111,69 +111,76 @@
         self.now = self.draw.choice((0, 0, 40_000_000))
         self.director, self.digest = Director(), Digest()
         self.servers: dict[str, model.Endpoint] = {}
-        self.names = 0
+        self.servers_created = 0
         self.faults: dict[str, str] = {}
-        self.proxies: dict[int, int] = {}  # the zone of each joined proxy
-        self.deaf: set[int] = set()
-        self.marks: list[int] = []
-        self.due: list[tuple[int, int, list]] = []
+        self.proxies: dict[int, int] = {}  # zone of each joined proxy
+        self.unresponsive: set[int] = set()
+        self.nonces: list[int] = []
+        self.scheduled: list[tuple[int, int, list]] = []
         self.numbers = count()
-        self.load = 1.0
-        self.lost_zone: int | None = None
+        self.load_factor = 1.0
+        self.partitioned_zone: int | None = None
 
     def server(self, started_us: int) -> model.Endpoint:
-        """A new entry of the list."""
-        self.names += 1
+        """Create a new entry of the endpoint list."""
+        self.servers_created += 1
         machine = self.draw.randrange(3)
-        fields = float(1 + machine), self.draw.randrange(3), started_us, machine, 0, f"s{self.names}"
+        fields = (
+            float(1 + machine),
+            self.draw.randrange(3),
+            started_us,
+            machine,
+            0,
+            f"s{self.servers_created}",
+        )
         return model.Endpoint(*fields, model.EndpointState.READY)
 
     def play(self) -> dict:
         """Play all rounds."""
         for _ in range(self.draw.choice((4, 15, 60))):
-            entry = self.server(self.draw.choice((0, 0, 0, max(0, self.now - 1_000_000))))
-            self.servers[entry.address] = entry
+            endpoint = self.server(self.draw.choice((0, 0, 0, max(0, self.now - 1_000_000))))
+            self.servers[endpoint.address] = endpoint
         start = [
             model.Started(self.draw.randrange(1 << 30), self.settings),
             model.EndpointUpdate(model.UpdateKind.CACHED, tuple(self.servers.values()), 1),
         ]
-        self.step(start + self.joins(self.draw.choice((2, 10, 60))))
+        self.step(start + self.proxies_joining(self.draw.choice((2, 10, 60))))
         for _ in range(ROUNDS):
             self.now += self.draw.choice((ROUND_US, ROUND_US, ROUND_US, 40_000, 1_100_000))
-            events = self.changes() + self.slices() + self.reports() + self.due_events()
+            events = self.random_changes() + self.key_range_events() + self.load_reports() + self.due_events()
             self.draw.shuffle(events)
             self.step(events)
         return self.digest.result()
 
     def step(self, events: list) -> None:
-        """Step the module, digest its commands, and plan the timers and acknowledgements they cause."""
+        """Step the director, digest its commands, and schedule the timers and acknowledgements they cause."""
         commands = self.director.step(self.now, events)
         self.digest.add(self.now, commands)
         for command in commands:
             if type(command) is model.SetTimer:
-                self.plan(command.delay_us, [model.TimerFired(command.token)])
+                self.schedule(command.delay_us, [model.TimerFired(command.token)])
             elif type(command) is model.RequestAcknowledgement:
-                self.marks = [*self.marks[-4:], command.nonce]
-                late_us = self.draw.choice((30_000, 200_000, 900_000))
-                answers = [
-                    model.Acknowledged(proxy, command.nonce, late_us)
-                    for proxy in self.proxies.keys() - self.deaf
+                self.nonces = [*self.nonces[-4:], command.nonce]
+                delay_us = self.draw.choice((30_000, 200_000, 900_000))
+                acknowledgements = [
+                    model.Acknowledged(proxy, command.nonce, delay_us)
+                    for proxy in self.proxies.keys() - self.unresponsive
                 ]
-                self.plan(late_us, sorted(answers))
+                self.schedule(delay_us, sorted(acknowledgements))
 
-    def plan(self, delay_us: int, events: list) -> None:
-        """Events that come later."""
-        heappush(self.due, (self.now + delay_us, next(self.numbers), events))
+    def schedule(self, delay_us: int, events: list) -> None:
+        """Schedule events after a delay."""
+        heappush(self.scheduled, (self.now + delay_us, next(self.numbers), events))
 
     def due_events(self) -> list:
-        """What is due by now."""
+        """Return the events that are due."""
         events = []
-        while self.due and self.due[0][0] <= self.now:
-            events += heappop(self.due)[2]
+        while self.scheduled and self.scheduled[0][0] <= self.now:
+            events += heappop(self.scheduled)[2]
         return events
 
-    def joins(self, count: int) -> list:
-        """Proxies that join, some of them again and unseen."""
+    def proxies_joining(self, count: int) -> list:
+        """Return joins of proxies, some of which rejoin unnoticed."""
         events = []
         for _ in range(count):
             proxy = self.draw.randrange(200)
@@ -182,19 +189,19 @@
             events.append(model.ProxyJoined(proxy, self.draw.random() < 0.6, rate, self.proxies[proxy]))
         return events
 
-    def changes(self) -> list:
-        """What happens to proxies, to the list and to servers in this round."""
+    def random_changes(self) -> list:
+        """Return changes of proxies and of the endpoint list, and change the faults of servers."""
         draw, events = self.draw, []
         if draw.random() < 0.08:
-            events += self.joins(draw.choice((1, 3, 30)))
+            events += self.proxies_joining(draw.choice((1, 3, 30)))
         if self.proxies and draw.random() < 0.08:
             proxy = draw.choice(sorted(self.proxies))
             del self.proxies[proxy]
             events.append(model.ProxyLeft(proxy))
         if self.proxies and draw.random() < 0.05:
-            self.deaf = set(draw.sample(sorted(self.proxies), len(self.proxies) // 3))
-        if self.marks and draw.random() < 0.05:
-            events.append(model.Retransmitted(draw.choice(self.marks)))
+            self.unresponsive = set(draw.sample(sorted(self.proxies), len(self.proxies) // 3))
+        if self.nonces and draw.random() < 0.05:
+            events.append(model.Retransmitted(draw.choice(self.nonces)))
         if draw.random() < 0.2:
             events.append(self.list_update())
         if draw.random() < 0.04:
@@ -203,13 +210,13 @@
                 for address in self.servers
                 if draw.random() < 0.2
             }
-            self.lost_zone = draw.choice((None, None, 0, 1))
+            self.partitioned_zone = draw.choice((None, None, 0, 1))
         if draw.random() < 0.04:
-            self.load = draw.choice((0.3, 1.0, 1.0, 3.0, 8.0))
+            self.load_factor = draw.choice((0.3, 1.0, 1.0, 3.0, 8.0))
         return events
 
     def list_update(self) -> model.EndpointUpdate:
-        """News of the list: entries that drain, are gone, come back or are new; now and then it fails."""
+        """Return a list update of draining, gone, returning or new servers; occasionally a failed one."""
         draw, changed = self.draw, []
         if draw.random() < 0.05:
             return model.EndpointUpdate(model.UpdateKind.FAILED, (), 0)
@@ -222,59 +229,61 @@
                     model.EndpointState.GONE,
                 )
             )
-            entry = self.servers[address]._replace(state=state)
+            endpoint = self.servers[address]._replace(state=state)
             if draw.random() < 0.2:
-                entry = entry._replace(started_us=self.now)
-            changed.append(entry)
+                endpoint = endpoint._replace(started_us=self.now)
+            changed.append(endpoint)
         changed += [self.server(self.now) for _ in range(draw.choice((0, 0, 1, 3)))]
-        for entry in changed:
-            self.servers[entry.address] = entry
-            if entry.state == model.EndpointState.GONE and len(self.servers) > 3:
-                del self.servers[entry.address]
+        for endpoint in changed:
+            self.servers[endpoint.address] = endpoint
+            if endpoint.state == model.EndpointState.GONE and len(self.servers) > 3:
+                del self.servers[endpoint.address]
         if draw.random() < 0.15:
-            kept = [entry for entry in self.servers.values() if draw.random() < 0.9]
+            kept = [endpoint for endpoint in self.servers.values() if draw.random() < 0.9]
             return model.EndpointUpdate(model.UpdateKind.FULL, tuple(kept), 2)
         return model.EndpointUpdate(model.UpdateKind.DELTA, tuple(changed), 2)
 
-    def slices(self) -> list:
-        """Slices that come into the director's charge or leave it."""
+    def key_range_events(self) -> list:
+        """Return events that assign a key range to the director or take one from it."""
         if not self.settings.get("proxies.slices") or self.draw.random() < 0.7:
             return []
-        number = self.draw.randrange(12)
+        key_range = self.draw.randrange(12)
         if self.draw.random() < 0.2:
-            return [model.KeyRangeAssigned(number, False)]
+            return [model.KeyRangeAssigned(key_range, False)]
         address = self.draw.choice(sorted(self.servers))
-        lines = [model.KeyRangeWeight(number, address, 1.0)]
-        return [model.KeyRangeAssigned(number, True), *(lines if self.draw.random() < 0.8 else [])]
+        weights = [model.KeyRangeWeight(key_range, address, 1.0)]
+        return [model.KeyRangeAssigned(key_range, True), *(weights if self.draw.random() < 0.8 else [])]
 
-    def reports(self) -> list:
-        """What proxies met at servers, and what came to proxies."""
+    def load_reports(self) -> list:
+        """Return load reports on servers and on the requests that reach proxies."""
         events = []
-        for address, entry in self.servers.items():
-            if entry.state == model.EndpointState.GONE or self.draw.random() < 0.4:
+        for address, endpoint in self.servers.items():
+            if endpoint.state == model.EndpointState.GONE or self.draw.random() < 0.4:
                 continue
-            if report := self.report(address, entry):
-                events.append(report)
+            if server_report := self.server_report(address, endpoint):
+                events.append(server_report)
         for proxy in self.proxies:
             if self.draw.random() < 0.3:
                 for route in range(self.settings["routes.count"]):
-                    calls = int(self.load * self.draw.randrange(1, 30))
-                    events.append(model.RouteLoadReport(proxy, route, calls, calls // 7, 500_000))
+                    requests = int(self.load_factor * self.draw.randrange(1, 30))
+                    events.append(model.RouteLoadReport(proxy, route, requests, requests // 7, 500_000))
         return events
 
-    def report(self, address: str, entry: model.Endpoint) -> model.ServerLoadReport | None:
-        """A report on one server, by its fault, the load and its zone."""
+    def server_report(self, address: str, endpoint: model.Endpoint) -> model.ServerLoadReport | None:
+        """Return a load report on one server, which depends on its fault, the load and its zone."""
         fault = self.faults.get(address)
-        tries = self.draw.randrange(1, 25)
-        share = 0.0 if self.load < 2 else min(0.9, 0.12 * self.load)
-        mean_us = int(self.draw.randrange(40_000, 120_000) * max(1.0, self.load))
-        if fault == "silent" or entry.zone == self.lost_zone and self.draw.random() < 0.4:
+        attempts = self.draw.randrange(1, 25)
+        failure_ratio = 0.0 if self.load_factor < 2 else min(0.9, 0.12 * self.load_factor)
+        mean_us = int(self.draw.randrange(40_000, 120_000) * max(1.0, self.load_factor))
+        if fault == "silent" or endpoint.zone == self.partitioned_zone and self.draw.random() < 0.4:
             return None
-        if fault == "dead" or entry.zone == self.lost_zone:
-            share = 1.0
+        if fault == "dead" or endpoint.zone == self.partitioned_zone:
+            failure_ratio = 1.0
         elif fault == "errors":
-            share = max(share, 0.6)
+            failure_ratio = max(failure_ratio, 0.6)
         elif fault == "slow":
             mean_us *= 6
-        dropped = sum(self.draw.random() < share for _ in range(tries))
-        return model.ServerLoadReport(address, self.draw.randrange(3), tries, dropped, mean_us, 500_000, ())
+        failures = sum(self.draw.random() < failure_ratio for _ in range(attempts))
+        return model.ServerLoadReport(
+            address, self.draw.randrange(3), attempts, failures, mean_us, 500_000, ()
+        )
--- a/tests/compat/test_decisions.py
+++ b/tests/compat/test_decisions.py
@@ -1,8 +1,9 @@
-"""The decisions stay: every command of drawn days, scenarios and takeovers, against committed digests.
+"""Guards against unintended changes of the decisions, by digests of all commands for fixed inputs.
 
-``decisions/digests.json`` was made by the text of commit ec54d34 and is not made anew for a change of code
-that should change nothing: a step that gives other commands is a change of behaviour and says so in a commit
-of its own. ``decisions/README.md`` tells of the two exceptions.
+The inputs are drawn days, scenarios and takeovers. ``decisions/digests.json`` was made by the code of commit
+ec54d34 and is not regenerated for a change of code that should not affect behaviour. A step that returns
+other commands is a change of behaviour: it is made in a commit of its own, which says so.
+``decisions/README.md`` describes the two exceptions.
 """
 
 import json
@@ -16,7 +17,7 @@
 from rainpick.director.stepper import Stepper
 from tests.compat.drawn_day import Digest, DrawnDay
 from tests.decisions import scenario_player as scenarios
-from tests.takeover import day as takeovers
+from tests.takeover import day as takeover_day
 from tests.takeover.test_takeover import SMALL
 
 HERE = Path(__file__).parent
@@ -26,16 +27,16 @@
 
 
 def drawn_digest(seed: int) -> dict:
-    """The digest of a drawn day."""
+    """Return the digest of a drawn day."""
     return DrawnDay(int(seed)).play()
 
 
 def scenario_digest(name: str) -> dict:
-    """The digest of all that the directors of a scenario order."""
+    """Return the digest of all commands of the directors in a scenario."""
     digest = Digest()
 
     class Recorded(scenarios.Director):
-        """The director, its commands digested."""
+        """A director whose commands are digested."""
 
         def step(self, now, events):
             commands = super().step(now, events)
@@ -49,19 +50,19 @@
 
 
 def takeover_digest(seed: int) -> dict:
-    """The digest of all that the directors of a takeover order."""
+    """Return the digest of all commands of the directors in a takeover."""
     digest = Digest()
 
     class Recorded(Stepper):
-        """The stepper, its commands digested."""
+        """A stepper whose commands are digested."""
 
         def __init__(self, *arguments):
             super().__init__(*arguments)
             self.on_step = lambda now, events, commands: digest.add(now, commands)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(takeovers, "Stepper", Recorded)
-        takeovers.Day(SMALL.replace(seed=int(seed))).play()
+        patch.setattr(takeover_day, "Stepper", Recorded)
+        takeover_day.Day(SMALL.replace(seed=int(seed))).play()
     return digest.result()
 
 
@@ -78,13 +79,13 @@
     assert EXPECTED["scenario"].keys() == {path.stem for path in SCENARIOS.glob("*.txt")}
 
 
-def test_every_kind_of_command_that_the_module_gives_is_digested():
-    given = {kind for days in EXPECTED.values() for day in days.values() for kind in day["commands"]}
-    assert given == {"line", "withdraw", "mark", "bind", "admit", "timer", "subscribe"}
+def test_every_kind_of_command_that_the_director_gives_is_digested():
+    digested = {kind for days in EXPECTED.values() for day in days.values() for kind in day["commands"]}
+    assert digested == {"line", "withdraw", "mark", "bind", "admit", "timer", "subscribe"}
 
 
 @pytest.mark.parametrize("hash_seed", ["1", "77"])
-def test_whatever_the_hash_seed(hash_seed):
+def test_commands_do_not_depend_on_the_hash_seed(hash_seed):
     code = "import json; from tests.compat.test_decisions import DIGESTS as digests; print(json.dumps(" + (
         "[digests['drawn'](4), digests['takeover'](1), digests['scenario']('zones')]))"
     )
