--- a/rainpick/decisions/table_assignment.py
+++ b/rainpick/decisions/table_assignment.py
@@ -52,8 +52,8 @@
         table_size = TABLE_SIZE_MULTIPLE * (UNLIMITED_SERVERS if default_size is None else default_size)
         count = settings.expected_proxies / PROXIES_PER_TABLE
         zones: list[int | None] = list({server.endpoint.zone: None for server in servers.values()}) or [None]
-        has_enough_servers = min(len(servers) / table_size, count) >= len(zones)
-        if not has_enough_servers or settings.cross_zone_penalty < CROSS_ZONE_PENALTY_MIN:
+        has_table_per_zone = min(len(servers) / table_size, count) >= len(zones)
+        if not has_table_per_zone or settings.cross_zone_penalty < CROSS_ZONE_PENALTY_MIN:
             zones, count = [None], count / settings.directors
         per_zone = int(count / len(zones))
         total_size = per_zone * table_size * len(zones)
--- a/tests/decisions/scenario_player.py
+++ b/tests/decisions/scenario_player.py
@@ -186,8 +186,8 @@
         while self.timers and max(self.timers[0][0], self.stalled_until) <= time_us:
             due, token, *rest = heappop(self.timers)
             self.now = max(due, self.stalled_until, self.now)
-            rest = [event for event in rest[-1] if event.proxy in self.bound] if rest else []
-            self.step(rest if token == -1 else [model.TimerFired(token)])
+            acknowledgements = [event for event in rest[-1] if event.proxy in self.bound] if rest else []
+            self.step(acknowledgements if token == -1 else [model.TimerFired(token)])
         self.now = time_us
 
     def play_events(self, time_ms, text):
