--- a/rainpick/net/__init__.py
+++ b/rainpick/net/__init__.py
@@ -1,4 +1,4 @@
-"""Byte streams on blocking sockets, independent of the protocol that is parsed from them."""
+"""Byte streams over blocking sockets, independent of the protocol that they carry."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class StreamEnded(NamedTuple):
-    """The last event of a stream: nothing more is read from it, and the owner has to close it.
+    """The last event of a stream: reading has stopped and the owner must close the stream.
 
-    ``data``: bytes to write before the close, for example an error reply; empty if there are none.
-    ``reason``: why the stream ended, for the log.
+    ``data``: bytes to write before closing, such as an error reply; may be empty.
+    ``reason``: the cause, for the log.
     """
 
     data: bytes
--- a/rainpick/net/streams.py
+++ b/rainpick/net/streams.py
@@ -1,7 +1,7 @@
-"""Streams and listeners on blocking sockets, for peers that connect to this process.
+"""Streams and listeners over blocking sockets, for peers that connect to this process.
 
-Each stream has one small thread that reads and parses. All writes come from the thread that owns the stream;
-they never block, so that a peer that does not read holds up nobody else.
+Each stream has its own thread that reads and parses. Only the thread that owns the stream writes to it.
+Writes never block, so a peer that does not read cannot delay other peers.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from rainpick.net import StreamEnded
 
 READ_SIZE = 16_384  # bytes
-SEND_BUFFER_SIZE = 65_536  # bytes; small, so that a peer that does not read is noticed soon
+SEND_BUFFER_SIZE = 65_536  # bytes; small, so that a peer that does not read is detected early
 NONBLOCKING_SEND = int(socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
 ACCEPT_RETRY_S = 0.02  # pause after a failed accept
-UNSENT_LIMIT = 1_048_576  # bytes queued beyond the socket buffer; a peer that reads stays far below
+UNSENT_LIMIT = 1_048_576  # bytes queued in addition to the socket buffer; a reading peer stays far below it
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger: on, 0 s
 
 
 class StreamParser(Protocol):
-    """Turns the bytes of a peer into events, without I/O."""
+    """Parses the bytes received from a peer into events, without I/O."""
 
     def receive(self, data: bytes) -> Sequence[object]:
-        """The events that these bytes complete, in order. ``StreamEnded`` is always the last one."""
+        """Return the events that these bytes complete, in order. No event follows ``StreamEnded``."""
 
 
 class PendingDelivery(NamedTuple):
-    """A message whose delivery is tracked: it ends at byte ``end`` of everything written to the stream."""
+    """A message whose delivery is tracked. Its last byte is byte number ``end`` of the stream's output."""
 
     end: int
     message: int
@@ -46,8 +46,8 @@
     """One connection of a peer.
 
     The reading thread passes each event of ``parser`` to ``on_event``, in order; the last one is
-    ``StreamEnded``. Everything else about the parser's events belongs to the owner of the stream, and
-    ``write``, ``flush``, ``newest_delivered`` and ``close`` are for the owner's thread alone.
+    ``StreamEnded``. The stream does not interpret any other event. Only the owner's thread may call
+    ``write``, ``flush``, ``newest_delivered`` and ``close``.
     """
 
     def __init__(
@@ -63,9 +63,9 @@
         self.peer = peer
         self.parser = parser
         self.on_event = on_event
-        self.unsent = bytearray()  # what the socket buffer had no space for yet
-        self.written = 0  # bytes written in total, ``unsent`` included
-        self.pending: deque[PendingDelivery] = deque()  # in the order of writing
+        self.unsent = bytearray()  # bytes that did not fit into the socket buffer
+        self.written = 0  # bytes written in total, including ``unsent``
+        self.pending: deque[PendingDelivery] = deque()  # in the order in which they were written
         self.closed = False
         self.reading = False
         self.close_lock = threading.Lock()  # guards ``closed`` and ``reading``
@@ -73,10 +73,10 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_SIZE)
 
     def start(self) -> None:
-        """Start the reading thread; ``RuntimeError`` if none can be started.
+        """Start the reading thread; raise ``RuntimeError`` if no thread can be started.
 
-        This is not a ``threading.Thread``, whose start waits for the new thread: hundreds of peers connect
-        at once.
+        ``threading.Thread.start`` would block until the new thread runs, which is too slow when hundreds of
+        peers connect at once.
         """
         self.reading = True
         try:
@@ -86,12 +86,12 @@
             raise
 
     def _read(self) -> None:
-        """Body of the reading thread: report events until the stream ends."""
+        """Report events until the stream ends. Runs in the reading thread."""
         try:
             self._report_events()
         except OSError as error:
             self.on_event(self, StreamEnded(b"", error.strerror or type(error).__name__))
-        except Exception as error:  # noqa: BLE001 - a fault that a peer's bytes trigger must end only its stream
+        except Exception as error:  # noqa: BLE001 - an error in parsing a peer's bytes must end only its stream
             self.on_event(self, StreamEnded(b"", f"{type(error).__name__}: {error}"))
         finally:
             with self.close_lock:
@@ -112,10 +112,10 @@
                     return
 
     def write(self, data: bytes, message: int | None = None) -> bool:
-        """Send without blocking; False if more than ``UNSENT_LIMIT`` bytes are queued for the peer.
+        """Send without blocking; return False if more than ``UNSENT_LIMIT`` bytes are queued for the peer.
 
-        With a ``message`` number its delivery is tracked: see ``newest_delivered``. A broken connection is
-        not an error here: the reading thread reports it.
+        If ``message`` is given, the delivery of the message with that number is tracked, see
+        ``newest_delivered``. A broken connection raises nothing here: the reading thread reports it.
         """
         self.written += len(data)
         if message is not None:
@@ -133,7 +133,7 @@
         return len(self.unsent) <= UNSENT_LIMIT
 
     def flush(self) -> None:
-        """Send what the socket buffer has space for of ``unsent``; drop all if the connection is broken."""
+        """Send as much of ``unsent`` as fits the socket buffer; discard it if the connection is broken."""
         while self.unsent and not self.closed:
             try:
                 sent = self.sock.send(self.unsent, NONBLOCKING_SEND)
@@ -145,16 +145,18 @@
             del self.unsent[:sent]
 
     def newest_delivered(self) -> int | None:
-        """Number of the newest message that the peer's host has acknowledged completely (TCP, not the peer
-        itself); None if there is no newer one than at the last call.
+        """Return the number of the newest delivered message; None if unchanged since the last call.
+
+        A message is delivered once the TCP stack of the peer's host has acknowledged all its bytes. The peer
+        itself may not have read them.
         """
         if not self.pending or self.closed:
             return None
         try:
-            answer = fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, b"\0\0\0\0")
+            unacknowledged = fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, b"\0\0\0\0")
         except (OSError, ValueError):
             return None
-        in_socket_buffer = struct.unpack("i", answer)[0]
+        in_socket_buffer = struct.unpack("i", unacknowledged)[0]
         acknowledged = self.written - len(self.unsent) - in_socket_buffer
         newest = None
         while self.pending and self.pending[0].end <= acknowledged:
@@ -164,15 +166,15 @@
     def close(self) -> None:
         """Shut the connection down.
 
-        The descriptor is freed only when the reading thread is done as well: the next connection may get the
-        same descriptor, and a reading thread that was about to use it would take that peer's bytes.
+        The file descriptor is closed only after the reading thread has finished. Otherwise a new connection
+        could get the same descriptor, and the old reading thread would read the new peer's bytes.
         """
         with self.close_lock:
             if self.closed:
                 return
             self.closed = True
             with contextlib.suppress(OSError):
-                if self.unsent:  # a peer that does not read would keep an orderly close waiting in the kernel
+                if self.unsent:  # an orderly close would stay pending in the kernel if the peer does not read
                     self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 self.sock.shutdown(socket.SHUT_RDWR)
             if not self.reading:
@@ -180,10 +182,10 @@
 
 
 class Listener:
-    """Accepts connections in the thread ``thread``, once the owner has started it, until ``close``.
+    """Accepts connections in ``thread``, which the owner starts, until ``close`` is called.
 
-    The port is bound at once and ``address`` is the real one. ``on_connection`` gets each socket with the
-    peer as ``host:port``; a socket for which it raises ``OSError`` or ``RuntimeError`` is closed.
+    The constructor binds the port; ``address`` is the bound address. ``on_connection`` receives each accepted
+    socket and its peer as ``host:port``. If it raises ``OSError`` or ``RuntimeError``, the socket is closed.
     """
 
     def __init__(
@@ -196,12 +198,13 @@
         self.thread = threading.Thread(target=self._accept, name="accept", daemon=True)
 
     def _accept(self) -> None:
-        """Body of the accepting thread."""
+        """Accept connections until the listener is closed. Runs in the accepting thread."""
         while not self.closing:
             try:
                 sock, peer = self.socket.accept()
             except OSError:
-                # No descriptors left, or the peer is gone already: the listener must outlive both.
+                # No file descriptor is free, or the peer has already disconnected. Neither may end the
+                # listener.
                 time.sleep(0 if self.closing else ACCEPT_RETRY_S)
                 continue
             try:
@@ -210,7 +213,7 @@
                 sock.close()
 
     def close(self) -> None:
-        """Stop accepting and free the port."""
+        """Stop accepting connections and release the port."""
         self.closing = True
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
