--- a/rainpick/node/__init__.py
+++ b/rainpick/node/__init__.py
@@ -1,6 +1,7 @@
-"""The live director: the operators' platform as a front end of the decisions.
+"""The live director: a front end that connects the decisions to the operators' platform.
 
-``process`` starts it all. Threads read what comes in (``collector_listener``, ``discovery_watch``,
-``relay_subscription``) and post it to the ``mailbox``; the ``event_loop`` steps the decisions and hands their
-commands to the ``commit_client``, which sends them to the relay.
+``process`` starts all threads. The input threads (``collector_listener``, ``discovery_watch``,
+``relay_subscription``) post load reports and notifications to the ``mailbox``. The ``event_loop`` passes them
+as events to the decisions and passes the resulting commands to the ``commit_client``, which sends them to the
+relay.
 """
--- a/rainpick/node/__main__.py
+++ b/rainpick/node/__main__.py
@@ -1,6 +1,7 @@
-"""A live director on the operators' platform: ``python -m rainpick.node``, configured by ``PROXY_CONFIG``.
+"""Entry point of the live director: ``python -m rainpick.node``, configured by ``PROXY_CONFIG``.
 
-Signals are handled before the rest is imported: a platform may stop a director that is still starting.
+Signal handlers are installed before the other modules are imported, because the platform may stop a director
+that is still starting.
 """
 
 import os
@@ -9,12 +10,12 @@
 
 
 def main() -> None:
-    """Run a director until a signal ends it."""
-    # A handler may put at any moment, as it takes no lock.
+    """Run a director until a signal ends the process."""
+    # SimpleQueue.put is reentrant, so a signal handler may call it at any time.
     signals: SimpleQueue[int] = SimpleQueue()
-    signal.signal(signal.SIGHUP, lambda number, _: signals.put(number))
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: os._exit(0))  # nothing has been ordered yet
+    signal.signal(signal.SIGHUP, lambda signal_number, _: signals.put(signal_number))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: os._exit(0))  # no command has been issued yet
     from rainpick.node.process import start
 
     start(signals)
--- a/rainpick/node/channel_monitor.py
+++ b/rainpick/node/channel_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the channel to the proxies for the log: takeovers, deadlines that come near, and peaks."""
+"""Monitors the paced channel to the proxies and logs takeovers, imminent deadlines and peak values."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from rainpick.decisions.send_queue import ChannelState
 from rainpick.node.log import log
 
-PERIOD_US = 1_000_000  # between two looks at the channel
-NEAR_DEADLINE = 0.8  # of the drain grace
+OBSERVATION_PERIOD_US = 1_000_000
+GRACE_USED_WARNING = 0.8  # fraction of the drain grace above which a warning is logged
 PEAK_FIELDS = "waiting", "backlog", "unbound", "grace_used"
 
 
 def rounded(channel: ChannelState) -> dict[str, Any]:
-    """The channel's figures as the log has them."""
+    """Return the fields of a channel state, rounded for the log."""
     return {name: round(value, 3) for name, value in channel._asdict().items()}
 
 
 class ChannelMonitor:
-    """Handed the state of the channel once a period."""
+    """Observes the state of the channel. The event loop calls it once per ``OBSERVATION_PERIOD_US``."""
 
     def __init__(self) -> None:
-        self.due_us = 0  # when the next look is due
-        self.takeover = False  # at the last look
+        self.due_us = 0  # time of the next observation
+        self.takeover = False  # whether a takeover was in progress at the last observation
         self.peaks: dict[str, float] = {}
         self.reset_peaks()
 
     def reset_peaks(self) -> None:
-        """Begin another period of the peaks."""
+        """Reset the peak values, at the start of a status period."""
         self.peaks = dict.fromkeys(PEAK_FIELDS, 0)
 
     def observe(self, channel: ChannelState) -> None:
-        """Log begin and end of a takeover, and what comes near its deadline; update the peaks."""
+        """Log the begin and end of a takeover, warn about imminent deadlines, and update the peaks."""
         for name in self.peaks:
             self.peaks[name] = max(self.peaks[name], getattr(channel, name))
         if channel.takeover != self.takeover:
             self.takeover = channel.takeover
             log.info("takeover begins" if channel.takeover else "takeover ends", **rounded(channel))
-        if channel.grace_used > NEAR_DEADLINE:
+        if channel.grace_used > GRACE_USED_WARNING:
             log.warning("drains or bindings near the drain grace", **rounded(channel))
 
     def rounded_peaks(self) -> dict[str, float]:
-        """The peaks as the log has them."""
+        """Return the peak values, rounded for the log."""
         return {name: round(peak, 3) for name, peak in self.peaks.items()}
--- a/rainpick/node/clock.py
+++ b/rainpick/node/clock.py
@@ -1,10 +1,12 @@
-"""The director's clock, and endpoints' start times on it, whoever steps the wall clock.
+"""The director's clock, and the conversion of endpoints' start times to it, robust to wall clock steps.
 
-Start times are given in Unix time, which may be stepped at any moment; all else are spans of real time. So
-the clock is the monotonic one, moved once by the Unix time of the director's start. A start time is converted
-by the offset that the wall clock had when it was stamped: of the offsets seen so far, the one that makes the
-endpoint the youngest, as one that is warming up must not pass for a warm one. A start time that lies in the
-future under all of these offsets is taken for now.
+Discovery gives start times in Unix time, and the wall clock may be stepped at any moment. The decisions
+measure durations only. The director's clock is therefore the monotonic clock plus a constant: the offset of
+the wall clock to the monotonic clock when the director started.
+
+The offset at the moment when a start time was stamped is not known. Of all offsets observed so far, the
+conversion uses the one that makes the endpoint youngest, because an endpoint that is warming up must not be
+treated as warm. A start time that lies in the future under every observed offset is treated as now.
 """
 
 from __future__ import annotations
@@ -12,40 +14,41 @@
 import time
 from collections.abc import Callable
 
-STEP_US = 100_000  # a greater change of the offset is a step; slewing stays far below between two looks
-FUTURE_US = 1_000_000  # a start time may be stamped that much ahead by another machine
-OFFSET_LIMIT = 16  # remembered steps
+# A larger change of the offset between two checks is a step; slewing changes it far less.
+STEP_THRESHOLD_US = 100_000
+FUTURE_TOLERANCE_US = 1_000_000  # how far the clock of the machine that stamps a start time may be ahead
+OFFSET_LIMIT = 16  # offsets that are remembered
 
 
 def unix_us() -> int:
-    """The wall clock, in microseconds."""
+    """Return Unix time in microseconds, from the wall clock."""
     return time.time_ns() // 1000
 
 
 def monotonic_us() -> int:
-    """The clock that is never stepped, in microseconds."""
+    """Return the time of the monotonic clock, which is never stepped, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Clock:
-    """Microseconds that never run backwards, near Unix time as it was at the start."""
+    """A monotonic clock in microseconds that equals Unix time when it is created."""
 
     def __init__(self, wall: Callable[[], int] = unix_us, monotonic: Callable[[], int] = monotonic_us):
         self.wall = wall
         self.monotonic = monotonic
-        self.first_offset = wall() - monotonic()
-        self.offsets = [self.first_offset]  # of the wall clock to the monotonic one, the newest last
-        self.steps = 0  # of the wall clock, so far
+        self.initial_offset = wall() - monotonic()
+        self.offsets = [self.initial_offset]  # wall clock minus monotonic clock, newest last
+        self.steps = 0  # steps of the wall clock detected so far
 
     def __call__(self) -> int:
-        """Now, in microseconds."""
-        return self.monotonic() + self.first_offset
+        """Return the current time in microseconds."""
+        return self.monotonic() + self.initial_offset
 
     def detect_step(self) -> int | None:
-        """By how many microseconds the wall clock was stepped since the last look; None if it was not."""
+        """Return by how many microseconds the wall clock was stepped since the last check; None if not."""
         offset = self.wall() - self.monotonic()
         step = offset - self.offsets[-1]
-        if abs(step) <= STEP_US:
+        if abs(step) <= STEP_THRESHOLD_US:
             self.offsets[-1] = offset
             return None
         self.offsets = [*self.offsets[1 - OFFSET_LIMIT :], offset]
@@ -53,10 +56,10 @@
         return step
 
     def start_time(self, stamped_us: int) -> int:
-        """A start time in Unix time, on this clock; 0 stays 0: long ago."""
+        """Convert a start time from Unix time to this clock; 0, which means long ago, stays 0."""
         if not stamped_us:
             return 0
         now = self()
-        candidates = [stamped_us - offset + self.first_offset for offset in self.offsets]
-        plausible = (start for start in candidates if start <= now + FUTURE_US)
+        candidates = [stamped_us - offset + self.initial_offset for offset in self.offsets]
+        plausible = (start for start in candidates if start <= now + FUTURE_TOLERANCE_US)
         return min(now, max(plausible, default=now))
--- a/rainpick/node/command_rendering.py
+++ b/rainpick/node/command_rendering.py
@@ -1,4 +1,4 @@
-"""Commands of the decisions as the relay reads them: a JSON object each. Free of I/O."""
+"""Encoding of the decisions' commands as JSON objects of the relay's protocol. Free of I/O."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def render_command(command: TableCommand | model.RequestAcknowledgement, routes: Sequence[str]) -> bytes:
-    """One command in the relay's words. ``routes``: their names by index."""
-    return json.dumps(relay_object(command, routes), separators=(",", ":")).encode()
+    """Encode one command as JSON. ``routes``: the route names by index."""
+    return json.dumps(command_object(command, routes), separators=(",", ":")).encode()
 
 
-def relay_object(
+def command_object(
     command: TableCommand | model.RequestAcknowledgement, routes: Sequence[str]
 ) -> dict[str, Any]:
-    """The relay's object for a command; ``TypeError`` for a command that is not for the relay."""
+    """Return the JSON object of a command; raise ``TypeError`` if the relay has no such command."""
     match command:
         case model.SetWeight(table, server, weight):
             return {"verb": "share", "cluster": table, "endpoint": server, "w": weight}
@@ -46,11 +46,11 @@
             }
         case model.RequestAcknowledgement(nonce, all_proxies):
             return {"verb": "mark", "stamp": nonce, "set": int(all_proxies)}
-    raise TypeError(f"the relay has no command {type(command).__name__}")
+    raise TypeError(f"the relay's protocol has no command {type(command).__name__}")
 
 
 def route_names(route_set: int, routes: Sequence[str]) -> list[str]:
-    """The names of a set of routes, a bit a route."""
+    """Return the names of the routes in a bit set, where bit *n* represents route *n*."""
     return [
         name for index, name in enumerate(routes) if route_set == model.ALL_ROUTES or route_set >> index & 1
     ]
--- a/rainpick/node/commit_answers.py
+++ b/rainpick/node/commit_answers.py
@@ -1,4 +1,4 @@
-"""The relay's answers to commit calls. Free of I/O."""
+"""Parsing of the relay's responses to commit calls. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from rainpick.node.message_fields import MalformedMessageError, integer_field, load_json
 
-BUSY = "BUSY"  # the relay asks to retry
+BUSY = "BUSY"  # the relay requests a retry
 REJECTION_CODES = BUSY, "SYNTAX", "STALE", "FAILED"
 
 
 class Accepted(NamedTuple):
-    """The first ``commands`` of the call are carried out; the one after them, if any, was rejected."""
+    """The relay executed the first ``commands`` commands of the call and rejected the next one, if any."""
 
     commands: int
 
 
 class Rejected(NamedTuple):
-    """The relay carried out nothing of the call."""
+    """The relay executed no command of the call."""
 
     code: str  # one of ``REJECTION_CODES``
 
 
-def parse_answer(line: bytes, number: int, size: int) -> Accepted | Rejected:
-    """The answer to the call with this number and ``size`` commands; ``ValueError`` if it is none."""
+def parse_commit_response(line: bytes, number: int, size: int) -> Accepted | Rejected:
+    """Parse the response to call ``number``, which has ``size`` commands; ``ValueError`` if it is invalid."""
     message = load_json(line)
     if not isinstance(message, dict) or message.get("id") != number or isinstance(message["id"], bool):
         raise ValueError("not the answer to this call")
@@ -33,12 +33,15 @@
         return Rejected(rejection_code(error))
     try:
         return Accepted(integer_field(result, "ok_count", 0, size))
-    except (AttributeError, MalformedMessageError) as unusable:  # no object, or no such count in it
-        raise ValueError(str(unusable)) from None
+    except (AttributeError, MalformedMessageError) as invalid:  # not an object, or without a valid count
+        raise ValueError(str(invalid)) from None
 
 
 def rejection_code(error: object) -> str:
-    """The first code in an error, a text or an object with texts; ``ValueError`` if there is none."""
+    """Return the first known code in an error; ``ValueError`` if there is none.
+
+    ``error`` is a string or an object with string values.
+    """
     for text in (error, *error.values()) if isinstance(error, dict) else (error,):
         if isinstance(text, str):
             for code in REJECTION_CODES:
--- a/rainpick/node/commit_calls.py
+++ b/rainpick/node/commit_calls.py
@@ -1,4 +1,4 @@
-"""Calls that carry commands to the relay: made from a step's commands, split, merged. Free of I/O."""
+"""Commit calls, which carry commands to the relay: building, splitting, merging, encoding. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from rainpick import model
 from rainpick.node.command_rendering import TableCommand, render_command
 
-PART_SIZE_LIMIT = 58_000  # bytes of a call's commands; the relay takes 60,000 for the whole call
+PART_SIZE_LIMIT = 58_000  # bytes of a call's encoded commands; the relay accepts 60,000 for the whole call
 
 
 class CommitCall(NamedTuple):
-    """The commands of one step in their order, and the step's request for acknowledgement, if it has one.
+    """The commands of one step in order, and the step's request for acknowledgement, if any.
 
-    The request goes first on the wire: the relay stops at a command that it rejects, and the proxies that the
-    commands before it reached would never acknowledge.
+    The request is the first command on the wire. The relay stops at a command that it rejects, so if the
+    request came last, proxies that received the commands before the rejected one would never acknowledge.
     """
 
     acknowledgement: model.RequestAcknowledgement | None
@@ -23,24 +23,25 @@
 
     @property
     def nonce(self) -> int | None:
-        """The nonce of the request for acknowledgement."""
+        """The nonce of the request for acknowledgement; None if there is no request."""
         return None if self.acknowledgement is None else self.acknowledgement.nonce
 
     @property
     def size(self) -> int:
-        """The number of commands on the wire, the request for acknowledgement included."""
+        """The number of commands on the wire, including the request for acknowledgement."""
         return len(self.commands) + (self.acknowledgement is not None)
 
     def wire_command(self, position: int) -> TableCommand | model.RequestAcknowledgement:
-        """The command at a position on the wire."""
+        """Return the command at a position on the wire."""
         if self.acknowledgement is None:
             return self.commands[position]
         return self.commands[position - 1] if position else self.acknowledgement
 
     def first_part(self, routes: Sequence[str], command_limit: int | None = None) -> CommitCall:
-        """As much of the call as the relay takes at once, nearly always all of it.
+        """Return the longest leading part of the call that the relay accepts, usually the whole call.
 
-        Each part has the request for acknowledgement. ``command_limit``: no more commands than that.
+        Each part has the request for acknowledgement. ``command_limit``: the maximum number of other
+        commands.
         """
         size = 0
         for position, command in enumerate(self.commands):
@@ -50,40 +51,43 @@
         return self
 
     def remaining(self, accepted: int, part: CommitCall) -> CommitCall | None:
-        """What is still to be sent after the relay accepted so many commands of the call's first part.
+        """Return the rest of the call after the relay accepted the first ``accepted`` commands of ``part``.
 
-        The command that it rejected, if any, is left out: its proxy may have left meanwhile. None if nothing
-        is left to send.
+        The rejected command, if any, is skipped, because its proxy may have left meanwhile. None if nothing
+        remains to be sent.
         """
         if self.acknowledgement is not None and not accepted:
-            return CommitCall(None, self.commands) if self.commands else None  # that request was rejected
+            return CommitCall(None, self.commands) if self.commands else None  # the request was rejected
         rejected = accepted < part.size
         sent = accepted - (self.acknowledgement is not None) + rejected
         commands = self.commands[sent:]
         return CommitCall(self.acknowledgement, commands) if commands else None
 
     def encode(self, number: int, routes: Sequence[str]) -> bytes:
-        """The JSON-RPC line of the call with this number."""
+        """Encode the call as a JSON-RPC line with ``number`` as its id."""
         commands = self.commands if self.acknowledgement is None else (self.acknowledgement, *self.commands)
         body = b",".join(render_command(command, routes) for command in commands)
         return b'{"jsonrpc":"2.0","id":%d,"method":"commit","params":{"orders":[%s]}}\n' % (number, body)
 
 
 class MergedNonces(NamedTuple):
-    """The acknowledgement of ``nonce`` stands also for earlier ones, whose own calls were never sent."""
+    """An acknowledgement of ``nonce`` also acknowledges the ``earlier`` nonces.
+
+    The calls of the earlier nonces were merged into the call with this nonce and never sent by themselves.
+    """
 
     nonce: int
     earlier: tuple[int, ...]
 
 
 class UnconfirmedCall(NamedTuple):
-    """The call with this nonce may have been carried out unanswered, and is sent again."""
+    """The call with this nonce got no response, may have been executed, and is sent again."""
 
     nonce: int
 
 
 def commit_call(commands: Iterable[Any]) -> CommitCall | None:
-    """The call for one step's commands; None if there are none."""
+    """Build the call for one step's commands; None if there are no commands."""
     acknowledgement = None
     others = []
     for command in commands:
@@ -95,10 +99,10 @@
 
 
 def merge_calls(calls: Sequence[CommitCall]) -> tuple[list[CommitCall], MergedNonces | None]:
-    """Merge calls that had to wait for the relay into one or two, of which the first one only withdraws.
+    """Merge calls that waited for the relay into one or two calls; of two, the first has only withdrawals.
 
-    Sent one by one, each of them would be a message, with its cost, to every proxy that it concerns, and the
-    withdrawals of the last one would wait in the paced channel behind weights that are void already.
+    If sent separately, each call would cost a message to every proxy that it concerns. The withdrawals of the
+    last call would then wait in the paced channel behind weights that later commands have already superseded.
     """
     commands = without_superseded([command for call in calls for command in call.commands])
     withdrawals = tuple(command for command in commands if is_withdrawal(command))
@@ -111,7 +115,8 @@
         merged = MergedNonces(nonce, tuple(earlier.nonce for earlier in requests[:-1]))
         request = model.RequestAcknowledgement(nonce, any(earlier.all_proxies for earlier in requests))
     if withdrawals and others and len(requests) != 1:
-        # The first nonce confirms the withdrawals only: the other commands still wait in the channel.
+        # The nonce of the first call must acknowledge the withdrawals only, because the other commands are
+        # still queued in the channel at that time.
         return [
             CommitCall(requests[0] if requests else None, withdrawals),
             CommitCall(request, others),
@@ -120,12 +125,12 @@
 
 
 def is_withdrawal(command: TableCommand) -> bool:
-    """Whether the command withdraws a server, rather than readmits it or does something else."""
+    """Return whether the command withdraws a server. Readmitting a server does not count."""
     return isinstance(command, model.SetWithdrawn) and command.withdrawn
 
 
 def without_superseded(commands: list[TableCommand]) -> list[TableCommand]:
-    """The commands without those that a later one makes void; all of them if a table is cleared."""
+    """Drop each command that a later one supersedes; drop nothing if any command clears a table."""
     keys = [setting_key(command) for command in commands]
     if None in keys:
         return commands
@@ -134,7 +139,10 @@
 
 
 def setting_key(command: TableCommand) -> Hashable | None:
-    """What the command sets: a later command with the same key makes it void. None if none can."""
+    """Return the key of the value that the command sets; None if no later command can supersede it.
+
+    A command supersedes every earlier command with the same key.
+    """
     match command:
         case model.SetWeight(table, server, _):
             return "weight", table, server
--- a/rainpick/node/commit_client.py
+++ b/rainpick/node/commit_client.py
@@ -1,4 +1,7 @@
-"""Sends the decisions' commands to the relay, one call at a time, until each is accepted or left out."""
+"""Client that sends the decisions' commands to the relay, one call at a time.
+
+Each command is sent until it is accepted or, after repeated rejections, skipped.
+"""
 
 from __future__ import annotations
 
@@ -15,20 +18,20 @@
 from rainpick.node.relay_socket import RECONNECT_PAUSE_S
 
 RETRY_PAUSE_S = 0.02  # before a rejected call is sent again
-KEEP_ALIVE_S = 1.0  # after which a call without commands keeps the connection from being closed as idle
-REJECTION_LIMIT = 5  # attempts of a call that is rejected as a whole, other than for being busy
+KEEP_ALIVE_S = 1.0  # idle time after which an empty call prevents the relay from closing the connection
+REJECTION_LIMIT = 5  # rejections of a whole call, other than BUSY, before a command is skipped
 
-EMPTY_CALL = CommitCall(None, ())
+KEEP_ALIVE_CALL = CommitCall(None, ())
 
 
 class CommitClient:
     """Sends calls strictly in order.
 
-    A call that may have been carried out unanswered is sent again, as a whole, before anything newer: a
-    command sets a value, so repeating it in its place changes nothing.
+    A call that may have been executed although no response arrived is sent again, as a whole, before any
+    newer call. This is safe because commands are idempotent: each sets a value.
 
-    Calls that had to wait are merged, see ``merge_calls``. ``notify`` is handed what the nonces of merged
-    calls stand for, and the nonces of calls that are sent again.
+    Calls that wait are merged, see ``merge_calls``. ``notify`` receives a ``MergedNonces`` for merged calls
+    and an ``UnconfirmedCall`` for each call that is sent again.
     """
 
     def __init__(
@@ -40,32 +43,33 @@
         self.address = address
         self.notify = notify
         self.queue: queue.SimpleQueue[CommitCall | threading.Event] = queue.SimpleQueue()
-        self.waiting: list[CommitCall] = []  # taken from the queue and not yet answered, the next one first
-        self.flush_requests: list[threading.Event] = []  # to be set once nothing waits
+        self.waiting: list[CommitCall] = []  # taken from the queue without a response yet, oldest first
+        self.flush_requests: list[threading.Event] = []  # set once no call waits
         self.connection = CommitConnection(routes)
-        self.reachable = True  # according to the newest attempt to connect
-        self.rejections = 0  # of the part that is sent now, other than for being busy
-        self.part_limit: int | None = None  # commands in a part, while a rejected one is searched for
-        # By the names of the log's ``status``: "again" counts retransmissions.
+        self.reachable = True  # result of the last attempt to connect
+        self.rejections = 0  # of the current part, other than BUSY
+        self.part_limit: int | None = None  # commands per part while the rejected command is located
+        # The keys appear in the log's ``status`` lines. "again" counts retransmissions, "dials" connections,
+        # "busy" rejections of whole calls and "refused" rejections of single commands.
         self.counts = {"calls": 0, "orders": 0, "again": 0, "busy": 0, "refused": 0, "dials": 0, "merged": 0}
 
-    # For other threads
+    # Methods for other threads
 
     def send(self, call: CommitCall) -> None:
         """Queue a call."""
         self.queue.put(call)
 
     def flush(self, timeout_s: float) -> None:
-        """Wait until all queued calls have been answered, but no longer than the timeout."""
+        """Wait until all queued calls have been processed, but no longer than ``timeout_s``."""
         done = threading.Event()
         self.queue.put(done)
         done.wait(timeout_s)
 
     def set_address(self, address: SocketAddress) -> None:
-        """Send the next call to the relay at this address."""
+        """Use the relay at this address from the next call on."""
         self.address = address
 
-    # For the thread of ``run``
+    # Methods for the thread that executes ``run``
 
     def run(self) -> None:
         """Send calls forever."""
@@ -78,11 +82,14 @@
                     self.keep_alive()
             elif self.ensure_connected():
                 self.collect(0.0)
-                remaining = self.attempt(self.waiting[0])
+                remaining = self.send_first_part(self.waiting[0])
                 self.waiting[:1] = [] if remaining is None else [remaining]
 
     def collect(self, timeout_s: float) -> bool:
-        """Take what was queued, if anything comes in time, and merge the calls that wait."""
+        """Take all queued items, waiting up to ``timeout_s`` for the first, and merge the waiting calls.
+
+        Returns whether there was any item.
+        """
         received = 0
         try:
             while True:
@@ -102,7 +109,7 @@
         return received > 0
 
     def ensure_connected(self) -> bool:
-        """Have a usable connection, or try once to get one."""
+        """Try once to connect if the connection is unusable; return whether it is usable."""
         address = self.address
         if self.connection.is_usable(address):
             return True
@@ -121,45 +128,45 @@
         return True
 
     def keep_alive(self) -> None:
-        """Send a call without commands; any answer will do."""
+        """Send an empty call; any response is acceptable."""
         try:
-            self.connection.exchange(EMPTY_CALL)
+            self.connection.exchange(KEEP_ALIVE_CALL)
         except UnconfirmedCallError:
             self.connection.close()
 
-    def attempt(self, call: CommitCall) -> CommitCall | None:
-        """Send a call, or its first part, once; returns what is still to be sent of it."""
+    def send_first_part(self, call: CommitCall) -> CommitCall | None:
+        """Send the call, or its first part, once; return the rest that must still be sent."""
         part = call.first_part(self.connection.routes, self.part_limit)
         try:
-            answer = self.connection.exchange(part)
+            response = self.connection.exchange(part)
         except UnconfirmedCallError as error:
             self.handle_unconfirmed(part, error)
             return call
-        if isinstance(answer, Accepted):
-            accepted = answer.commands
-        elif self.should_retry(part, answer):
+        if isinstance(response, Accepted):
+            accepted = response.commands
+        elif self.handle_rejection(part, response):
             return call
         else:
-            accepted = part.size  # as far as sending goes: the part is left out
+            accepted = part.size  # skip the whole part as if it had been accepted
         self.handle_accepted(part, accepted)
         return call.remaining(accepted, part)
 
     def handle_unconfirmed(self, part: CommitCall, error: UnconfirmedCallError) -> None:
-        """Close the connection, and have the decisions count what may be carried out twice."""
+        """Close the connection, and notify the decisions that the part may be executed twice."""
         self.counts["again"] += 1
         log.warning("commit unconfirmed, sent again", reason=str(error), commands=part.size, nonce=part.nonce)
         self.connection.close()
         if part.nonce is not None:
             self.notify(UnconfirmedCall(part.nonce))
 
-    def should_retry(self, part: CommitCall, answer: Rejected) -> bool:
-        """Handle the rejection of a part as a whole; False if it is to be left out.
+    def handle_rejection(self, part: CommitCall, response: Rejected) -> bool:
+        """Handle the rejection of a whole part; return True to send it again, False to skip it.
 
-        A busy relay is asked for as long as it takes. Other rejections must be due to one of the commands:
-        it is found by halving the part, so that the others are not lost with it.
+        While the relay is busy, the part is retried without limit. Any other rejection must be caused by one
+        of the commands, which is located by halving the part, so that the other commands are not lost.
         """
         self.counts["busy"] += 1
-        self.rejections += answer.code != BUSY
+        self.rejections += response.code != BUSY
         if self.rejections < REJECTION_LIMIT:
             time.sleep(RETRY_PAUSE_S)
             return True
@@ -169,7 +176,7 @@
             return True
         log.error(
             "command left out",
-            reason=answer.code,
+            reason=response.code,
             commands=part.size,
             nonce=part.nonce,
             command=str(part.commands[:1]),
@@ -178,7 +185,7 @@
         return False
 
     def handle_accepted(self, part: CommitCall, accepted: int) -> None:
-        """Count the accepted commands of a part, and log the one after them, which was rejected."""
+        """Count the accepted commands of a part, and log the next one as rejected, if there is one."""
         self.rejections = 0
         if self.part_limit is not None:
             self.part_limit *= 2
--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform tells a director, at the start and on SIGHUP: an environment variable and a JSON file."""
+"""The director's configuration: a JSON file named by ``PROXY_CONFIG``, read at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 Kind = TypeVar("Kind")
 SocketAddress: TypeAlias = tuple[str, int]  # host and port
 
-DEFAULT_TIME_LIMIT_US = 60_000_000  # of a route that has none in the settings
-# By the settings' names of a load report's metrics, the names in load reports.
+DEFAULT_TIME_LIMIT_US = 60_000_000  # of a route without a time limit in the settings
+# Maps the names of load metrics in the settings to their names in load reports.
 METRIC_NAMES = {
     "rif": "inflight",
     "q": "queue",
@@ -24,22 +24,22 @@
 
 
 class ConfigurationError(Exception):
-    """An unusable configuration: it says which file, at which key, what stands there and what is allowed."""
+    """The configuration is unusable. The message names the file, the key, the value and what is allowed."""
 
 
 class Vocabulary(NamedTuple):
-    """What messages may name, by its index in the settings, and the limits of what they may say."""
+    """The names that messages may use, with their indices in the settings, and limits for numeric fields."""
 
     zones: dict[str, int]
     routes: dict[str, int]
     machine_types: dict[str, int]
-    load_metrics: tuple[str, ...]  # of a load report, in the settings' order, by their names in messages
-    proxies: int  # proxies are numbered from 0
-    attempt_limit_ms: float  # no answered attempt takes longer
+    load_metrics: tuple[str, ...]  # names in load reports, in the order of the settings
+    proxies: int  # number of proxies, which are numbered from 0
+    attempt_limit_ms: float  # upper limit for the duration of an answered attempt
 
 
 class Configuration(NamedTuple):
-    """The configuration file, checked."""
+    """The validated contents of the configuration file."""
 
     name: str  # of this director
     listen: SocketAddress
@@ -47,14 +47,14 @@
     relay: SocketAddress
     seed: int
     cores: float
-    sockets: int  # that the process may have open
-    cached_list: dict[str, Any]  # an answer of discovery from before the start
-    settings: dict[str, Any]  # of the decisions, flat, by dotted path
+    sockets: int  # maximum open sockets of the process
+    cached_list: dict[str, Any]  # a response of discovery from before the start
+    settings: dict[str, Any]  # of the decisions, as a flat map by dotted path
     vocabulary: Vocabulary
 
 
 class ConfigurationFile:
-    """The JSON object of a file; its methods raise ``ConfigurationError`` for what is missing or unusable."""
+    """A file with a JSON object. Methods raise ``ConfigurationError`` for a missing or invalid value."""
 
     def __init__(self, path: str):
         self.path = path
@@ -68,35 +68,35 @@
         self.tree: dict[str, Any] = tree
 
     def find(self, key: str) -> Any:
-        """The value at a dotted key; None if there is none."""
+        """Return the value at a dotted key; None if the key does not exist."""
         value: Any = self.tree
         for name in key.split("."):
             value = value.get(name) if isinstance(value, dict) else None
         return value
 
     def value(self, key: str, kind: type[Kind]) -> Kind:
-        """The value at a dotted key, of this kind."""
+        """Return the value at a dotted key, which must be of type ``kind``."""
         value = self.find(key)
         if not isinstance(value, kind) or isinstance(value, bool):
             raise self.error(key, value, f"of the kind {kind.__name__}")
         return value
 
     def number(self, key: str) -> float:
-        """The number at a dotted key."""
+        """Return the number at a dotted key."""
         value = self.find(key)
         if not isinstance(value, int | float) or isinstance(value, bool):
             raise self.error(key, value, "of the kind int or float")
         return value
 
     def indices(self, key: str) -> dict[str, int]:
-        """The list of names at a dotted key, as the index of each name."""
+        """Return the index of each name in the list of names at a dotted key."""
         names: list[Any] = self.value(key, list)
         if not names or not all(isinstance(name, str) for name in names):
             raise self.error(key, names, "a list of names")
         return {name: index for index, name in enumerate(names)}
 
     def route_names(self) -> list[str]:
-        """The names of the routes."""
+        """Return the names of the routes."""
         routes: list[Any] = self.value("settings.grades", list)
         if not routes or not all(
             isinstance(route, dict) and isinstance(route.get("name"), str) for route in routes
@@ -105,27 +105,27 @@
         return [route["name"] for route in routes]
 
     def address(self, key: str, text: object) -> SocketAddress:
-        """The address that stands at a dotted key as this text."""
+        """Parse ``text``, the value at a dotted key, as an address."""
         host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
         if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
             raise self.error(key, text, "HOST:PORT")
         return host, int(port)
 
     def seed(self) -> int:
-        """The seed, written in hexadecimal digits."""
+        """Return the seed, which the file has as hexadecimal digits."""
         text = self.value("seed", str)
         try:
             return int(text, 16)
         except ValueError:
             raise self.error("seed", text, "a number in hexadecimal digits") from None
 
-    def error(self, key: str, value: object, allowed: str) -> ConfigurationError:
-        """The error for a value that is not what is allowed there."""
-        return ConfigurationError(f"{self.path}: {key}: {value!r} is not {allowed}")
+    def error(self, key: str, value: object, expected: str) -> ConfigurationError:
+        """Build the error for an invalid value at a dotted key."""
+        return ConfigurationError(f"{self.path}: {key}: {value!r} is not {expected}")
 
 
 def read_configuration(environment: Mapping[str, str]) -> Configuration:
-    """The file that ``PROXY_CONFIG`` names; ``ConfigurationError`` if it is missing or unusable."""
+    """Read the file named by ``PROXY_CONFIG``; ``ConfigurationError`` if it is missing or unusable."""
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigurationError("PROXY_CONFIG: not set; it names the configuration file")
@@ -148,7 +148,7 @@
 
 
 def read_vocabulary(file: ConfigurationFile, settings: Mapping[str, Any]) -> Vocabulary:
-    """What the settings allow messages to name. ``settings``: the same settings, flat."""
+    """Build the vocabulary of messages. ``settings``: the settings of ``file`` as a flat map."""
     routes = file.route_names()
     metrics = (file.tree["settings"].get("stats") or {}).get("names") or []
     time_limits_us = [
--- a/rainpick/node/discovery_watch.py
+++ b/rainpick/node/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows discovery: the full endpoint list once, then long polls for changes, one after the other."""
+"""Watches discovery: fetches the full endpoint list once, then long-polls for changes."""
 
 from __future__ import annotations
 
@@ -7,56 +7,57 @@
 
 from rainpick.http1.client import Client, ClientError
 from rainpick.node.configuration import SocketAddress, Vocabulary
-from rainpick.node.endpoint_discovery import DiscoveryAnswer, parse_discovery_answer
+from rainpick.node.endpoint_discovery import DiscoveryResponse, parse_discovery_response
 from rainpick.node.log import log
 from rainpick.node.message_fields import load_json
 
 PATH = "/catalog/members"
-HOLD_MS = 1_000  # how long discovery holds a poll while nothing changes
-# A poll that gets no answer fails that long after the hold. The platform counts what such a poll missed as
-# told 2 s after it.
-SLACK_S = 0.4
+HOLD_MS = 1_000  # how long discovery holds a poll open while nothing changes
+# A poll times out this long after the end of the hold. The platform counts changes that such a poll missed as
+# delivered 2 s after it.
+POLL_TIMEOUT_MARGIN_S = 0.4
 LIST_TIMEOUT_S = 1.0
-CONNECT_TIMEOUT_S = 0.2  # discovery is on the director's own machine
-# Full lists of an older version must come for so long before discovery is believed to count from anew.
-REGRESSION_S = 2.0
-BACKOFF_S = (0.0, 0.05, 0.1, 0.2)  # before each next attempt; the last one for all further attempts
+CONNECT_TIMEOUT_S = 0.2  # discovery runs on the same machine as the director
+# How long discovery must return only full lists of older versions before its version counter is assumed to
+# have been reset.
+REGRESSION_TIMEOUT_S = 2.0
+BACKOFF_S = (0.0, 0.05, 0.1, 0.2)  # delay before each retry; the last one also applies to all further retries
 
 
 class DiscoveryWatch:
-    """Hands on each answer that says something, in order, in the one thread of ``run``."""
+    """Passes each response with new information to ``publish``, in order and in the thread of ``run``."""
 
     def __init__(
-        self, address: SocketAddress, vocabulary: Vocabulary, publish: Callable[[DiscoveryAnswer], None]
+        self, address: SocketAddress, vocabulary: Vocabulary, publish: Callable[[DiscoveryResponse], None]
     ):
         self.vocabulary = vocabulary
         self.publish = publish
-        self.version: int | None = None  # of the newest answer
-        self.fetch_full = True  # ask for the full list next: the changes alone may be incomplete
+        self.version: int | None = None  # of the last accepted response
+        self.fetch_full = True  # request the full list next, because the changes alone may be incomplete
         self.client = self.new_client(address)
         self.failures = 0
-        self.answers = 0
-        self.regressed_since_s: float | None = None  # since when full lists have an older version
+        self.responses = 0
+        self.regressed_since_s: float | None = None  # time since which responses have had older versions
 
     @staticmethod
     def new_client(address: SocketAddress) -> Client:
-        """A client of discovery at an address; it connects with its first call."""
+        """Create a client for discovery at an address. It connects on its first request."""
         return Client(*address, timeout_s=LIST_TIMEOUT_S, connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def set_address(self, address: SocketAddress) -> None:
-        """For another thread: follow discovery at this address from now on."""
-        former, self.client = self.client, self.new_client(address)
-        former.abort()
+        """Use discovery at this address from now on. May be called by any thread."""
+        previous, self.client = self.client, self.new_client(address)
+        previous.abort()
 
     def run(self) -> None:
-        """Poll forever; a failed poll is repeated after a backoff."""
+        """Poll forever; retry a failed poll after a backoff."""
         attempts = 0
-        former: Client | None = None
+        previous: Client | None = None
         while True:
             client = self.client
-            if client is not former:
-                # Versions at a new address may not be comparable.
-                attempts, self.fetch_full, former = 0, True, client
+            if client is not previous:
+                # Versions of different addresses may not be comparable.
+                attempts, self.fetch_full, previous = 0, True, client
             try:
                 self.poll(client)
                 if attempts:
@@ -74,35 +75,35 @@
                 client.close()
 
     def poll(self, client: Client) -> None:
-        """Make one call and apply its answer; ``ClientError`` or ``ValueError`` if there is no usable one."""
+        """Make one request and publish the response; ``ClientError`` or ``ValueError`` if it is unusable."""
         if self.fetch_full:
             status, _, body = client.call("GET", PATH)
         else:
             path = f"{PATH}?from={self.version}&hold_ms={HOLD_MS}"
-            status, _, body = client.call("GET", path, timeout_s=HOLD_MS / 1000 + SLACK_S)
+            status, _, body = client.call("GET", path, timeout_s=HOLD_MS / 1000 + POLL_TIMEOUT_MARGIN_S)
         if status != 200:
-            raise ValueError(f"status {status}")
-        answer = parse_discovery_answer(load_json(body), self.vocabulary)
-        self.check_version(answer)
-        for error in answer.errors:
+            raise ValueError(f"HTTP status {status} instead of 200")
+        response = parse_discovery_response(load_json(body), self.vocabulary)
+        self.check_version(response)
+        for error in response.errors:
             log.error("endpoint list entry skipped", reason=error)
-        self.answers += 1
-        if answer.full or answer.endpoints or answer.version != self.version:
-            self.publish(answer)
-        self.version = answer.version
-        # A change that could not be read is not given again, but the full list has it.
-        self.fetch_full = bool(answer.errors) and not answer.full
+        self.responses += 1
+        if response.full or response.endpoints or response.version != self.version:
+            self.publish(response)
+        self.version = response.version
+        # Discovery does not repeat a change with an invalid entry, but the full list includes it.
+        self.fetch_full = bool(response.errors) and not response.full
 
-    def check_version(self, answer: DiscoveryAnswer) -> None:
-        """Raise ``ValueError`` for an answer that is older than the newest one.
+    def check_version(self, response: DiscoveryResponse) -> None:
+        """Raise ``ValueError`` if the response is older than the last accepted one.
 
-        An old list that comes late would undo withdrawals. But if only older full lists come for a while,
-        discovery has begun to count anew.
+        Applying an outdated list would undo withdrawals. If discovery returns only older full lists for
+        ``REGRESSION_TIMEOUT_S``, its version counter has been reset and the response is accepted.
         """
-        if self.version is not None and answer.version < self.version:
+        if self.version is not None and response.version < self.version:
             now_s = time.monotonic()
             self.fetch_full = True
             self.regressed_since_s = self.regressed_since_s or now_s
-            if not answer.full or now_s - self.regressed_since_s < REGRESSION_S:
-                raise ValueError(f"version {answer.version} after {self.version}")
+            if not response.full or now_s - self.regressed_since_s < REGRESSION_TIMEOUT_S:
+                raise ValueError(f"version {response.version} is older than version {self.version}")
         self.regressed_since_s = None
--- a/rainpick/node/endpoint_discovery.py
+++ b/rainpick/node/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""Answers of discovery: the endpoint list, or what changed in it. Free of I/O."""
+"""Parsing of discovery's responses: the full endpoint list or its changes. Free of I/O."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 }
 
 
-class DiscoveryAnswer(NamedTuple):
-    """The endpoint list (``full``) or the entries that changed, at a version."""
+class DiscoveryResponse(NamedTuple):
+    """The complete endpoint list (``full``) or the changed entries, with the version of the list."""
 
     version: int
     full: bool
     endpoints: tuple[model.Endpoint, ...]
-    errors: tuple[str, ...]  # what is wrong with each entry that is left out
-    unreadable: frozenset[str]  # the addresses of those entries, as far as they could be read
+    errors: tuple[str, ...]  # one message for each skipped entry
+    unreadable: frozenset[str]  # addresses of the skipped entries, where the address itself is valid
 
 
-def parse_discovery_answer(tree: object, vocabulary: Vocabulary) -> DiscoveryAnswer:
-    """An answer from its JSON; ``ValueError`` if it is none. An unreadable entry is left out."""
+def parse_discovery_response(tree: object, vocabulary: Vocabulary) -> DiscoveryResponse:
+    """Parse a response; ``ValueError`` if it is invalid as a whole. An invalid entry is skipped."""
     if not isinstance(tree, dict):
         raise ValueError("not a list of servers")
     entries, full = tree.get("instances"), tree.get("reset")
@@ -54,11 +54,11 @@
             errors.append(str(error))
             if isinstance(entry, dict) and isinstance(entry.get("instanceId"), str):
                 unreadable.add(entry["instanceId"])
-    return DiscoveryAnswer(version, full, tuple(endpoints), tuple(errors), frozenset(unreadable))
+    return DiscoveryResponse(version, full, tuple(endpoints), tuple(errors), frozenset(unreadable))
 
 
 def parse_endpoint(entry: Any, vocabulary: Vocabulary) -> model.Endpoint:
-    """One entry of the list, its start in Unix time; ``MalformedMessageError`` if it is unreadable."""
+    """Parse one entry of the list; ``MalformedMessageError`` if it is invalid. Its start is in Unix time."""
     if not isinstance(entry, dict):
         raise MalformedMessageError("an entry that is no object")
     return model.Endpoint(
--- a/rainpick/node/endpoint_list.py
+++ b/rainpick/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the director holds it between two answers of discovery. Free of I/O."""
+"""The director's copy of the endpoint list, updated from discovery's responses. Free of I/O."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from rainpick import model
 from rainpick.node.clock import Clock
-from rainpick.node.endpoint_discovery import DiscoveryAnswer
+from rainpick.node.endpoint_discovery import DiscoveryResponse
 
-DEPARTED_LIMIT = 512  # departed endpoints that are remembered, as their last load reports come late
+DEPARTED_LIMIT = 512  # departed endpoints that are remembered, because their last load reports arrive later
 
 
 class StartTime(NamedTuple):
-    """When an endpoint started, in microseconds; 0 stands for long ago."""
+    """The start time of an endpoint in microseconds; 0 means long ago."""
 
-    stamped_us: int  # in Unix time, as discovery gave it
+    stamped_us: int  # in Unix time, as received from discovery
     started_us: int  # on the director's clock
 
 
 class EndpointList:
-    """Applies answers of discovery, so that an unreadable entry affects its own endpoint only.
+    """Applies responses of discovery. An invalid entry affects only its own endpoint.
 
-    An endpoint that has departed stays known for a while, see ``knows``.
+    A departed endpoint stays known for a while, see ``is_known``.
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
@@ -32,18 +32,20 @@
         self.start_times: dict[model.Address, StartTime] = {}
         self.version: int | None = None
 
-    def apply(self, answer: DiscoveryAnswer, kind: model.UpdateKind | None = None) -> model.EndpointUpdate:
-        """Apply an answer and return the event for it.
+    def apply(
+        self, response: DiscoveryResponse, kind: model.UpdateKind | None = None
+    ) -> model.EndpointUpdate:
+        """Apply a response and return the event for the decisions.
 
-        ``kind`` is given for an answer that discovery did not give just now, such as the cached list.
+        ``kind`` overrides the kind of the event, for a response from another source such as the cached list.
         """
         if kind is None:
-            kind = model.UpdateKind.FULL if answer.full else model.UpdateKind.DELTA
-        endpoints = tuple(map(self.with_local_start, answer.endpoints))
+            kind = model.UpdateKind.FULL if response.full else model.UpdateKind.DELTA
+        endpoints = tuple(map(self.with_local_start, response.endpoints))
         if kind != model.UpdateKind.DELTA:
-            # An entry that can't be read says nothing of its endpoint: what was known of it stands.
+            # An invalid entry does not mean that the endpoint has departed: keep its last valid entry.
             endpoints += tuple(
-                self.entries[address] for address in sorted(answer.unreadable & self.entries.keys())
+                self.entries[address] for address in sorted(response.unreadable & self.entries.keys())
             )
             self.remove(self.entries.keys() - {endpoint.address for endpoint in endpoints})
         self.remove(
@@ -53,14 +55,14 @@
             if endpoint.state != model.EndpointState.GONE:
                 self.entries[endpoint.address] = endpoint
                 self.departed.pop(endpoint.address, None)
-        self.version = answer.version
-        return model.EndpointUpdate(kind, endpoints, answer.version)
+        self.version = response.version
+        return model.EndpointUpdate(kind, endpoints, response.version)
 
     def with_local_start(self, endpoint: model.Endpoint) -> model.Endpoint:
-        """The endpoint with its start time on the director's clock.
+        """Return the endpoint with its start time converted to the director's clock.
 
-        A start time that is given again unchanged is not converted again: the wall clock may have been
-        stepped meanwhile, which must not change the age of the endpoint.
+        An unchanged start time is not converted again: the wall clock may have been stepped meanwhile, which
+        must not change the age of the endpoint.
         """
         start = self.start_times.get(endpoint.address)
         if start is None or start.stamped_us != endpoint.started_us:
@@ -69,7 +71,7 @@
         return endpoint._replace(started_us=start.started_us)
 
     def remove(self, addresses: Set[model.Address]) -> None:
-        """Move endpoints to the departed ones, of which the oldest are forgotten."""
+        """Move endpoints to ``departed``, and drop its oldest entries beyond ``DEPARTED_LIMIT``."""
         for address in sorted(addresses, key=str):
             self.entries.pop(address, None)
             self.departed[address] = None
@@ -78,6 +80,6 @@
             del self.departed[oldest]
             self.start_times.pop(oldest, None)
 
-    def knows(self, address: model.Address) -> bool:
-        """Whether the endpoint is listed, or was until recently."""
+    def is_known(self, address: model.Address) -> bool:
+        """Return whether the endpoint is listed or departed recently."""
         return address in self.entries or address in self.departed
--- a/rainpick/node/event_loop.py
+++ b/rainpick/node/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: the one thread that steps the decisions. All others hand it events through the mailbox."""
+"""The event loop, which runs the decisions in a single thread and receives its input through the mailbox."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from rainpick import model
 from rainpick.decisions.director import Director
 from rainpick.director.stepper import Stepper
-from rainpick.node.channel_monitor import PERIOD_US, ChannelMonitor, rounded
+from rainpick.node.channel_monitor import OBSERVATION_PERIOD_US, ChannelMonitor, rounded
 from rainpick.node.clock import Clock
 from rainpick.node.commit_calls import CommitCall, MergedNonces, commit_call
 from rainpick.node.configuration import Configuration
-from rainpick.node.endpoint_discovery import DiscoveryAnswer
+from rainpick.node.endpoint_discovery import DiscoveryResponse
 from rainpick.node.endpoint_list import EndpointList
 from rainpick.node.load_report_parsing import LoadReport
 from rainpick.node.log import log
 from rainpick.node.mailbox import Mailbox, Notification
 from rainpick.node.proxy_membership import ProxyMembership, StreamClosed, StreamEvent, StreamOpened
 
-IDLE_S = 1.0  # the longest wait for events
+MAX_WAIT_S = 1.0  # longest wait for events
 STATUS_PERIOD_US = 10_000_000
 DEFAULT_ROUND_US = 1_000
 STREAM_NOTIFICATIONS = StreamEvent, StreamOpened, StreamClosed
-# Commands that are not for the relay. The endpoint list is followed whether the decisions subscribe or not.
+# Commands that are not sent to the relay. Discovery is watched regardless of the subscription commands.
 LOCAL_COMMANDS = model.LogMessage, model.Subscribe, model.FetchEndpoints
 
 
 class EventLoop:
-    """Hands events to the decisions in batches, and each step's call to ``send``.
+    """Passes events to the decisions in batches, and the call with each step's commands to ``send``.
 
-    ``director_factory`` makes the decisions; a test gives a double. ``process_status`` returns what the log's
-    status lines have of the rest of the process.
+    ``director_factory`` creates the decisions; tests pass a double. ``process_status`` returns the fields of
+    the log's status lines that describe the rest of the process.
     """
 
     def __init__(
         self,
         configuration: Configuration,
-        cached_list: DiscoveryAnswer,
+        cached_list: DiscoveryResponse,
         mailbox: Mailbox,
         send: Callable[[CommitCall], None],
         director_factory: Callable[[], Director] = Director,
@@ -48,28 +48,29 @@
         self.send = send
         self.process_status = process_status
         self.clock = Clock()
-        # Steps are a round apart at least, as in the simulator: what comes meanwhile is one batch.
+        # Steps are at least one round apart, as in the simulator; input that arrives meanwhile forms one
+        # batch.
         self.round_us: int = configuration.settings.get("round_us", DEFAULT_ROUND_US)
         self.stepper = Stepper(configuration.seed, configuration.settings, director_factory)
         self.endpoints = EndpointList(self.clock)
         self.membership = ProxyMembership()
         self.channel_monitor = ChannelMonitor()
         self.stepper.pending_events.append(self.endpoints.apply(cached_list, model.UpdateKind.CACHED))
-        self.stepped_us = 0  # when the last step began
-        self.unknown_reports = 0  # reports of servers that no list named
+        self.last_step_us = 0  # start of the last step
+        self.unknown_reports = 0  # load reports of servers that are not in the endpoint list
         self.status_due_us = self.clock() + STATUS_PERIOD_US
 
     def run(self) -> None:
-        """Step the decisions forever."""
+        """Process batches forever."""
         self.step(self.clock())
         while True:
             due_us = self.stepper.due_us()
             now = self.clock()
-            wait_s = IDLE_S if due_us is None else min(IDLE_S, max(0, due_us - now) / 1e6)
-            self.turn(*self.mailbox.receive(wait_s))
+            wait_s = MAX_WAIT_S if due_us is None else min(MAX_WAIT_S, max(0, due_us - now) / 1e6)
+            self.process_batch(*self.mailbox.receive(wait_s))
 
-    def turn(self, notifications: list[Notification], reports: list[LoadReport]) -> None:
-        """Apply a batch, and step the decisions if anything came or a timer is due."""
+    def process_batch(self, notifications: list[Notification], reports: list[LoadReport]) -> None:
+        """Process a batch, and step the decisions if there are events or a timer is due."""
         if (step_us := self.clock.detect_step()) is not None:
             log.warning("wall clock stepped", by_s=round(step_us / 1e6, 3), steps=self.clock.steps)
         for notification in notifications:
@@ -80,16 +81,16 @@
         if self.stepper.pending_events:
             self.step(now)
         self.log_periodically(now)
-        pause_us = self.stepped_us + self.round_us - self.clock()
+        pause_us = self.last_step_us + self.round_us - self.clock()
         if pause_us > 0:
             time.sleep(pause_us / 1e6)
 
     def handle(self, notification: Notification) -> None:
-        """Turn a notification into events for the next step."""
+        """Convert a notification into events for the next step."""
         events = self.stepper.pending_events
-        if isinstance(notification, STREAM_NOTIFICATIONS):  # by far the most are of this kind
+        if isinstance(notification, STREAM_NOTIFICATIONS):  # by far the most frequent kind
             events.extend(self.membership.handle(notification))
-        elif isinstance(notification, DiscoveryAnswer):
+        elif isinstance(notification, DiscoveryResponse):
             events.append(self.endpoints.apply(notification))
         elif isinstance(notification, MergedNonces):
             self.membership.merge_nonces(notification)
@@ -97,16 +98,16 @@
             events.extend(model.Retransmitted(nonce) for nonce in self.membership.nonces(notification.nonce))
 
     def add_reports(self, reports: list[LoadReport]) -> None:
-        """Add load reports to the next step, but those of servers that no list named."""
+        """Add load reports to the next step, except those of servers that are not in the endpoint list."""
         for report in reports:
-            if isinstance(report, model.ServerLoadReport) and not self.endpoints.knows(report.server):
+            if isinstance(report, model.ServerLoadReport) and not self.endpoints.is_known(report.server):
                 self.unknown_reports += 1
             else:
                 self.stepper.pending_events.append(report)
 
     def step(self, now: int) -> None:
-        """Let the decisions handle the waiting events, and send the commands that are for the relay."""
-        self.stepped_us = now
+        """Let the decisions handle the pending events, and send their commands for the relay."""
+        self.last_step_us = now
         commands = self.stepper.step(now)
         for command in commands:
             if isinstance(command, model.LogMessage):
@@ -116,9 +117,9 @@
             self.send(call)
 
     def log_periodically(self, now: int) -> None:
-        """Look at the channel and log the status, when they are due."""
+        """Observe the channel and log the status, each when it is due."""
         if now >= self.channel_monitor.due_us:
-            self.channel_monitor.due_us = now + PERIOD_US
+            self.channel_monitor.due_us = now + OBSERVATION_PERIOD_US
             self.channel_monitor.observe(self.stepper.director.channel())
         if now >= self.status_due_us:
             self.status_due_us = now + STATUS_PERIOD_US
@@ -126,7 +127,7 @@
             self.channel_monitor.reset_peaks()
 
     def status(self) -> dict[str, Any]:
-        """The fields of the log's status line, which docs/operate.md explains."""
+        """Return the fields of the log's status line, which docs/operate.md explains."""
         return {
             "joined": len(self.membership.joined),
             "servers": len(self.endpoints.entries),
--- a/rainpick/node/frame_codec.py
+++ b/rainpick/node/frame_codec.py
@@ -1,6 +1,6 @@
-"""Streams to the director's address: frames of JSON, cut and read. Free of I/O.
+"""Parsing and encoding of the length-prefixed JSON frames on the director's address. Free of I/O.
 
-A frame is a length of four bytes, least significant first, and a JSON object of that many bytes.
+A frame is the length of its body in four bytes, little-endian, followed by the body, a JSON object.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 LENGTH_SIZE = 4
 COLLECTOR_FRAME_LIMIT = 1 << 20
-PEER_FRAME_LIMIT = 4_096  # for a peer that is not a collector (yet): a heartbeat or its ``telemetry``
+PEER_FRAME_LIMIT = 4_096  # before the peer joins as a collector, when only ``hb`` and ``telemetry`` are valid
 
 
 class Heartbeat(NamedTuple):
-    """The peer asked for a heartbeat."""
+    """The peer requested a heartbeat reply."""
 
 
 class CollectorJoined(NamedTuple):
-    """The peer is the collector of a zone."""
+    """The peer joined as a collector of a zone."""
 
     zone: int
 
 
 class MalformedReport(NamedTuple):
-    """One message of a collector was dropped."""
+    """A message from a collector was invalid and is dropped."""
 
     reason: str
 
@@ -45,12 +45,12 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """A frame with this JSON object."""
+    """Encode a JSON object as a frame."""
     body = json.dumps(message, separators=(",", ":")).encode()
     return len(body).to_bytes(LENGTH_SIZE, "little") + body
 
 
-HEARTBEAT_ANSWER = encode_frame({"t": "hb_ok"})
+HEARTBEAT_REPLY = encode_frame({"t": "hb_ok"})
 REPORT_PARSERS: dict[str, Callable[[Message, Vocabulary], LoadReport]] = {
     "upstream_stats": parse_server_report,
     "client_stats": parse_route_report,
@@ -59,20 +59,20 @@
 
 
 class FrameReader:
-    """Reads the stream of one peer.
+    """Parses the stream of one peer.
 
-    A peer that has not joined as a collector may ask for heartbeats or join. Anything else ends its stream
-    with a ``reject``. A collector's malformed report costs that report alone.
+    A peer that has not joined as a collector may send heartbeats or join. Any other message ends its stream
+    with a ``reject``. A malformed report from a collector is dropped and does not end the stream.
     """
 
     def __init__(self, vocabulary: Vocabulary):
         self.vocabulary = vocabulary
         self.buffer = bytearray()
-        self.zone: int | None = None  # of a collector
+        self.zone: int | None = None  # set once the peer has joined as a collector
         self.ended = False
 
     def receive(self, data: bytes) -> list[PeerMessage]:
-        """The messages that these bytes complete, in order. ``StreamEnded`` is the last one ever."""
+        """Return the messages that these bytes complete, in order. No message follows ``StreamEnded``."""
         if self.ended:
             return []
         self.buffer += data
@@ -80,51 +80,51 @@
         while not self.ended and len(self.buffer) >= LENGTH_SIZE:
             size = int.from_bytes(self.buffer[:LENGTH_SIZE], "little")
             limit = COLLECTOR_FRAME_LIMIT if self.zone is not None else PEER_FRAME_LIMIT
-            first_byte_wrong = len(self.buffer) > LENGTH_SIZE and self.buffer[LENGTH_SIZE] != ord("{")
-            if not 2 <= size <= limit or first_byte_wrong:
-                messages.append(self.end(f"a message of {size} bytes, or one that is no object"))
+            not_an_object = len(self.buffer) > LENGTH_SIZE and self.buffer[LENGTH_SIZE] != ord("{")
+            if not 2 <= size <= limit or not_an_object:
+                messages.append(self.end_stream(f"a message of {size} bytes, or one that is no object"))
             elif len(self.buffer) < LENGTH_SIZE + size:
                 break
             else:
                 body = bytes(self.buffer[LENGTH_SIZE : LENGTH_SIZE + size])
                 del self.buffer[: LENGTH_SIZE + size]
-                message = self.read(body)
+                message = self.parse_body(body)
                 if message is not None:
                     messages.append(message)
         return messages
 
-    def end(self, reason: str) -> StreamEnded:
-        """End the stream; nothing is ever written to a collector."""
+    def end_stream(self, reason: str) -> StreamEnded:
+        """End the stream. The peer is sent a ``reject``, except a collector, which is never sent one."""
         self.ended = True
         self.buffer.clear()
         return StreamEnded(encode_frame({"t": "reject", "why": reason}) if self.zone is None else b"", reason)
 
-    def read(self, body: bytes) -> PeerMessage | None:
-        """The message in a frame's body; None if it says nothing new."""
+    def parse_body(self, body: bytes) -> PeerMessage | None:
+        """Parse the body of a frame; None if the message has no effect."""
         try:
             message = load_json(body)
         except ValueError as error:
-            return self.end(f"not JSON: {error}")
+            return self.end_stream(f"not JSON: {error}")
         kind = message.get("t")
         try:
-            return self.interpret(kind, message)
+            return self.parse_message(kind, message)
         except MalformedMessageError as error:
             if self.zone is None:
-                return self.end(str(error))
+                return self.end_stream(str(error))
             return MalformedReport(f"{str(kind)[:40]}: {error}")
 
-    def interpret(self, kind: Any, message: Message) -> PeerMessage | None:
-        """The message by its kind; ``MalformedMessageError`` if it is unusable."""
+    def parse_message(self, kind: Any, message: Message) -> PeerMessage | None:
+        """Parse a message of a kind; ``MalformedMessageError`` if it is invalid."""
         if kind == "hb":
             return Heartbeat()
         if kind == "telemetry":
             zone = index_field(message, "locality", self.vocabulary.zones)
             if self.zone is not None:
-                return None  # it has joined already
+                return None  # the peer has already joined
             self.zone = zone
             return CollectorJoined(zone)
         if self.zone is None:
-            return self.end(f"{excerpt(kind)} before a joining")
+            return self.end_stream(f"{excerpt(kind)} before a joining")
         parse = REPORT_PARSERS.get(kind) if isinstance(kind, str) else None
         if parse is None:
             raise MalformedMessageError(f"t: {excerpt(kind)} is not one of {MESSAGE_KINDS}")
--- a/rainpick/node/line_reader.py
+++ b/rainpick/node/line_reader.py
@@ -1,4 +1,4 @@
-"""Streams of lines from the relay. Free of I/O."""
+"""Splitting of the relay's byte stream into lines. Free of I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class LineReader:
-    """Cuts a stream into lines; empty ones are left out."""
+    """Splits a byte stream into lines and skips blank lines."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()  # the begin of a line
+        self.incomplete = bytearray()  # the received part of the current line
 
     def receive(self, data: bytes) -> list[bytes]:
-        """The lines that these bytes complete; ``ValueError`` if a line does not end within the limit."""
-        self.rest += data
-        *lines, self.rest = self.rest.split(b"\n")
-        if len(self.rest) > LINE_LIMIT:
-            raise ValueError(f"a line over {LINE_LIMIT} bytes")
+        """Return the lines that these bytes complete; ``ValueError`` if a line exceeds ``LINE_LIMIT``."""
+        self.incomplete += data
+        *lines, self.incomplete = self.incomplete.split(b"\n")
+        if len(self.incomplete) > LINE_LIMIT:
+            raise ValueError(f"line exceeds {LINE_LIMIT} bytes")
         return [bytes(line) for line in lines if line.strip()]
--- a/rainpick/node/load_report_parsing.py
+++ b/rainpick/node/load_report_parsing.py
@@ -1,6 +1,7 @@
-"""Load reports: the JSON messages of a collector as events for the decisions. Free of I/O.
+"""Parsing of a collector's load reports into events for the decisions. Free of I/O.
 
-Messages have times in milliseconds, events in microseconds. Both functions raise ``MalformedMessageError``.
+Times are in milliseconds in messages and in microseconds in events. The functions raise
+``MalformedMessageError`` for an invalid message.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
     number_field,
 )
 
-COUNT_LIMIT = 1 << 24  # no plausible report counts more in one interval
+COUNT_LIMIT = 1 << 24  # a higher count in one interval is implausible
 INTERVAL_LIMIT_MS = 3_600_000.0
 METRIC_LIMIT = 1e9
 
@@ -24,10 +25,10 @@
 
 
 def parse_server_report(message: Message, vocabulary: Vocabulary) -> model.ServerLoadReport:
-    """What the proxies of a zone observed at a server: ``upstream_stats``."""
+    """Parse ``upstream_stats``: the attempts of a zone's proxies at a server."""
     attempts = integer_field(message, "total", 1, COUNT_LIMIT)
     failures = integer_field(message, "errors", 0, attempts)
-    # The mean may be left out if no attempt was answered.
+    # The mean latency is optional if no attempt was answered.
     has_mean = attempts > failures or message.get("rtt") is not None
     mean_ms = number_field(message, "rtt", 0, vocabulary.attempt_limit_ms) if has_mean else 0
     load = parse_load(message, vocabulary.load_metrics)
@@ -43,7 +44,7 @@
 
 
 def parse_load(message: Message, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of the named metrics; none at all if one of them is missing."""
+    """Return the values of the named metrics; an empty tuple if any of them is missing."""
     metrics = message.get("metrics")
     if metrics is None:
         return ()
@@ -57,7 +58,7 @@
 
 
 def parse_route_report(message: Message, vocabulary: Vocabulary) -> model.RouteLoadReport:
-    """The requests of a route that reached a proxy: ``client_stats``."""
+    """Parse ``client_stats``: the requests of a route that reached a proxy."""
     return model.RouteLoadReport(
         integer_field(message, "node", 0, vocabulary.proxies - 1),
         index_field(message, "route", vocabulary.routes),
--- a/rainpick/node/log.py
+++ b/rainpick/node/log.py
@@ -1,6 +1,6 @@
-"""The log: one JSON object a line on standard error, at a bounded rate.
+"""Rate-limited log with one JSON object per line on standard error.
 
-structlog would cost 11 MB and as much start time as all else together (docs/design-live.md).
+structlog is not used: it would add 11 MB of memory and double the start time (docs/design-live.md).
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from typing import Any, TextIO
 
 LINES_PER_S = 20
-BURST = 200  # lines at once
+BURST = 200  # capacity of the token bucket, in lines
 
 
 class Log:
-    """A token bucket limits the lines; the next line that is written says how many were left out."""
+    """Log with a token bucket. The first line after suppressed ones has their number in ``left_out``."""
 
     def __init__(self, sink: TextIO | None = None, clock: Callable[[], float] = time.monotonic):
         self.sink = sink  # None: standard error
@@ -42,20 +42,21 @@
                 self.left_out = 0
             line = {"at": round(time.time(), 3), "level": level, "event": event} | fields
             sink = self.sink or sys.stderr
-            # In one write: one killed between the text and its end would spoil the next one's first line.
+            # One write for text and line end: if the process were killed between two writes, the first line
+            # of the next process would continue the incomplete line.
             sink.write(json.dumps(line, default=str) + "\n")
             sink.flush()
 
     def info(self, event: str, **fields: object) -> None:
-        """Log what is expected."""
+        """Log an event of normal operation."""
         self.write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Log what the director copes with by itself."""
+        """Log a problem that the director handles by itself."""
         self.write("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Log what has to be corrected elsewhere."""
+        """Log a problem that must be corrected outside the director."""
         self.write("error", event, fields)
 
 
--- a/rainpick/node/message_fields.py
+++ b/rainpick/node/message_fields.py
@@ -1,7 +1,7 @@
-"""Strict JSON, and the fields of a JSON message checked one by one.
+"""Strict JSON parsing and validation of the fields of a JSON message.
 
-Each of the field functions raises ``MalformedMessageError`` if the field is absent, of another type or out of
-range.
+Each ``*_field`` function raises ``MalformedMessageError`` if the field is missing, has another type or is out
+of range.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 Message = dict[str, Any]  # a JSON object
 
 NAME_LIMIT = 256  # characters
-EXCERPT_LIMIT = 40  # characters of an unusable value that an error message has
+EXCERPT_LIMIT = 40  # characters of an invalid value in an error message
 
 
 class MalformedMessageError(Exception):
-    """One message is unusable; the stream that it came on goes on."""
+    """A message is invalid. The stream that carried it remains usable."""
 
 
 def load_json(data: bytes) -> Any:
-    """Strict JSON; ``ValueError`` for all else, NaN, infinities and excessive nesting included."""
+    """Parse strict JSON; ``ValueError`` for anything else, such as NaN, infinities or excessive nesting."""
     try:
         return json.loads(data, parse_constant=_reject_constant)
     except RecursionError:
@@ -34,7 +34,7 @@
 
 
 def number_field(message: Message, field: str, minimum: float, maximum: float) -> float:
-    """A finite number within the limits, both included; a bool is none."""
+    """Return a finite number from ``minimum`` to ``maximum``. A bool is not a number."""
     value = message.get(field)
     if (
         not isinstance(value, int | float)
@@ -49,7 +49,7 @@
 
 
 def integer_field(message: Message, field: str, minimum: int, maximum: int) -> int:
-    """An integer within the limits, both included, however it is written (``2.0`` is one)."""
+    """Return an integer from ``minimum`` to ``maximum``. A float with an integral value (2.0) is accepted."""
     value = number_field(message, field, minimum, maximum)
     if value != int(value):
         raise MalformedMessageError(f"{field}: {value!r} is not whole")
@@ -57,7 +57,7 @@
 
 
 def index_field(message: Message, field: str, indices: Mapping[str, int]) -> int:
-    """The index of a name."""
+    """Return the index of a name, which must be one of ``indices``."""
     value = message.get(field)
     if not isinstance(value, str) or value not in indices:
         raise MalformedMessageError(f"{field}: {excerpt(value)} is not one of {list(indices)}")
@@ -65,7 +65,7 @@
 
 
 def name_field(message: Message, field: str) -> str:
-    """A text that is not empty and not too long."""
+    """Return a string of 1 to ``NAME_LIMIT`` characters."""
     value = message.get(field)
     if not isinstance(value, str) or not 0 < len(value) <= NAME_LIMIT:
         raise MalformedMessageError(f"{field}: {excerpt(value)} is not a name")
@@ -73,5 +73,5 @@
 
 
 def excerpt(value: object) -> str:
-    """The first characters of a value, for an error message."""
+    """Return the first characters of a value as text, quoted for an error message."""
     return repr(str(value)[:EXCERPT_LIMIT])
--- a/rainpick/node/proxy_membership.py
+++ b/rainpick/node/proxy_membership.py
@@ -1,4 +1,4 @@
-"""Which proxies are joined, according to one or two subscriptions to the relay. Free of I/O."""
+"""Tracking of joined proxies from the notifications of one or two relay subscriptions. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from rainpick.node.commit_calls import MergedNonces
 from rainpick.node.relay_notifications import Ping, ProxyEvent
 
-MERGED_NONCE_LIMIT = 64  # remembered nonces that stand for earlier ones; they are acknowledged long before
+MERGED_NONCE_LIMIT = 64  # remembered nonces of merged calls; they are acknowledged long before the limit
 
 
 class StreamOpened(NamedTuple):
-    """A subscription is accepted: its stream first lists all joined proxies, up to its first ``Ping``."""
+    """The relay accepted a subscription. Its stream lists all joined proxies up to the first ``Ping``."""
 
     stream: int
 
 
 class StreamEvent(NamedTuple):
-    """A notification on the stream of a subscription."""
+    """A notification received on the stream of a subscription."""
 
     stream: int
     event: ProxyEvent | Ping
@@ -31,37 +31,37 @@
 
 
 class ProxyMembership:
-    """Turns the notifications of subscriptions into events for the decisions.
+    """Converts the notifications of subscriptions into events for the decisions.
 
-    A new stream lists all joined proxies and then gives the changes. Three cases of a proxy that is listed:
+    A new stream first lists all joined proxies and then sends changes. There are three cases:
 
-    * The stream before had ended: the proxy may have left and come back unseen, its table lost. It is
-      reported as joined, whatever was known of it, and the decisions bind it anew.
-    * The stream before is still open, as after a change of the relay's address: nothing was missed. Proxies
-      already joined are not reported again, provided that the former stream proves to be alive (any message
-      on it after the new one opened). If it closes without such a message, it may have been dead for long,
-      and these *unconfirmed* proxies are reported then.
-    * A join or leave on a former stream may be outdated. It is reported as one more join, if the proxy is
-      joined: binding a proxy again is harmless, missing a lost table is not.
+    * The previous stream ended before the new one opened. A listed proxy may have left and rejoined meanwhile
+      and have lost its table. Every listed proxy is reported as joined, and the decisions bind it again.
+    * The previous stream is still open, as after a change of the relay's address, so no change was missed.
+      Listed proxies that are already joined are not reported again, provided that the previous stream proves
+      to be alive by any message after the new stream opened. If it closes without such a message, it may have
+      been dead for a long time, and these *unconfirmed* proxies are then reported as joined.
+    * A join or leave on a previous stream may be outdated. If the proxy is joined, it is reported as joined
+      again: an unnecessary binding is harmless, but a proxy that lost its table must be bound again.
 
     A joined proxy that the new stream does not list has left.
     """
 
     def __init__(self) -> None:
         self.joined: dict[int, model.ProxyJoined] = {}
-        self.newest_stream = 0  # the highest stream number that was opened
-        self.current_stream: int | None = None  # the newest one, until it closes
-        self.former_stream: int | None = None  # the one before, until it has shown that it is alive
-        self.superseded: set[int] = set()  # streams that opened after a newer one had
-        self.gapless = False  # the current stream opened while the former one was open
-        self.unconfirmed: set[int] = set()  # listed, not reported again; see above
-        self.listed: set[int] | None = None  # None once the current stream has listed all joined proxies
-        self.merged_nonces: dict[int, tuple[int, ...]] = {}  # by nonce, the earlier ones that it stands for
+        self.newest_stream = 0  # highest stream number opened so far
+        self.current_stream: int | None = None  # the newest stream, until it closes
+        self.former_stream: int | None = None  # the previous stream, until it proves to be alive or closes
+        self.superseded: set[int] = set()  # streams that opened after a newer stream
+        self.gapless = False  # whether the current stream opened while the former one was still open
+        self.unconfirmed: set[int] = set()  # proxies listed but not reported again, see the class docstring
+        self.listed: set[int] | None = None  # proxies listed so far; None once the listing is complete
+        self.merged_nonces: dict[int, tuple[int, ...]] = {}  # earlier nonces that a nonce also acknowledges
 
     def handle(self, notification: StreamOpened | StreamEvent | StreamClosed) -> list[ProxyEvent]:
-        """Apply a notification and return the events that the decisions are to receive."""
+        """Apply a notification and return the resulting events for the decisions."""
         if not isinstance(notification, StreamEvent):
-            return self.handle_change(notification)
+            return self.handle_stream_change(notification)
         stream, event = notification
         if stream == self.former_stream:
             self.former_stream, self.unconfirmed = None, set()
@@ -78,17 +78,17 @@
             return [] if self.joined.pop(event.proxy, None) is None else [event]
         return self.join(event)
 
-    def handle_change(self, notification: StreamOpened | StreamClosed) -> list[ProxyEvent]:
-        """A stream has opened or ended."""
+    def handle_stream_change(self, notification: StreamOpened | StreamClosed) -> list[ProxyEvent]:
+        """Apply the opening or closing of a stream and return the resulting events."""
         if isinstance(notification, StreamClosed):
             return self.close_stream(notification.stream)
         self.open_stream(notification.stream)
         return []
 
     def open_stream(self, stream: int) -> None:
-        """Make the stream the current one, unless a newer one has opened already."""
+        """Make the stream the current one, unless a newer stream has already opened."""
         if stream < self.newest_stream:
-            self.superseded.add(stream)  # the newest one lists whatever this one lists
+            self.superseded.add(stream)  # the newest stream lists the same proxies
             return
         self.newest_stream = stream
         self.former_stream, self.current_stream = self.current_stream, stream
@@ -96,7 +96,10 @@
         self.unconfirmed, self.listed = set(), set()
 
     def close_stream(self, stream: int) -> list[ProxyEvent]:
-        """Return the joins of unconfirmed proxies, if the former stream closed without a sign of life."""
+        """Apply the end of a stream.
+
+        Returns a join for each unconfirmed proxy if the former stream closes without proof that it was alive.
+        """
         self.superseded.discard(stream)
         if stream == self.current_stream:
             self.current_stream = None
@@ -107,7 +110,7 @@
         return [self.joined[proxy] for proxy in sorted(unconfirmed & self.joined.keys())]
 
     def join(self, event: model.ProxyJoined) -> list[ProxyEvent]:
-        """Apply a join on the current stream, in its listing or after it."""
+        """Apply a join on the current stream, during its listing or later."""
         known = self.joined.get(event.proxy)
         self.joined[event.proxy] = event
         if self.listed is None:
@@ -120,7 +123,7 @@
         return []
 
     def end_listing(self) -> list[ProxyEvent]:
-        """The current stream has listed all joined proxies: those it did not list have left."""
+        """Complete the listing of the current stream; return a leave for each joined proxy not listed."""
         if self.listed is None:
             return []
         missing, self.listed = sorted(self.joined.keys() - self.listed), None
@@ -129,13 +132,13 @@
         return [model.ProxyLeft(proxy) for proxy in missing]
 
     def nonces(self, nonce: int) -> tuple[int, ...]:
-        """The nonces that this one stands for, in their order, and the nonce itself."""
+        """Return the earlier nonces that ``nonce`` also acknowledges, in order, followed by itself."""
         return *self.merged_nonces.get(nonce, ()), nonce
 
     def merge_nonces(self, merged: MergedNonces) -> None:
-        """Remember that calls were sent as one, with the last one's nonce.
+        """Remember that calls were merged into one with the nonce of the last call.
 
-        A proxy that only an earlier one of these calls concerns acknowledges that nonce, too.
+        Proxies that only an earlier call concerns also acknowledge that nonce.
         """
         self.merged_nonces.pop(merged.nonce, None)
         self.merged_nonces[merged.nonce] = tuple(
--- a/rainpick/node/relay_notifications.py
+++ b/rainpick/node/relay_notifications.py
@@ -1,4 +1,4 @@
-"""Notifications of the relay about proxies, read from JSON-RPC lines. Free of I/O."""
+"""Parsing of the relay's JSON-RPC notifications about proxies. Free of I/O."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class Ping(NamedTuple):
-    """The relay is alive; the first ping of a subscription ends its listing of joined proxies."""
+    """The relay is alive. The first ping of a subscription ends its listing of joined proxies."""
 
 
 ProxyEvent: TypeAlias = model.ProxyJoined | model.ProxyLeft | model.Acknowledged
 
 
 def parse_notification(line: bytes, vocabulary: Vocabulary) -> Ping | ProxyEvent:
-    """One notification.
+    """Parse one notification.
 
-    ``MalformedMessageError`` if it is unusable, ``ValueError`` if it is not JSON.
+    Raises ``MalformedMessageError`` if it is invalid, ``ValueError`` if it is not JSON.
     """
     message = load_json(line)
     parameters = message.get("params", {}) if isinstance(message, dict) else None
@@ -55,7 +55,7 @@
 
 
 def parse_join(proxy: int, parameters: Message, vocabulary: Vocabulary) -> model.ProxyJoined:
-    """The parameters of ``attach``."""
+    """Parse the parameters of ``attach``."""
     newly_started = parameters.get("cold")
     if not isinstance(newly_started, bool):
         raise MalformedMessageError(f"cold: {newly_started!r} is not true or false")
--- a/rainpick/node/relay_socket.py
+++ b/rainpick/node/relay_socket.py
@@ -1,4 +1,4 @@
-"""What both kinds of connections to the relay share."""
+"""Opening of TCP connections to the relay, for commit calls and for subscriptions."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from rainpick.node.configuration import SocketAddress
 
 READ_SIZE = 65_536  # bytes
-CONNECT_TIMEOUT_S = 0.1  # a relay that is back is found within that
+CONNECT_TIMEOUT_S = 0.1  # also limits how late a relay that is reachable again is detected
 RECONNECT_PAUSE_S = 0.02
 
 
 def connect_relay(address: SocketAddress, timeout_s: float = CONNECT_TIMEOUT_S) -> socket.socket:
-    """A connection that sends without delay; ``OSError`` if there is none in time."""
+    """Connect to the relay with ``TCP_NODELAY``; ``OSError`` if that fails or takes over ``timeout_s``."""
     sock = socket.create_connection(address, timeout_s)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/rainpick/node/relay_subscription.py
+++ b/rainpick/node/relay_subscription.py
@@ -1,4 +1,4 @@
-"""Subscribes to the relay's notifications about proxies, again and again."""
+"""Subscription to the relay's notifications about proxies, renewed whenever its stream ends."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 from rainpick.node.relay_socket import CONNECT_TIMEOUT_S, READ_SIZE, RECONNECT_PAUSE_S, connect_relay
 
 SUBSCRIBE = b'{"jsonrpc":"2.0","id":1,"method":"subscribe"}\n'
-SILENCE_TIMEOUT_S = 2.0  # a ping is due each second
-# A former address should end its stream in half of that after a change; it is not read any longer.
-FORMER_STREAM_S = 3.0
+SILENCE_TIMEOUT_S = 2.0  # the relay sends a ping every second
+# How long a former address is still read after a change of the address. It should end its stream within half
+# of this time.
+FORMER_STREAM_TIMEOUT_S = 3.0
 THREAD_NAME = "relay notifications"
 
 StreamNotification: TypeAlias = StreamOpened | StreamEvent | StreamClosed
 
 
 class RelaySubscription:
-    """Hands lists of notifications to ``publish``, each with the number of its stream.
+    """Passes lists of notifications to ``publish``, each notification with the number of its stream.
 
-    A stream is read by a thread of its own: after a change of the address the next one opens while the former
-    one is still read, until the former address ends it.
+    Each stream is read by its own thread. After a change of the address the next stream opens while the
+    former one is still read, until the former address ends it.
     """
 
     def __init__(
@@ -41,22 +42,22 @@
         self.address = address
         self.vocabulary = vocabulary
         self.publish = publish
-        self.streams = 0  # opened so far
-        self.malformed = 0  # notifications that were dropped
-        self.newest_stream = 0  # the number of the last connection
-        self.newest_closed = 0  # the highest number of a stream that has ended
-        self.address_changed_s = 0.0
-        self.changed = threading.Condition()  # of the address or ``newest_closed``
+        self.streams = 0  # streams opened so far
+        self.malformed = 0  # malformed notifications dropped so far
+        self.newest_stream = 0  # number of the last connection
+        self.newest_closed = 0  # highest number of a stream that has ended
+        self.address_changed_s = 0.0  # time of the last change of the address
+        self.changed = threading.Condition()  # notified when ``address`` or ``newest_closed`` changes
 
     def set_address(self, address: SocketAddress) -> None:
-        """For another thread: subscribe at this address from now on."""
+        """Subscribe at this address from now on. May be called by any thread."""
         with self.changed:
             self.address = address
             self.address_changed_s = time.monotonic()
             self.changed.notify()
 
     def run(self) -> None:
-        """Keep one stream open at the current address."""
+        """Keep one stream open at the current address, forever."""
         reachable = True
         while True:
             address = self.address
@@ -75,55 +76,55 @@
                 time.sleep(RECONNECT_PAUSE_S)
 
     def start_reader(self, sock: socket.socket) -> bool:
-        """Read the connection's stream in a thread; False if none can be started now."""
+        """Start a thread that reads the connection's stream; return False if no thread can be started."""
         self.newest_stream += 1
         stream = self.newest_stream
-        reader = threading.Thread(target=self.read, args=(sock, stream), name=THREAD_NAME, daemon=True)
+        reader = threading.Thread(target=self.read_stream, args=(sock, stream), name=THREAD_NAME, daemon=True)
         try:
             reader.start()
-        except RuntimeError as error:  # that must not end the director
+        except RuntimeError as error:  # must not end the director
             sock.close()
             log.warning("relay notifications not read, connecting again", reason=str(error), stream=stream)
             return False
         return True
 
     def wait_until_outdated(self, address: SocketAddress) -> None:
-        """Wait until the newest stream has ended, or the address is no longer this one."""
+        """Wait until the newest stream has ended or the address differs from ``address``."""
         with self.changed:
             self.changed.wait_for(lambda: self.address != address or self.newest_closed == self.newest_stream)
 
-    def read(self, sock: socket.socket, stream: int) -> None:
-        """Read a stream to its end, whatever ends it, and publish that."""
+    def read_stream(self, sock: socket.socket, stream: int) -> None:
+        """Read a stream until it ends for any reason, and publish its end."""
         try:
             with sock:
                 self.follow(sock, stream)
-        except Exception as error:  # noqa: BLE001 - whatever it was, only another stream can help
+        except Exception as error:  # noqa: BLE001 - any error is handled by opening another stream
             log.warning("relay notifications interrupted", reason=str(error) or type(error).__name__)
         finally:
             self.publish([StreamClosed(stream)])
-            time.sleep(RECONNECT_PAUSE_S)  # before the next one, if this was the newest
+            time.sleep(RECONNECT_PAUSE_S)  # delays the next stream if this was the newest
             with self.changed:
                 self.newest_closed = max(self.newest_closed, stream)
                 self.changed.notify()
 
     def follow(self, sock: socket.socket, stream: int) -> None:
-        """Subscribe and publish what comes.
+        """Subscribe and publish the received notifications.
 
-        Returns once a newer stream has replaced this one for long enough; raises ``OSError`` or
-        ``ValueError`` if the stream breaks.
+        Returns after ``FORMER_STREAM_TIMEOUT_S`` once a newer stream has replaced this one; raises
+        ``OSError`` or ``ValueError`` if the stream fails.
         """
         sock.sendall(SUBSCRIBE)
         sock.settimeout(SILENCE_TIMEOUT_S)
         lines = LineReader()
         subscribed = False
-        while self.is_wanted(stream):
+        while self.is_still_read(stream):
             data = sock.recv(READ_SIZE)
             if not data:
                 raise ConnectionResetError("closed by the relay")
             notifications: list[StreamNotification] = []
             for line in lines.receive(data):
                 if subscribed:
-                    self.read_line(line, stream, notifications)
+                    self.append_notification(line, stream, notifications)
                 else:
                     check_subscribed(line)
                     subscribed = True
@@ -131,12 +132,15 @@
                     notifications.append(StreamOpened(stream))
             self.publish(notifications)
 
-    def is_wanted(self, stream: int) -> bool:
-        """Whether the stream is the newest one, or was until recently."""
-        return stream == self.newest_stream or time.monotonic() < self.address_changed_s + FORMER_STREAM_S
+    def is_still_read(self, stream: int) -> bool:
+        """Return whether the stream is the newest, or the address changed recently."""
+        return (
+            stream == self.newest_stream
+            or time.monotonic() < self.address_changed_s + FORMER_STREAM_TIMEOUT_S
+        )
 
-    def read_line(self, line: bytes, stream: int, notifications: list[StreamNotification]) -> None:
-        """Append the notification in a line; a malformed one is dropped."""
+    def append_notification(self, line: bytes, stream: int, notifications: list[StreamNotification]) -> None:
+        """Parse a line and append its notification; drop a malformed one."""
         try:
             notifications.append(StreamEvent(stream, parse_notification(line, self.vocabulary)))
         except MalformedMessageError as error:
@@ -145,7 +149,7 @@
 
 
 def check_subscribed(line: bytes) -> None:
-    """Raise ``ValueError`` if this answer does not accept the subscription."""
+    """Raise ``ValueError`` if this response does not accept the subscription."""
     message = load_json(line)
     if not isinstance(message, dict) or message.get("result") is not True:
         raise ValueError(f"not subscribed: {line[:80]!r}")
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -63,7 +63,7 @@
     "platform: doubt": commit_calls.UnconfirmedCall,
     "platform: taken": commit_answers.Accepted,
     "platform: not taken": commit_answers.Rejected,
-    "platform: discovery": endpoint_discovery.DiscoveryAnswer,
+    "platform: discovery": endpoint_discovery.DiscoveryResponse,
     "platform: names": configuration.Vocabulary,
     "platform: configuration": configuration.Configuration,
     "platform: stream begun": proxy_membership.StreamOpened,
--- a/tests/compat/operations_platform.py
+++ b/tests/compat/operations_platform.py
@@ -1,4 +1,4 @@
-"""What the data file of the platform's protocol is read and written by today."""
+"""The operations that ``wire/platform.jsonl`` names, implemented with the current code."""
 
 import contextlib
 import socket
@@ -9,13 +9,13 @@
 from rainpick.net import StreamEnded
 from rainpick.node import configuration, process
 from rainpick.node.command_rendering import render_command
-from rainpick.node.commit_answers import parse_answer
+from rainpick.node.commit_answers import parse_commit_response
 from rainpick.node.commit_calls import CommitCall, commit_call, merge_calls
 from rainpick.node.commit_client import CommitClient
 from rainpick.node.configuration import Vocabulary
 from rainpick.node.discovery_watch import DiscoveryWatch
-from rainpick.node.endpoint_discovery import parse_discovery_answer
-from rainpick.node.frame_codec import HEARTBEAT_ANSWER, FrameReader
+from rainpick.node.endpoint_discovery import parse_discovery_response
+from rainpick.node.frame_codec import HEARTBEAT_REPLY, FrameReader
 from rainpick.node.message_fields import MalformedMessageError, load_json
 from rainpick.node.relay_notifications import parse_notification
 from rainpick.node.relay_subscription import RelaySubscription
@@ -26,145 +26,146 @@
 )
 
 
-def heartbeat_answer(_):
-    return HEARTBEAT_ANSWER
+def heartbeat_reply(_):
+    return HEARTBEAT_REPLY
 
 
-def stream(pieces):
-    """All that is found in a stream to the director's address, which comes in these pieces."""
+def read_stream(chunks):
+    """Return all messages of a stream to the director's address that is received in these chunks."""
     reader = FrameReader(VOCABULARY)
-    return [found for piece in pieces for found in reader.receive(piece)]
+    return [message for chunk in chunks for message in reader.receive(chunk)]
 
 
-def rejected(data):
-    """The bytes written to who is ended."""
-    return [found.data for found in stream([data]) if type(found) is StreamEnded]
+def rejection_bytes(data):
+    """Return the bytes written to a peer whose stream is ended because of ``data``."""
+    return [message.data for message in read_stream([data]) if type(message) is StreamEnded]
 
 
-def notification(line):
+def read_notification(line):
     return parse_notification(line, VOCABULARY)
 
 
-def order(value):
-    return render_command(value, ROUTES)
+def encode_command(command):
+    return render_command(command, ROUTES)
 
 
-def calls(words):
-    """The lines of a step's call, part by part, if the relay takes each whole."""
-    orders, most = words
-    left, lines = commit_call(list(orders)), []
-    while left is not None:
-        part = left.first_part(ROUTES, most)
+def encode_call(arguments):
+    """Return the lines of the parts of a step's call, if the relay accepts each part as a whole."""
+    commands, command_limit = arguments
+    remaining, lines = commit_call(list(commands)), []
+    while remaining is not None:
+        part = remaining.first_part(ROUTES, command_limit)
         lines.append(part.encode(len(lines) + 1, ROUTES))
-        left = left.remaining(part.size, part)
+        remaining = remaining.remaining(part.size, part)
     return lines
 
 
-def rest(words):
-    """The line of what is left of a call after so many orders were taken."""
-    orders, taken = words
-    whole = commit_call(list(orders))
-    left = whole.remaining(taken, whole)
-    return None if left is None else left.encode(2, ROUTES)
+def encode_remaining(arguments):
+    """Return the line of the rest of a call of which the relay accepted the first commands."""
+    commands, accepted = arguments
+    call = commit_call(list(commands))
+    remaining = call.remaining(accepted, call)
+    return None if remaining is None else remaining.encode(2, ROUTES)
 
 
-def merged(steps):
-    """The lines of the calls of several steps that had to wait, and what is told of their marks."""
-    found, told = merge_calls([commit_call(list(step)) for step in steps])
-    return [[one.encode(number, ROUTES) for number, one in enumerate(found, 1)], told]
+def encode_merged(steps):
+    """Return the lines of the merged calls of several steps, and the notification of the merged nonces."""
+    calls, nonces = merge_calls([commit_call(list(step)) for step in steps])
+    return [[call.encode(number, ROUTES) for number, call in enumerate(calls, 1)], nonces]
 
 
-def relay_answer(words):
-    return parse_answer(*words)
+def read_relay_response(arguments):
+    return parse_commit_response(*arguments)
 
 
-def discovery(body):
-    return parse_discovery_answer(load_json(body), VOCABULARY)
+def read_discovery_response(body):
+    return parse_discovery_response(load_json(body), VOCABULARY)
 
 
 def read_configuration(text):
-    """A file of the platform's configuration; of the settings only the values are shown."""
+    """Return the contents of a configuration file; of the settings only the values."""
     with TemporaryDirectory() as folder, contextlib.chdir(folder):
         Path("proxy.json").write_bytes(text)
-        found = configuration.read_configuration({"PROXY_CONFIG": "proxy.json"})
-        return [list(found[:-2]), list(found[-2].values()), found[-1], process.read_cached_list(found)]
+        fields = configuration.read_configuration({"PROXY_CONFIG": "proxy.json"})
+        return [list(fields[:-2]), list(fields[-2].values()), fields[-1], process.read_cached_list(fields)]
 
 
 class Peer:
-    """The other end of a socket: it keeps what comes and answers from a list."""
+    """The remote end of a socket pair: records the received bytes and sends responses from a list."""
 
-    def __init__(self, answers):
-        self.here, self.there = socket.socketpair()
-        self.answers, self.data = list(answers), b""
+    def __init__(self, responses):
+        self.local, self.remote = socket.socketpair()
+        self.responses, self.data = list(responses), b""
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
 
     def run(self):
-        for given in self.answers:
-            self.data += self.there.recv(1 << 20)
-            self.there.sendall(given)
-        self.there.shutdown(socket.SHUT_WR)
-        while more := self.there.recv(1 << 20):
-            self.data += more
-
-    def end(self):
-        self.here.close()
+        for response in self.responses:
+            self.data += self.remote.recv(1 << 20)
+            self.remote.sendall(response)
+        self.remote.shutdown(socket.SHUT_WR)
+        while chunk := self.remote.recv(1 << 20):
+            self.data += chunk
+
+    def close(self):
+        """Close both ends and return the received bytes."""
+        self.local.close()
         self.thread.join(5)
-        self.there.close()
+        self.remote.close()
         return self.data
 
 
-def relay_call(words):
-    """The bytes that the relay's client writes for a step's orders, and what it makes of the answer."""
-    orders, line = words
+def relay_call(arguments):
+    """Return the bytes that the commit client sends for a step's commands, and the parsed response."""
+    commands, line = arguments
     peer = Peer([line])
-    made = CommitClient(("127.0.0.1", 9), ROUTES, lambda _: None)
-    made.connection.sock = peer.here
-    found = made.connection.exchange(commit_call(list(orders)) or CommitCall(None, ()))
-    return [peer.end(), found]
+    client = CommitClient(("127.0.0.1", 9), ROUTES, lambda _: None)
+    client.connection.sock = peer.local
+    response = client.connection.exchange(commit_call(list(commands)) or CommitCall(None, ()))
+    return [peer.close(), response]
 
 
 def relay_stream(lines):
-    """The request for the relay's news, and all that is handed on until the relay closes."""
-    peer, found = Peer([lines]), []
-    subscription = RelaySubscription(("127.0.0.1", 9), VOCABULARY, found.extend)
+    """Return the bytes of the subscription, and all notifications published until the relay closes."""
+    peer, notifications = Peer([lines]), []
+    subscription = RelaySubscription(("127.0.0.1", 9), VOCABULARY, notifications.extend)
     subscription.newest_stream = 1
     with contextlib.suppress(ConnectionResetError):
-        subscription.follow(peer.here, 1)
-    return [peer.end(), found]
+        subscription.follow(peer.local, 1)
+    return [peer.close(), notifications]
 
 
-class Recorded:
-    """In place of discovery's client: keeps the calls and gives answers from a list."""
+class StubClient:
+    """Replaces the HTTP client of discovery: records requests and returns bodies from a list."""
 
-    def __init__(self, answers):
-        self.answers, self.asked = list(answers), []
+    def __init__(self, bodies):
+        self.bodies, self.requests = list(bodies), []
 
     def call(self, method, path, timeout_s=None):
-        self.asked.append([method, path])
-        return 200, {}, self.answers.pop(0)
+        self.requests.append([method, path])
+        return 200, {}, self.bodies.pop(0)
 
 
 def discovery_requests(bodies):
-    """The requests to discovery, each after the answer before it, and what is handed on."""
-    given, client = [], Recorded(bodies)
-    watch = DiscoveryWatch(("127.0.0.1", 9), VOCABULARY, given.append)
+    """Return the requests to discovery, one after each response, and the published responses."""
+    published, client = [], StubClient(bodies)
+    watch = DiscoveryWatch(("127.0.0.1", 9), VOCABULARY, published.append)
     for _ in bodies:
         watch.poll(client)
-    return [client.asked, given]
+    return [client.requests, published]
 
 
 OPERATIONS = {
-    "heartbeat answer": heartbeat_answer,
-    "stream": stream,
-    "rejected": rejected,
-    "notification": notification,
-    "order": order,
-    "calls": calls,
-    "rest": rest,
-    "merged": merged,
-    "relay answer": relay_answer,
-    "discovery": discovery,
+    "heartbeat answer": heartbeat_reply,
+    "stream": read_stream,
+    "rejected": rejection_bytes,
+    "notification": read_notification,
+    "order": encode_command,
+    "calls": encode_call,
+    "rest": encode_remaining,
+    "merged": encode_merged,
+    "relay answer": read_relay_response,
+    "discovery": read_discovery_response,
     "configuration": read_configuration,
     "relay call": relay_call,
     "relay stream": relay_stream,
--- a/tests/node/__init__.py
+++ b/tests/node/__init__.py
@@ -1,1 +1,1 @@
-"""The live director."""
+"""Tests of the live director."""
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -1,4 +1,4 @@
-"""Stubs of the platform for a test."""
+"""Fixtures: stubs of the platform, and a live director as a process."""
 
 import pytest
 
--- a/tests/node/director_under_test.py
+++ b/tests/node/director_under_test.py
@@ -1,4 +1,4 @@
-"""A live director as a process, as the platform starts it."""
+"""Runs a live director as a process, started as the platform starts it."""
 
 import contextlib
 import json
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from rainpick.node.frame_codec import HEARTBEAT_ANSWER
+from rainpick.node.frame_codec import HEARTBEAT_REPLY
 from rainpick.simulated_peers.ports import free_ports
 from tests.node.platform_stubs import Peer, StubDiscovery, configuration_tree, entry
 from tests.node.stub_relay import StubRelay
@@ -14,7 +14,7 @@
 
 
 class DirectorUnderTest:
-    """A process, its stubs of the platform, and its log."""
+    """A director process with stubs of the platform around it, and its log."""
 
     def __init__(self, folder, *command):
         self.discovery, self.relay = StubDiscovery(*map(entry, range(6))), StubRelay()
@@ -31,31 +31,31 @@
         self.relay.close()
 
     def start(self, *command):
-        """Start the process; ``command``: in another way than usual."""
+        """Start the process. ``command`` replaces the usual command line."""
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
                 command or [sys.executable, "-m", "rainpick.node"],
                 stderr=log,
                 env=os.environ | {"PROXY_CONFIG": str(self.path)},
             )
-        until(self.answers_heartbeat, "a heartbeat")
+        until(self.responds_to_heartbeat, "a heartbeat")
 
     def write_configuration(self, text=None):
-        """Write the configuration file, with the stubs' addresses or as the text given."""
+        """Write ``text`` as the configuration file; by default a valid one with the stubs' addresses."""
         known = {"generation": 0, "reset": True, "instances": [entry(0), entry(1)]}
         tree = configuration_tree(self.listen, self.discovery.address, self.relay.address, known=known)
         self.path.write_text(text or json.dumps(tree))
 
-    def answers_heartbeat(self):
-        """Whether the director's address answers."""
+    def responds_to_heartbeat(self):
+        """Return whether the director replies to a heartbeat."""
         with contextlib.suppress(OSError):
             peer = Peer(self.listen)
-            answer = peer.send({"t": "hb"}).read(len(HEARTBEAT_ANSWER))
+            reply = peer.send({"t": "hb"}).read(len(HEARTBEAT_REPLY))
             peer.close()
-            return answer == HEARTBEAT_ANSWER
+            return reply == HEARTBEAT_REPLY
 
     def log_lines(self):
-        """The complete lines of the log."""
+        """Return the complete lines of the log."""
         return [
             json.loads(line)
             for line in self.log.read_text().splitlines(keepends=True)
@@ -63,18 +63,18 @@
         ]
 
     def has_logged(self, event):
-        """Whether the log has such an event."""
+        """Return whether the log has an event with this name."""
         return any(line["event"] == event for line in self.log_lines())
 
     def differing_settings(self, event):
-        """The settings that such events in the log name."""
+        """Return the ``differing`` field of each event with this name in the log."""
         return [line["differing"] for line in self.log_lines() if line["event"] == event]
 
     def withdrawn_servers(self):
-        """The servers that the relay has been told to withdraw."""
+        """Return the servers in the withdraw commands that the relay accepted."""
         return {command["endpoint"] for command in self.relay.commands("withdraw")}
 
 
 def bound_proxies(relay):
-    """The proxies of all bindings, in order of their numbers."""
+    """Return the proxies of all accepted bind commands, sorted by number."""
     return sorted(command["node"] for command in relay.commands("bind"))
--- a/tests/node/paced_relay.py
+++ b/tests/node/paced_relay.py
@@ -1,4 +1,4 @@
-"""A relay with the platform's paced channel in real time, and the fleet of proxies behind it."""
+"""A stub relay with the platform's paced channel in real time, and a simulated fleet of proxies behind it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def parse_command(fields: dict[str, Any]) -> object:
-    """The command that an object of a call stands for."""
+    """Parse one JSON object of a commit call into a command."""
     match fields["verb"]:
         case "share":
             return model.SetWeight(fields["cluster"], fields["endpoint"], fields["w"])
@@ -39,11 +39,11 @@
             )
         case "mark":
             return model.RequestAcknowledgement(fields["stamp"], bool(fields["set"]))
-    raise ValueError(f"no command: {fields}")
+    raise ValueError(f"unknown command: {fields}")
 
 
 class Fleet:
-    """The proxies of all directors, and how long they could pick a server after its drain began."""
+    """The proxies of all directors. Measures how long they could pick a server after its drain began."""
 
     def __init__(self, proxies: int, servers: int):
         self.lock = threading.RLock()
@@ -86,13 +86,13 @@
 
 
 class PacedRelay(StubRelay):
-    """Delivers commands at the pace of the settings; proxies acknowledge once they have applied them."""
+    """Delivers commands at the rate of the settings; proxies acknowledge commands after applying them."""
 
     def __init__(self, fleet: Fleet, domain: dict[str, float]):
         self.fleet, self.pending = fleet, domain["pendingMax"]
         self.channel = Channel(domain["linesPerS"], int(domain["head"]), LATENCY_US)
         self.lock, self.deliveries, self.numbers = threading.Condition(), [], count()
-        self.removed: set[str] = set()  # servers withdrawn, or taken off a table
+        self.removed: set[str] = set()  # servers withdrawn or removed from a table
         self.closed = False
         threading.Thread(target=self.deliver, daemon=True).start()
         super().__init__()
@@ -102,7 +102,7 @@
         return self.channel.waiting_most / self.pending
 
     def join_proxy(self, proxy: int) -> None:
-        """Have a proxy join this director."""
+        """Join a proxy to this director."""
         with self.lock, self.fleet.lock:
             state = self.fleet.proxies[proxy]
             state.joined_us = now_us()
@@ -126,7 +126,7 @@
         super().handle(sock, message)
 
     def discard_queue(self) -> None:
-        """The director is dead: what waits in its channel is lost."""
+        """Discard all pending deliveries, as when the director has died."""
         with self.lock:
             self.closed = True
             self.deliveries.clear()
--- a/tests/node/platform_stubs.py
+++ b/tests/node/platform_stubs.py
@@ -1,4 +1,4 @@
-"""Stubs of the platform around a live director: its configuration, discovery, and peers of its address."""
+"""Stubs of the platform around a live director: configuration, discovery, and clients of its address."""
 
 import contextlib
 import json
@@ -44,7 +44,7 @@
 
 
 def entry(number, state="Ready", started_ms=0, **more):
-    """An entry of discovery's list."""
+    """Return an entry of discovery's list; ``more`` overrides its fields."""
     return {
         "instanceId": f"s-{number:04x}",
         "hostPort": f"127.0.0.1:{9000 + number}",
@@ -58,7 +58,7 @@
 
 
 def configuration_tree(listen, discovery, relay, **more):
-    """The JSON object of a configuration file."""
+    """Return the JSON object of a configuration file; ``more`` overrides its keys."""
     return {
         "name": "n0",
         "listen": "%s:%d" % listen,
@@ -78,14 +78,14 @@
         self.sock = socket.create_connection(address, WAIT_S)
 
     def send(self, *messages):
-        """Send frames, or bytes as they are."""
+        """Send each message as a frame, or as it is if it is bytes."""
         self.sock.sendall(
             b"".join(message if isinstance(message, bytes) else encode_frame(message) for message in messages)
         )
         return self
 
     def read_all(self):
-        """All until the director closes."""
+        """Return all bytes until the director closes the connection."""
         data = b""
         with contextlib.suppress(ConnectionError):
             while chunk := self.sock.recv(4096):
@@ -93,7 +93,7 @@
         return data
 
     def read(self, size):
-        """So many bytes."""
+        """Return exactly ``size`` bytes."""
         data = b""
         while len(data) < size:
             chunk = self.sock.recv(size - len(data))
@@ -107,39 +107,39 @@
 
 
 class StubDiscovery:
-    """Versions of a list; a poll is held until there is a newer one."""
+    """Serves versions of an endpoint list. A poll is held until there is a newer version."""
 
     def __init__(self, *entries):
         self.changed = threading.Condition()
-        self.versions = [list(entries)]  # the changes that made each version
-        self.forced_answers = []  # that are given first, whatever is asked
+        self.versions = [list(entries)]  # the entries changed in each version
+        self.forced_responses = []  # returned before any others, regardless of the request
         self.requests = []
         self.server = Server("discovery", ("127.0.0.1", 0), self.handle)
         self.address = self.server.address
 
     def change(self, *entries):
-        """Make another version."""
+        """Add a version with these changed entries."""
         with self.changed:
             self.versions.append(list(entries))
             self.changed.notify_all()
 
     def handle(self, request):
-        """Response a request for the full list or for changes."""
+        """Handle a request for the full list or for changes."""
         self.requests.append(request.path)
         path, _, query = request.path.partition("?")
         assert path == "/catalog/members"
         arguments = dict(argument.split("=") for argument in query.split("&") if argument)
         with self.changed:
-            if self.forced_answers:
-                return self.forced_answers.pop(0)
+            if self.forced_responses:
+                return self.forced_responses.pop(0)
             if "from" not in arguments:
-                return self.answer(True, sum(self.versions, []))
+                return self.response(True, sum(self.versions, []))
             since = int(arguments["from"])
             self.changed.wait_for(lambda: len(self.versions) - 1 > since, int(arguments["hold_ms"]) / 1000)
-            return self.answer(False, sum(self.versions[since + 1 :], []))
+            return self.response(False, sum(self.versions[since + 1 :], []))
 
-    def answer(self, full, entries):
-        """An answer with the newest of each server's entries, at the newest version."""
+    def response(self, full, entries):
+        """Build a response at the newest version with the last entry of each server."""
         newest = {entry["instanceId"]: entry for entry in entries}
         if full:
             newest = {name: entry for name, entry in newest.items() if entry["lifecycle"] != "Gone"}
@@ -147,18 +147,18 @@
         return Response(200, json.dumps(tree).encode())
 
     def close(self):
-        """Accept no more, and end all connections."""
+        """Stop listening and close all connections."""
         self.server.close()
 
 
 def start_watch(discovery):
-    """A watch that runs, and the list to which it adds its answers."""
-    answers = []
-    watch = DiscoveryWatch(discovery.address, VOCABULARY, answers.append)
+    """Start a watch; return it and the list to which it appends its responses."""
+    responses = []
+    watch = DiscoveryWatch(discovery.address, VOCABULARY, responses.append)
     threading.Thread(target=watch.run, daemon=True).start()
-    return watch, answers
+    return watch, responses
 
 
-def endpoint_states(answers):
-    """The states by server that each answer gives."""
-    return [{endpoint.address: endpoint.state for endpoint in answer.endpoints} for answer in answers]
+def endpoint_states(responses):
+    """Return the states by server in each response."""
+    return [{endpoint.address: endpoint.state for endpoint in response.endpoints} for response in responses]
--- a/tests/node/stub_relay.py
+++ b/tests/node/stub_relay.py
@@ -1,4 +1,4 @@
-"""A stub of the relay: it records commands, and misbehaves as it is told to."""
+"""A stub of the relay that records commands and can be scripted to misbehave."""
 
 import contextlib
 import json
@@ -10,7 +10,7 @@
 
 
 class StubServer:
-    """Accepts connections, a thread each, until it is closed."""
+    """Accepts connections until it is closed, and serves each in its own thread."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -19,7 +19,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
-        """Accept until the listener is closed."""
+        """Accept connections until the listener is closed."""
         with contextlib.suppress(OSError):
             while True:
                 sock, _ = self.listener.accept()
@@ -27,13 +27,13 @@
                 threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
     def drop_connections(self):
-        """End all connections."""
+        """Shut down all connections."""
         for sock in list(self.connections):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
 
     def close(self):
-        """Accept no more, and end all connections."""
+        """Stop listening and shut down all connections."""
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
@@ -41,12 +41,13 @@
 
 
 class StubRelay(StubServer):
-    """Records commands; ``responses`` says how each next call is treated, usually accepted as a whole.
+    """Records commands. ``responses`` scripts the next calls, ``default_response`` all others.
 
-    A number is how many commands are accepted. "busy" and "syntax" reject the whole call. The others:
+    A number is the number of accepted commands. "accept" accepts all, "busy" and "syntax" reject the whole
+    call. The other behaviours are:
 
-    * not carried out: "not read, closed", "not read, silent";
-    * carried out: "no answer, closed", "no answer, silent", "invalid answer", "half an answer, closed",
+    * call not executed: "not read, closed", "not read, silent";
+    * call executed: "no answer, closed", "no answer, silent", "invalid answer", "half an answer, closed",
       "answer twice", "answer and more".
     """
 
@@ -54,11 +55,11 @@
         self.ping_s = ping_s
         self.responses = []
         self.default_response = lambda commands: "accept"
-        self.joined = {}  # parameters of attach by proxy
-        self.accepted = []  # commands
-        self.calls = []  # the response to each call and its commands
+        self.joined = {}  # parameters of ``attach`` by proxy
+        self.accepted = []  # accepted commands
+        self.calls = []  # behaviour and commands of each call
         self.subscribers = []
-        self.silent = False  # no pings
+        self.silent = False  # whether to stop sending pings
         super().__init__()
 
     def serve(self, sock):
@@ -79,7 +80,7 @@
             self.commit(sock, message["id"], message["params"]["orders"])
 
     def subscribe(self, sock, number):
-        """List the joined proxies, and begin to ping."""
+        """Accept a subscription, list the joined proxies, and start to send pings."""
         self.write(sock, {"id": number, "result": True})
         for params in list(self.joined.values()):
             self.write(sock, {"method": "attach", "params": params})
@@ -87,7 +88,7 @@
         threading.Thread(target=self.send_pings, args=(sock,), daemon=True).start()
 
     def commit(self, sock, number, commands):
-        """Treat a call as the next response says."""
+        """Handle a commit call with the next scripted behaviour."""
         response = self.responses.pop(0) if self.responses else self.default_response(commands)
         self.calls.append((response, commands))
         if response == "busy":
@@ -99,10 +100,10 @@
         elif response != "not read, silent":
             count = response if isinstance(response, int) else len(commands)
             self.accepted += commands[:count]
-            self.answer(sock, number, count, response)
+            self.send_result(sock, number, count, response)
 
-    def answer(self, sock, number, count, response):
-        """Answer a call of which so many commands are accepted."""
+    def send_result(self, sock, number, count, response):
+        """Respond to a call of which ``count`` commands are accepted, in the way that ``response`` names."""
         line = json.dumps({"jsonrpc": "2.0", "id": number, "result": {"ok_count": count}}).encode() + b"\n"
         if response == "invalid answer":
             self.write(sock, {"id": number, "result": {"ok_count": -3}})
@@ -118,11 +119,11 @@
             sock.shutdown(socket.SHUT_RDWR)
 
     def write(self, sock, message):
-        """Send a line."""
+        """Send a JSON-RPC message as a line."""
         sock.sendall(json.dumps({"jsonrpc": "2.0"} | message).encode() + b"\n")
 
     def send_pings(self, sock):
-        """Ping a subscriber until its connection ends."""
+        """Send pings to a subscriber until its connection ends."""
         with contextlib.suppress(OSError):
             while True:
                 if not self.silent:
@@ -130,7 +131,7 @@
                 time.sleep(self.ping_s)
 
     def notify(self, method, **params):
-        """Notify all subscribers."""
+        """Send a notification to all subscribers."""
         if method == "attach":
             self.joined[params["node"]] = params
         elif method == "detach":
@@ -140,14 +141,14 @@
                 self.write(sock, {"method": method, "params": params})
 
     def attach(self, node, zone="a", cold=True):
-        """Have a proxy join."""
+        """Join a proxy."""
         self.notify("attach", node=node, locality=zone, w=10.0, cold=cold)
 
     def commands(self, verb):
-        """The accepted commands with this verb."""
+        """Return the accepted commands with this verb."""
         return [command for command in list(self.accepted) if command["verb"] == verb]
 
 
 def cleared_tables(relay):
-    """The tables of the accepted commands that clear one, in order."""
+    """Return the tables of the accepted clear commands, in order."""
     return [command["cluster"] for command in relay.commands("clear")]
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -1,10 +1,10 @@
-"""A wall clock that is stepped changes no span of time and no server's age for the better."""
+"""Wall clock steps must not change measured durations or make a server appear older than it is."""
 
 import pytest
 
 from rainpick import model
 from rainpick.node.clock import OFFSET_LIMIT, Clock
-from rainpick.node.endpoint_discovery import parse_discovery_answer
+from rainpick.node.endpoint_discovery import parse_discovery_response
 from rainpick.node.endpoint_list import EndpointList
 from tests.node.platform_stubs import VOCABULARY, entry
 
@@ -12,7 +12,7 @@
 
 
 class Machine:
-    """A machine whose wall clock is set by the test."""
+    """A machine whose wall clock is stepped by the test."""
 
     def __init__(self):
         self.real, self.offset = 50 * SECOND, 1_700_000_000 * SECOND
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("by", [-HOUR, -SECOND, SECOND, HOUR])
-def test_the_clock_runs_on_when_the_wall_clock_is_stepped(by):
+def test_the_clock_is_unaffected_by_a_step_of_the_wall_clock(by):
     machine = Machine()
     before = machine.clock()
     assert machine.step(by) == by and machine.clock() == before
@@ -40,19 +40,23 @@
 
 
 @pytest.mark.parametrize("by", [-HOUR, -SECOND, SECOND, HOUR])
-def test_a_start_time_gives_the_true_age_on_either_side_of_a_step(by):
+def test_a_start_time_stamped_before_or_after_a_step_gives_no_higher_age(by):
     machine = Machine()
-    stamped, at = machine.wall(), machine.clock()
+    stamped, clock_at_stamp = machine.wall(), machine.clock()
     machine.real += SECOND // 2
     machine.step(by)
     machine.real += SECOND
-    assert at <= machine.clock.start_time(stamped) <= machine.clock(), "its age, or younger"
-    later, at = machine.wall(), machine.clock()
+    assert clock_at_stamp <= machine.clock.start_time(stamped) <= machine.clock(), (
+        "the age must not be overestimated"
+    )
+    later, clock_at_stamp = machine.wall(), machine.clock()
     machine.real += 10 * SECOND
-    assert machine.clock.start_time(later) >= at, "a server that is warming up does not pass for a warm one"
+    assert machine.clock.start_time(later) >= clock_at_stamp, (
+        "a server that is warming up must not be treated as warm"
+    )
 
 
-def test_an_hour_forward_makes_no_server_warm_that_started_before_it():
+def test_a_step_of_an_hour_forward_does_not_make_a_new_server_warm():
     machine = Machine()
     stamped = machine.wall()
     machine.real += SECOND
@@ -60,34 +64,37 @@
     assert machine.clock() - machine.clock.start_time(stamped) == SECOND
 
 
-def test_a_start_time_in_the_future_of_all_known_offsets_is_taken_for_now():
+def test_a_start_time_in_the_future_under_all_known_offsets_is_treated_as_now():
     machine = Machine()
     assert machine.clock.start_time(machine.wall() + HOUR) == machine.clock()
     assert machine.clock.start_time(0) == 0
 
 
-def test_remembered_steps_are_bounded():
+def test_remembered_offsets_are_bounded():
     machine = Machine()
     for _ in range(3 * OFFSET_LIMIT):
         machine.step(HOUR)
     assert len(machine.clock.offsets) == OFFSET_LIMIT
 
 
-def test_a_start_time_that_is_given_again_unchanged_is_not_converted_again():
-    """A list given again after a step must not make every server warm up anew, nor undo a slow start."""
+def test_an_unchanged_start_time_is_not_converted_again():
+    """Guards against a list received again after a wall clock step that changes the ages of all servers.
+
+    All servers would warm up again, or a slow start would be cut short.
+    """
     machine = Machine()
     endpoints = EndpointList(machine.clock)
     entries = [
         entry(1, started_ms=machine.wall() // 1000 - 60_000),
         entry(2, started_ms=machine.wall() // 1000),
     ]
-    answer = parse_discovery_answer({"generation": 1, "reset": True, "instances": entries}, VOCABULARY)
-    first = endpoints.apply(answer, model.UpdateKind.CACHED).endpoints
+    response = parse_discovery_response({"generation": 1, "reset": True, "instances": entries}, VOCABULARY)
+    first = endpoints.apply(response, model.UpdateKind.CACHED).endpoints
     machine.real += 5 * SECOND
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
-        assert endpoints.apply(answer).endpoints == first
-    restarted = parse_discovery_answer(
+        assert endpoints.apply(response).endpoints == first
+    restarted = parse_discovery_response(
         {"generation": 2, "reset": False, "instances": [entry(2, started_ms=machine.wall() // 1000)]},
         VOCABULARY,
     )
--- a/tests/node/test_collector_listener.py
+++ b/tests/node/test_collector_listener.py
@@ -1,4 +1,4 @@
-"""The director's address over real sockets: who may stay connected, who is closed, and how soon."""
+"""The collector listener over real sockets: which peers stay connected and when the others are closed."""
 
 import contextlib
 import threading
@@ -10,12 +10,12 @@
 from rainpick.net.streams import Listener
 from rainpick.node import collector_listener
 from rainpick.node.collector_listener import CollectorListener
-from rainpick.node.frame_codec import HEARTBEAT_ANSWER, encode_frame
+from rainpick.node.frame_codec import HEARTBEAT_REPLY, encode_frame
 from rainpick.node.mailbox import Mailbox
 from tests.node.platform_stubs import VOCABULARY, Peer
 from tests.waiting import until
 
-CLOSE_LIMIT_S = 3.0  # the platform's: by then a peer that does not join is closed or rejected
+CLOSE_LIMIT_S = 3.0  # the platform's limit for closing or rejecting a peer that does not join
 
 
 @contextlib.contextmanager
@@ -51,24 +51,24 @@
     }
 
 
-def test_a_heartbeat_is_answered_and_the_reports_of_a_collector_are_received():
+def test_heartbeats_get_a_reply_and_reports_of_a_collector_are_received():
     with running_listener() as (listener, mailbox):
-        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_REPLY)) == HEARTBEAT_REPLY
         peer = Peer(listener.address)
         peer.send({"t": "hb"}, {"t": "telemetry", "locality": "a"}, server_report(), {"t": "hb"})
-        assert peer.read(2 * len(HEARTBEAT_ANSWER)) == 2 * HEARTBEAT_ANSWER
+        assert peer.read(2 * len(HEARTBEAT_REPLY)) == 2 * HEARTBEAT_REPLY
         notifications, reports = mailbox.receive(5)
         assert not notifications and reports == [model.ServerLoadReport("s-1", 0, 2, 1, 4000, 500_000, ())]
 
 
-def test_a_heartbeat_in_single_bytes_and_several_in_one_chunk_are_answered():
+def test_a_heartbeat_in_single_bytes_and_several_in_one_chunk_get_replies():
     with running_listener() as (listener, _):
         peer = Peer(listener.address)
         for byte in encode_frame({"t": "hb"}):
             peer.send(bytes([byte]))
-        assert peer.read(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+        assert peer.read(len(HEARTBEAT_REPLY)) == HEARTBEAT_REPLY
         peer.send(3 * encode_frame({"t": "hb"}) + encode_frame({"t": "hb"})[:5])
-        assert peer.read(3 * len(HEARTBEAT_ANSWER)) == 3 * HEARTBEAT_ANSWER
+        assert peer.read(3 * len(HEARTBEAT_REPLY)) == 3 * HEARTBEAT_REPLY
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     ],
 )
 def test_a_peer_that_does_not_join_is_closed_in_time(data):
-    """A peer that asks for a heartbeat and then holds its connection is no exception."""
+    """Also applies to a peer that sends a heartbeat and then keeps its connection open."""
     with running_listener() as (listener, _):
         begin_s = time.monotonic()
         peer = Peer(listener.address)
@@ -93,11 +93,11 @@
             peer.send(*([data] if isinstance(data, bytes) else data))
         peer.read_all()
         assert time.monotonic() - begin_s < CLOSE_LIMIT_S
-        until(lambda: not listener.pending, "its end")
+        until(lambda: not listener.pending, "the removal of the peer")
 
 
-def test_many_silent_peers_do_not_keep_a_collector_out():
-    """Hundreds of silent connections took all capacity; the oldest of them make room for the newest."""
+def test_many_silent_peers_do_not_prevent_a_collector_from_joining():
+    """Guards against hundreds of silent connections that use up all capacity: the oldest must be closed."""
     with running_listener(sockets=64) as (listener, mailbox):
         silent_peers = [Peer(listener.address) for _ in range(200)]
         collector = Peer(listener.address).send({"t": "telemetry", "locality": "b"}, server_report())
@@ -112,26 +112,26 @@
 
 
 def test_only_the_newest_collectors_of_a_zone_stay_connected():
-    """A dead one is silent and would stay for good, and descriptors grow through a long day."""
+    """Guards against a descriptor leak: a dead collector is silent and would stay connected forever."""
     with running_listener() as (listener, mailbox):
         peers = []
         for number in range(1, 8):
             peers.append(Peer(listener.address).send({"t": "telemetry", "locality": "a"}, server_report()))
-            until(lambda number=number: len(mailbox.reports) == number, "its report")
+            until(lambda number=number: len(mailbox.reports) == number, "the report of the new collector")
         assert len(listener.collectors) == collector_listener.COLLECTOR_LIMIT
         assert peers[0].read_all() == b"", "nothing is written to a collector"
 
 
-def test_a_peer_that_does_not_read_is_closed_and_delays_no_other():
+def test_a_peer_that_does_not_read_is_closed_and_does_not_delay_others():
     with running_listener() as (listener, _):
-        greedy = Peer(listener.address)
-        greedy.send({"t": "telemetry", "locality": "a"})
+        non_reading_peer = Peer(listener.address)
+        non_reading_peer.send({"t": "telemetry", "locality": "a"})
         with pytest.raises(ConnectionError):
             deadline_s = time.monotonic() + 10
             while time.monotonic() < deadline_s:
-                greedy.send(*[{"t": "hb"}] * 1000)
-        until(lambda: not listener.collectors, "its end")
-        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+                non_reading_peer.send(*[{"t": "hb"}] * 1000)
+        until(lambda: not listener.collectors, "the disconnection of the peer")
+        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_REPLY)) == HEARTBEAT_REPLY
 
 
 def test_a_malformed_report_is_dropped_and_an_unreadable_stream_closed():
@@ -139,15 +139,15 @@
         peer = Peer(listener.address).send(
             {"t": "telemetry", "locality": "a"}, server_report() | {"total": -1}, server_report()
         )
-        until(lambda: mailbox.reports, "the readable report")
+        until(lambda: mailbox.reports, "the valid report")
         assert listener.status()["malformed"] == 1 and len(mailbox.reports) == 1
         peer.send(b"\x99" * 64)
         assert peer.read_all() == b""
-        until(lambda: not listener.collectors, "its end")
+        until(lambda: not listener.collectors, "the disconnection of the collector")
 
 
-def test_a_thread_that_cannot_be_started_affects_that_peer_alone(monkeypatch):
-    """The accepting thread ended with the first peer for which no thread could be started."""
+def test_a_thread_that_cannot_be_started_affects_only_its_peer(monkeypatch):
+    """Guards against the accepting thread ending when no thread can be started for a peer."""
     with running_listener() as (listener, _):
 
         def fail(*_):
@@ -156,11 +156,11 @@
         with monkeypatch.context() as patch:
             patch.setattr("rainpick.net.streams._thread.start_new_thread", fail)
             assert Peer(listener.address).read_all() == b""
-        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_REPLY)) == HEARTBEAT_REPLY
 
 
 def test_a_failed_accept_does_not_end_the_listener(monkeypatch):
-    """Out of descriptors for a moment, and no peer was ever accepted again."""
+    """Guards against a short lack of file descriptors after which no peer is ever accepted again."""
     with running_listener() as (listener, _):
         accepting_socket, failures = listener.listener.socket, []
 
@@ -175,13 +175,13 @@
                 return getattr(accepting_socket, name)
 
         listener.listener.socket = FailingSocket()
-        Peer(listener.address).close()  # the accept under way is the real one's
-        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_ANSWER)) == HEARTBEAT_ANSWER
+        Peer(listener.address).close()  # completes the accept that is already waiting on the real socket
+        assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_REPLY)) == HEARTBEAT_REPLY
         assert len(failures) == 3
 
 
-def test_a_peer_that_is_reset_while_it_is_accepted_does_not_end_the_listener():
-    """Its socket takes no option any more: the error ended the accepting thread, and with it the listener."""
+def test_a_peer_that_resets_its_connection_during_accept_does_not_end_the_listener():
+    """Guards against the accepting thread ending with the error from setting options on such a socket."""
     accepted = []
 
     def accept(sock, peer):
@@ -191,7 +191,7 @@
 
     listener = Listener(("127.0.0.1", 0), 8, accept)
     listener.thread.start()
-    assert Peer(listener.address).read_all() == b"", "it is closed"
+    assert Peer(listener.address).read_all() == b"", "the first peer is closed"
     second = Peer(listener.address)
     until(lambda: len(accepted) == 2, "the next peer")
     second.close()
--- a/tests/node/test_collector_listener_races.py
+++ b/tests/node/test_collector_listener_races.py
@@ -1,4 +1,4 @@
-"""Peers of the director's address whose threads meet at a chosen moment."""
+"""Races between the threads of the collector listener, forced at chosen points."""
 
 import socket
 import threading
@@ -12,7 +12,7 @@
 
 
 class PausedSocket:
-    """A socket whose ``recv`` waits at its very beginning until it is resumed."""
+    """A socket whose ``recv`` blocks before reading until it is resumed."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -28,25 +28,25 @@
         return getattr(self.sock, name)
 
 
-def test_a_descriptor_is_not_free_for_the_next_peer_while_its_reader_may_use_it():
-    """A reader that was about to read would have taken the bytes of the peer that got the same number."""
+def test_a_descriptor_is_not_closed_while_its_reading_thread_may_use_it():
+    """Guards against a reading thread that reads the bytes of a new peer with the same file descriptor."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        far = socket.create_connection(listener.getsockname(), WAIT_S)
-        near, _ = listener.accept()
-    paused, messages = PausedSocket(near), []
+        client_socket = socket.create_connection(listener.getsockname(), WAIT_S)
+        server_socket, _ = listener.accept()
+    paused, messages = PausedSocket(server_socket), []
     stream = Stream(1, paused, "peer", FrameReader(VOCABULARY), lambda _, message: messages.append(message))
     stream.start()
     assert paused.entered.wait(WAIT_S)
     stream.close()
-    assert near.fileno() >= 0, "it is still the reader's"
+    assert server_socket.fileno() >= 0, "the reading thread still uses it"
     paused.resumed.set()
-    until(lambda: near.fileno() < 0, "its end")
+    until(lambda: server_socket.fileno() < 0, "the close of the descriptor")
     assert len(messages) == 1 and not stream.reading
-    far.close()
+    client_socket.close()
 
 
 class HookedLock:
-    """A lock that calls ``on_release``, once, when it is released next."""
+    """A lock that calls ``on_release`` once, after its next release."""
 
     def __init__(self):
         self.lock = threading.Lock()
@@ -70,7 +70,7 @@
 
 
 def connect_silent_peer(listener, peers):
-    """The listener's stream of a new peer that sends nothing."""
+    """Connect a peer that sends nothing; return the listener's stream for it."""
     peers.append(Peer(listener.address))
     name = "%s:%d" % peers[-1].sock.getsockname()
     streams = until(
@@ -80,15 +80,15 @@
 
 
 def join_in_thread(listener, stream, joined):
-    """Have the stream join, as its reader would; whether it became a collector is appended to ``joined``."""
+    """Join the stream in another thread, as its reading thread would; append the success to ``joined``."""
     thread = threading.Thread(target=listener.join, args=(stream, 0))
     thread.start()
     thread.join(WAIT_S)
     joined.append(stream in listener.collectors)
 
 
-def test_a_peer_that_joins_while_overdue_peers_are_closed_is_a_collector_or_closed_never_both():
-    """It was taken up as a collector and closed: its zone went without reports until it connected again."""
+def test_a_peer_that_joins_while_overdue_peers_are_closed_is_either_a_collector_or_closed():
+    """Guards against a peer that joins and is closed: its zone would have no reports until it reconnects."""
     listener, peers, joined = start_listener(), [], []
     overdue = connect_silent_peer(listener, peers)
     listener.pending[overdue] = 0.0
@@ -99,11 +99,14 @@
     listener.listener.close()
 
 
-def test_a_peer_that_joins_while_it_makes_room_for_the_newest_is_a_collector_or_closed_never_both():
-    listener, peers, joined = start_listener(sockets=4), [], []  # room for one pending peer
+def test_a_peer_that_joins_while_it_is_displaced_is_either_a_collector_or_closed():
+    listener, peers, joined = start_listener(sockets=4), [], []  # allows one pending peer
     first = connect_silent_peer(listener, peers)
     listener.lock.on_release = lambda: join_in_thread(listener, first, joined)
     connect_silent_peer(listener, peers)
-    until(lambda: joined and (first.closed or first in listener.collectors), "an end to it")
+    until(
+        lambda: joined and (first.closed or first in listener.collectors),
+        "the join or close of the first peer",
+    )
     assert first.closed != joined[0]
     listener.listener.close()
--- a/tests/node/test_commit_calls.py
+++ b/tests/node/test_commit_calls.py
@@ -1,18 +1,18 @@
-"""Calls to the relay: how commands are rendered, split and merged, and how answers are read."""
+"""Commit calls: encoding, splitting and merging of commands, and parsing of responses."""
 
 import json
 
 import pytest
 
 from rainpick import model
-from rainpick.node.commit_answers import Accepted, Rejected, parse_answer
+from rainpick.node.commit_answers import Accepted, Rejected, parse_commit_response
 from rainpick.node.commit_calls import CommitCall, MergedNonces, commit_call, merge_calls
 from tests.node.platform_stubs import VOCABULARY
 
 ROUTES = list(VOCABULARY.routes)
 
 
-def test_commands_are_rendered_as_the_relay_reads_them():
+def test_commands_are_encoded_in_the_format_of_the_relay():
     call = commit_call(
         [
             model.SetWeight(4, "s-1", 1.5),
@@ -43,7 +43,10 @@
 
 
 def test_a_long_call_is_split_in_order_and_each_part_requests_acknowledgement():
-    """Else the proxies that only the first part reaches would never answer, and count as waiting for good."""
+    """Guards against proxies that only the first part reaches: they would never acknowledge.
+
+    They would count as waiting forever.
+    """
     commands = [model.SetWeight(4, f"s-{number:06}", 1.0) for number in range(2000)]
     remaining, sent = commit_call([*commands, model.RequestAcknowledgement(7, False)]), []
     while remaining is not None:
@@ -56,7 +59,7 @@
     assert servers == [command.server for command in commands]
 
 
-def test_a_rejected_command_is_left_out_and_the_rest_requests_acknowledgement():
+def test_a_rejected_command_is_skipped_and_the_rest_requests_acknowledgement():
     binds, request = (
         tuple(model.BindProxy(1, 0, number) for number in range(3)),
         model.RequestAcknowledgement(7, False),
@@ -65,15 +68,20 @@
     assert call.remaining(2, call) == CommitCall(request, binds[2:]), (
         "the request and one command were accepted, the second rejected"
     )
-    assert call.remaining(3, call) is None, "the last one was rejected: nothing is left to acknowledge"
+    assert call.remaining(3, call) is None, (
+        "the last command was rejected: nothing remains to be acknowledged"
+    )
     assert call.remaining(0, call) == CommitCall(None, binds), "the request itself was rejected"
     assert CommitCall(None, binds).remaining(1, CommitCall(None, binds)).commands == binds[2:]
     assert call.remaining(4, call) is None
 
 
 def test_waiting_calls_are_merged_with_the_withdrawals_first():
-    """Sent one by one the withdrawals waited in the paced channel behind weights long void: a drain that was
-    listed during an outage of the relay was read 0.1 s after the grace."""
+    """Guards against withdrawals that wait in the paced channel behind superseded weights.
+
+    When the calls were sent separately, a drain listed during an outage of the relay reached the proxies 0.1
+    s after the drain grace.
+    """
 
     def set_weight(server, weight):
         return model.SetWeight(1, server, weight)
@@ -107,7 +115,7 @@
     assert merged == MergedNonces(3, (1, 2))
 
 
-def test_nothing_is_void_where_a_table_is_cleared_and_no_nonce_is_made_up():
+def test_merging_keeps_all_commands_if_a_table_is_cleared_and_invents_no_nonce():
     cleared = [
         CommitCall(None, (model.SetWeight(1, "a", 1.0),)),
         CommitCall(None, (model.ClearTable(1), model.SetWeight(1, "a", 1.0))),
@@ -116,7 +124,7 @@
         [CommitCall(None, (model.SetWeight(1, "a", 1.0), model.ClearTable(1), model.SetWeight(1, "a", 1.0)))],
         None,
     )
-    # One nonce cannot stand for two messages: the first would be acknowledged with it.
+    # One nonce must not be used for two calls: the acknowledgement of the first would also cover the second.
     waiting = [
         CommitCall(model.RequestAcknowledgement(1, False), (model.SetWithdrawn("a", True),)),
         CommitCall(None, (model.BindProxy(1, 0, 1),)),
@@ -130,9 +138,9 @@
     assert merged == MergedNonces(1, ())
 
 
-def test_answers_to_a_call():
+def test_responses_to_a_call_are_parsed():
     def read(message, size=4):
-        return parse_answer(json.dumps({"jsonrpc": "2.0", "id": 8} | message).encode(), 8, size)
+        return parse_commit_response(json.dumps({"jsonrpc": "2.0", "id": 8} | message).encode(), 8, size)
 
     assert read({"result": {"ok_count": 4}}) == Accepted(4)
     assert read({"result": {"ok_count": 0}}) == Accepted(0)
@@ -153,4 +161,4 @@
         with pytest.raises(ValueError):
             read(unusable)
     with pytest.raises(ValueError):
-        parse_answer(b'{"jsonrpc":', 8, 4)
+        parse_commit_response(b'{"jsonrpc":', 8, 4)
--- a/tests/node/test_commit_client.py
+++ b/tests/node/test_commit_client.py
@@ -1,4 +1,4 @@
-"""Commit calls against a stub of the relay that rejects, falls silent, closes and answers nonsense."""
+"""The commit client with a stub relay that rejects calls, stays silent, disconnects or sends garbage."""
 
 import threading
 
@@ -20,7 +20,7 @@
 
 
 def clear_tables(*tables, nonce=None):
-    """The call that clears these tables."""
+    """Build the call that clears these tables."""
     commands = [model.ClearTable(table) for table in tables]
     requests = [model.RequestAcknowledgement(nonce, False)] if nonce is not None else []
     return commit_call(commands + requests)
@@ -29,16 +29,18 @@
 @pytest.mark.parametrize(
     "response,accepted",
     [
-        ("busy", [1, 2, 3]),  # not carried out: it is sent again
+        # The relay has not executed the call.
+        ("busy", [1, 2, 3]),
         ("not read, closed", [1, 2, 3]),
-        ("not read, silent", [1, 2, 3]),  # the client can't know: it was not, as it turns out
-        # It was: twice, in its place.
+        ("not read, silent", [1, 2, 3]),
+        # The relay has executed the call, but the client cannot know: it is executed twice, still in order.
         ("no answer, closed", [1, 1, 2, 3]),
         ("no answer, silent", [1, 1, 2, 3]),
         ("invalid answer", [1, 1, 2, 3]),
         ("half an answer, closed", [1, 1, 2, 3]),
+        # The response is valid, and the data that follows it belongs to no call.
         ("answer twice", [1, 2, 3]),
-        ("answer and more", [1, 2, 3]),  # it was, and what follows the answer belongs to no call
+        ("answer and more", [1, 2, 3]),
     ],
 )
 def test_a_call_is_repeated_as_a_whole_before_anything_newer(relay, response, accepted):
@@ -52,8 +54,8 @@
     assert cleared_tables(relay) == accepted
 
 
-def test_a_command_rejected_in_the_middle_is_left_out_and_the_rest_is_sent(relay):
-    """A proxy may have left meanwhile; what follows must not be lost, nor the nonce of either part."""
+def test_a_command_rejected_in_the_middle_is_skipped_and_the_rest_is_sent(relay):
+    """Guards against losing the commands after a rejected one, whose proxy may have left, or their nonce."""
     relay.responses = [2]  # the request and table 1 are accepted, table 2 is rejected
     client = start_client(relay)
     client.send(clear_tables(1, 2, 3, nonce=7))
@@ -74,7 +76,7 @@
     until(lambda: cleared_tables(relay) == [2], "the next call")
 
 
-def test_a_busy_relay_is_asked_for_as_long_as_it_takes(relay):
+def test_a_call_is_retried_without_limit_while_the_relay_is_busy(relay):
     relay.responses = ["busy"] * (3 * commit_client.REJECTION_LIMIT)
     client = start_client(relay)
     client.send(clear_tables(1))
@@ -82,7 +84,7 @@
 
 
 def test_a_connection_closed_as_idle_is_detected_before_a_call_is_sent_into_it(relay):
-    """Sent into a closed connection a call is unconfirmed, though it never arrived."""
+    """Guards against an unconfirmed call: one sent on a closed connection never arrives."""
     client = start_client(relay)
     client.send(clear_tables(1))
     until(lambda: cleared_tables(relay) == [1] and client.counts["calls"], "the first call")
@@ -94,7 +96,7 @@
 
 
 def test_a_connection_without_calls_is_kept_from_being_closed_as_idle(relay, monkeypatch):
-    """Connecting anew for a withdrawal costs it a round trip, and the relay may accept no new connections."""
+    """Guards against reconnecting for a withdrawal, which costs a round trip and may not be accepted."""
     monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     client = start_client(relay)
     client.send(clear_tables(1))
--- a/tests/node/test_commit_client_races.py
+++ b/tests/node/test_commit_client_races.py
@@ -1,4 +1,4 @@
-"""Commit calls when the relay, the connection or another thread interferes at a chosen moment."""
+"""The commit client when the relay, the connection or another thread interferes at a chosen moment."""
 
 import select
 import threading
@@ -14,7 +14,7 @@
 
 
 def clear_tables(*tables):
-    """The call that clears these tables."""
+    """Build the call that clears these tables."""
     return commit_call([model.ClearTable(table) for table in tables])
 
 
@@ -24,8 +24,8 @@
     return client
 
 
-def test_a_relay_that_closes_after_the_check_and_before_the_call_is_sent(relay):
-    """The call goes into a closed connection: it is unconfirmed and sent again, before the next one."""
+def test_a_call_is_repeated_if_the_relay_closes_the_connection_just_before_it_is_sent(relay):
+    """The call is sent on a closed connection after the check: it is unconfirmed and repeated in order."""
     client = start_client(relay.address)
     client.send(clear_tables(1))
     until(lambda: client.counts["calls"] == 1, "the first call")
@@ -41,20 +41,23 @@
     client.connection.has_unexpected_input = close_after_check
     client.send(clear_tables(2))
     client.send(clear_tables(3))
-    until(lambda: cleared_tables(relay) == [1, 2, 3], "the calls")
+    until(lambda: cleared_tables(relay) == [1, 2, 3], "all calls")
     assert client.counts["again"] == 1
 
 
-def test_an_answer_that_came_while_the_thread_got_no_turn_is_read(relay, monkeypatch):
-    """A busy core was taken for a dead relay: the call went out again, and the core had more to do."""
+def test_a_response_that_arrived_while_the_thread_was_not_scheduled_is_read(relay, monkeypatch):
+    """Guards against mistaking a busy CPU core for a dead relay.
+
+    The call was sent again, which added load to the busy core.
+    """
     client = start_client(relay.address)
     client.send(clear_tables(1))
     until(lambda: client.counts["calls"] == 1, "a connection")
-    # The time is up when the call has left.
-    monkeypatch.setattr(commit_connection, "ANSWER_TIMEOUT_S", 0.0)
+    # The deadline has passed by the time the call is sent.
+    monkeypatch.setattr(commit_connection, "RESPONSE_TIMEOUT_S", 0.0)
 
     class LateSocket:
-        """The socket of a thread that gets its next turn when the answer has come."""
+        """The socket of a thread that is not scheduled until the response has arrived."""
 
         def __init__(self, sock):
             self.sock = sock
@@ -74,7 +77,7 @@
 
 
 def test_rejected_keep_alive_calls_count_against_no_command(relay, monkeypatch):
-    """Their rejections were added to those of the next call, which was left out at its first."""
+    """Guards against adding them to the rejections of the next call, which was then skipped too early."""
     monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     client = start_client(relay.address)
     client.send(clear_tables(1))
@@ -85,14 +88,14 @@
         "rejections",
     )
     relay.responses = ["syntax"]
-    until(lambda: not relay.responses, "one more")
+    until(lambda: not relay.responses, "another rejection")
     relay.responses = ["syntax"] * (commit_client.REJECTION_LIMIT - 1)
     client.send(clear_tables(2))
     until(lambda: cleared_tables(relay) == [1, 2], "the second call")
 
 
-def test_a_command_for_which_a_whole_call_is_rejected_is_left_out_alone(relay):
-    """The withdrawals in the same call were lost for good, though the decisions believed them sent."""
+def test_only_the_command_that_causes_the_rejection_of_a_whole_call_is_skipped(relay):
+    """Guards against losing withdrawals in the same call, which the decisions assume to have been sent."""
     relay.default_response = lambda commands: (
         "syntax" if any(command["cluster"] == 5 for command in commands) else "accept"
     )
@@ -103,27 +106,27 @@
     assert cleared_tables(relay) == [1, 2, 3, 4, 6, 7, 8, 9]
 
 
-def test_a_call_that_is_sent_again_is_reported_by_its_nonce(relay):
-    """Carried out and not answered, it waits twice in the channel: the decisions must know."""
+def test_the_nonce_of_an_unconfirmed_call_is_reported(relay):
+    """An executed call without a response is queued twice in the channel, which the decisions must count."""
     notifications = []
     relay.responses = ["no answer, silent", "busy"]
     client = start_client(relay.address, notifications.append)
     client.send(commit_call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
     until(lambda: cleared_tables(relay) == [1, 1] and client.counts["calls"] == 1, "the call, twice")
-    assert notifications == [UnconfirmedCall(8)], "what was rejected was not carried out"
+    assert notifications == [UnconfirmedCall(8)], "a rejected call was not executed"
 
 
-def test_commands_do_not_pile_up_while_the_relay_is_unreachable(relay):
+def test_waiting_commands_are_bounded_while_the_relay_is_unreachable(relay):
     address = relay.address
     relay.close()
     client = start_client(address)
-    for turn in range(500):
+    for count in range(500):
         client.send(
-            commit_call([model.SetWeight(1, "s-1", float(turn)), model.SetWithdrawn("s-2", bool(turn % 2))])
+            commit_call([model.SetWeight(1, "s-1", float(count)), model.SetWithdrawn("s-2", bool(count % 2))])
         )
     until(
         lambda: client.queue.empty() and sum(len(call.commands) for call in client.waiting) == 2,
-        "the newest commands alone",
+        "only the newest commands",
     )
     other = StubRelay()
     client.set_address(other.address)
@@ -133,12 +136,12 @@
     other.close()
 
 
-def test_a_flush_sends_what_was_queued(relay):
-    """SIGTERM in the middle of a call: it and the withdrawals behind it are sent, if that is soon done."""
+def test_a_flush_sends_all_queued_calls(relay):
+    """Guards against losing a call in progress, or withdrawals queued after it, on SIGTERM."""
     relay.responses = ["not read, silent"]
     client = start_client(relay.address)
     client.send(clear_tables(1))
-    until(lambda: relay.calls, "a call that gets no answer")
+    until(lambda: relay.calls, "a call without a response")
     client.send(clear_tables(2))
     client.flush(WAIT_S)
     assert cleared_tables(relay) == [1, 2]
--- a/tests/node/test_configuration.py
+++ b/tests/node/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file; and nested settings give the same map as dotted lines."""
+"""Reading of the configuration file, and equality of nested settings and dotted lines."""
 
 import json
 
@@ -32,7 +32,7 @@
 
 
 def dotted_lines(tree, path=""):
-    """The dotted lines of the simulator's wire."""
+    """Yield the settings as dotted lines, the format of the simulator's protocol."""
     for name, item in tree.items():
         dotted = f"{path}{name}"
         if isinstance(item, list) and isinstance(item[0], dict):
@@ -68,14 +68,14 @@
         ),
     ],
 )
-def test_an_error_names_file_path_value_and_what_is_allowed(tmp_path, change, message):
+def test_an_error_names_the_file_key_value_and_what_is_allowed(tmp_path, change, message):
     environment = write(tmp_path, configuration_tree(*ADDRESSES) | change)
     with pytest.raises(ConfigurationError) as error:
         read_configuration(environment)
     assert str(error.value).startswith(environment["PROXY_CONFIG"]) and message in str(error.value)
 
 
-def test_a_missing_file_and_one_that_is_no_json_are_errors(tmp_path):
+def test_a_missing_file_and_invalid_json_are_errors(tmp_path):
     for environment in (
         {},
         {"PROXY_CONFIG": str(tmp_path / "none")},
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Following discovery against a stub of it."""
+"""The discovery watch with a stub of discovery."""
 
 import time
 
@@ -11,15 +11,15 @@
 from tests.waiting import until
 
 
-def test_the_full_list_then_changes(discovery):
-    _, answers = start_watch(discovery)
-    until(lambda: answers, "the list")
+def test_the_full_list_is_published_first_and_then_changes(discovery):
+    _, responses = start_watch(discovery)
+    until(lambda: responses, "the list")
     discovery.change(entry(1, "Terminating"))
-    until(lambda: len(answers) == 2, "the change")
+    until(lambda: len(responses) == 2, "the first change")
     discovery.change(entry(1, "Gone"), entry(3, started_ms=5))
-    until(lambda: len(answers) == 3, "the next")
-    assert [answer.full for answer in answers] == [True, False, False]
-    assert endpoint_states(answers) == [
+    until(lambda: len(responses) == 3, "the second change")
+    assert [response.full for response in responses] == [True, False, False]
+    assert endpoint_states(responses) == [
         {"s-0001": model.EndpointState.READY, "s-0002": model.EndpointState.READY},
         {"s-0001": model.EndpointState.DRAINING},
         {"s-0001": model.EndpointState.GONE, "s-0003": model.EndpointState.READY},
@@ -27,12 +27,16 @@
 
 
 def test_the_next_poll_follows_at_once_and_an_unchanged_list_is_not_published(discovery, monkeypatch):
-    """Within 200 ms, or what changes meanwhile counts as told and the next poll begins anew."""
+    """Guards against more than 200 ms between two polls.
+
+    The platform would count changes made meanwhile as delivered, and the next poll as the start of a new
+    watch.
+    """
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
-    watch, answers = start_watch(discovery)
+    watch, responses = start_watch(discovery)
     begin_s = time.monotonic()
-    until(lambda: watch.answers == 11, "ten polls")
-    assert time.monotonic() - begin_s < 10 * 0.2 and len(answers) == 1
+    until(lambda: watch.responses == 11, "ten polls")
+    assert time.monotonic() - begin_s < 10 * 0.2 and len(responses) == 1
 
 
 @pytest.mark.parametrize(
@@ -46,34 +50,34 @@
     ],
 )
 def test_an_unusable_answer_is_requested_again(discovery, unusable):
-    discovery.forced_answers = [unusable, unusable]
-    watch, answers = start_watch(discovery)
-    until(lambda: answers, "the list")
-    assert watch.failures == 2 and len(endpoint_states(answers)[0]) == 2
+    discovery.forced_responses = [unusable, unusable]
+    watch, responses = start_watch(discovery)
+    until(lambda: responses, "the list")
+    assert watch.failures == 2 and len(endpoint_states(responses)[0]) == 2
 
 
 def test_a_silent_poll_times_out_a_little_after_the_hold(discovery, monkeypatch):
-    """A discovery that is cut off is silent for good: the poll must not wait for it."""
+    """Guards against a poll that waits forever for a discovery that has become unreachable."""
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 100)
-    monkeypatch.setattr(discovery_watch, "SLACK_S", 0.2)
-    watch, answers = start_watch(discovery)
-    until(lambda: answers, "the list")
-    with discovery.changed:  # nobody gets an answer meanwhile
-        until(lambda: watch.failures, "the end of the wait")
+    monkeypatch.setattr(discovery_watch, "POLL_TIMEOUT_MARGIN_S", 0.2)
+    watch, responses = start_watch(discovery)
+    until(lambda: responses, "the list")
+    with discovery.changed:  # blocks all responses
+        until(lambda: watch.failures, "the timeout of the poll")
     discovery.change(entry(1, "Terminating"))
-    until(lambda: len(answers) == 2, "what changed")
+    until(lambda: len(responses) == 2, "the change")
 
 
 def test_a_change_of_address_interrupts_a_poll(discovery, monkeypatch):
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 60_000)
     other = StubDiscovery(entry(1), entry(2))
     other.change(entry(2, "Terminating"))
-    watch, answers = start_watch(discovery)
-    until(lambda: answers and len(discovery.requests) == 2, "a poll that is held")
+    watch, responses = start_watch(discovery)
+    until(lambda: responses and len(discovery.requests) == 2, "a held poll")
     watch.set_address(other.address)
-    until(lambda: len(answers) == 2, "the list there")
-    assert answers[1].full and watch.failures == 1
-    assert endpoint_states(answers)[1] == {
+    until(lambda: len(responses) == 2, "the list at the new address")
+    assert responses[1].full and watch.failures == 1
+    assert endpoint_states(responses)[1] == {
         "s-0001": model.EndpointState.READY,
         "s-0002": model.EndpointState.DRAINING,
     }
--- a/tests/node/test_discovery_watch_races.py
+++ b/tests/node/test_discovery_watch_races.py
@@ -1,4 +1,4 @@
-"""Following discovery when its address or list changes at a chosen moment, and when old answers come late."""
+"""The discovery watch when the address or list changes at a chosen moment or responses are outdated."""
 
 import socket
 import threading
@@ -13,8 +13,11 @@
 from tests.waiting import WAIT_S, until
 
 
-def test_a_change_of_address_while_the_old_one_is_connected_to_sends_no_request_there(discovery, monkeypatch):
-    """There was no socket to interrupt yet: the old address was asked, for a whole time limit."""
+def test_a_change_of_address_while_connecting_to_the_old_one_sends_no_request_there(discovery, monkeypatch):
+    """Guards against a request to the old address that cannot be aborted, as its socket does not exist yet.
+
+    The watch then waited for the whole timeout of the request.
+    """
     other, create_connection = StubDiscovery(entry(3)), socket.create_connection
     connecting, resumed = threading.Event(), threading.Event()
 
@@ -25,28 +28,28 @@
         return create_connection(address, timeout_s)
 
     monkeypatch.setattr("rainpick.http1.client.socket.create_connection", connect_when_resumed)
-    watch, answers = start_watch(discovery)
+    watch, responses = start_watch(discovery)
     assert connecting.wait(WAIT_S)
     watch.set_address(other.address)
     resumed.set()
-    until(lambda: answers, "the list")
+    until(lambda: responses, "the list")
     assert not discovery.requests
-    assert endpoint_states(answers) == [{"s-0003": model.EndpointState.READY}]
+    assert endpoint_states(responses) == [{"s-0003": model.EndpointState.READY}]
     other.close()
 
 
-def test_a_new_address_that_counts_from_a_lower_version_is_followed(discovery, monkeypatch):
-    """It was asked for what is newer than the old one's version, and had nothing to tell for a long time."""
-    monkeypatch.setattr(discovery_watch, "REGRESSION_S", 0.2)
+def test_a_new_address_with_a_lower_version_is_followed(discovery, monkeypatch):
+    """Guards against requesting changes since the old address's version, which gives none for a long time."""
+    monkeypatch.setattr(discovery_watch, "REGRESSION_TIMEOUT_S", 0.2)
     discovery.versions += [[]] * 50
     other = StubDiscovery(entry(3))
-    watch, answers = start_watch(discovery)
-    until(lambda: answers, "the list")
+    watch, responses = start_watch(discovery)
+    until(lambda: responses, "the list")
     watch.set_address(other.address)
-    until(lambda: len(answers) == 2, "the list there")
+    until(lambda: len(responses) == 2, "the list at the new address")
     other.change(entry(3, "Terminating"))
-    until(lambda: len(answers) == 3, "a change there")
-    assert endpoint_states(answers)[1:] == [
+    until(lambda: len(responses) == 3, "a change at the new address")
+    assert endpoint_states(responses)[1:] == [
         {"s-0003": model.EndpointState.READY},
         {"s-0003": model.EndpointState.DRAINING},
     ]
@@ -54,12 +57,14 @@
 
 
 def test_a_change_of_address_between_two_polls_fetches_the_full_list_at_the_new_one(discovery):
-    """The poll had checked whether it was the same address still: the new one was asked for changes since the
-    old one's version."""
-    other, answers = StubDiscovery(entry(3)), []
+    """Guards against an address change right after the poll has checked the address.
+
+    The new address was then asked for changes since the old address's version.
+    """
+    other, responses = StubDiscovery(entry(3)), []
 
     class ChangingWatch(DiscoveryWatch):
-        """``client`` is read, and then another thread changes the address."""
+        """A watch whose address is changed, as by another thread, right after ``client`` is read."""
 
         armed = False
 
@@ -75,59 +80,59 @@
         def client(self, client):
             self.current_client = client
 
-    def publish(answer):
-        answers.append(answer)
-        watch.armed = len(answers) == 1
+    def publish(response):
+        responses.append(response)
+        watch.armed = len(responses) == 1
 
     watch = ChangingWatch(discovery.address, VOCABULARY, publish)
     threading.Thread(target=watch.run, daemon=True).start()
-    until(lambda: other.requests, "the new address")
+    until(lambda: other.requests, "a request to the new address")
     assert other.requests[0] == "/catalog/members"
     other.close()
 
 
-def test_an_old_list_that_comes_late_undoes_nothing(discovery):
-    """A draining server stood as ready again."""
-    _, answers = start_watch(discovery)
-    until(lambda: answers, "the list")
-    old = discovery.answer(True, discovery.versions[0])
+def test_an_outdated_list_that_arrives_late_undoes_no_change(discovery):
+    """Guards against an outdated full list that shows a draining server as ready."""
+    _, responses = start_watch(discovery)
+    until(lambda: responses, "the list")
+    old = discovery.response(True, discovery.versions[0])
     with discovery.changed:
-        discovery.forced_answers = [old, old]
+        discovery.forced_responses = [old, old]
     discovery.change(entry(1, "Terminating"))
     until(
         lambda: (
-            not discovery.forced_answers
-            and endpoint_states(answers)[-1]["s-0001"] == model.EndpointState.DRAINING
+            not discovery.forced_responses
+            and endpoint_states(responses)[-1]["s-0001"] == model.EndpointState.DRAINING
         ),
         "the drain",
     )
     discovery.change(entry(2, "Terminating"))
     until(
-        lambda: endpoint_states(answers)[-1].get("s-0002") == model.EndpointState.DRAINING, "the next drain"
+        lambda: endpoint_states(responses)[-1].get("s-0002") == model.EndpointState.DRAINING, "the next drain"
     )
-    states = [states["s-0001"] for states in endpoint_states(answers) if "s-0001" in states]
+    states = [states["s-0001"] for states in endpoint_states(responses) if "s-0001" in states]
     drained_at = states.index(model.EndpointState.DRAINING)
     assert drained_at and model.EndpointState.READY not in states[drained_at:]
 
 
-def test_an_unreadable_change_is_taken_from_the_full_list(discovery):
-    """It is given once; what was dropped with it was a drain."""
-    _, answers = start_watch(discovery)
-    until(lambda: answers and len(discovery.requests) > 1, "a poll for changes")
-    answer = discovery.answer
+def test_an_invalid_change_is_recovered_from_the_full_list(discovery):
+    """Guards against losing a drain in an invalid entry, because discovery sends each change only once."""
+    _, responses = start_watch(discovery)
+    until(lambda: responses and len(discovery.requests) > 1, "a poll for changes")
+    response = discovery.response
 
     def spoil_change(full, entries):
         if full:
-            return answer(full, entries)
-        discovery.answer = answer
-        return answer(full, [entry | {"weight": "heavy"} for entry in entries])
+            return response(full, entries)
+        discovery.response = response
+        return response(full, [entry | {"weight": "heavy"} for entry in entries])
 
-    discovery.answer = spoil_change
+    discovery.response = spoil_change
     discovery.change(entry(1, "Terminating"))
-    until(lambda: endpoint_states(answers)[-1].get("s-0001") == model.EndpointState.DRAINING, "the drain")
+    until(lambda: endpoint_states(responses)[-1].get("s-0001") == model.EndpointState.DRAINING, "the drain")
 
 
-def test_an_aborted_client_makes_no_call_any_more(discovery):
+def test_an_aborted_client_makes_no_more_requests(discovery):
     client = Client(*discovery.address)
     assert client.call("GET", "/catalog/members")[0] == 200
     client.abort()
--- a/tests/node/test_endpoint_discovery.py
+++ b/tests/node/test_endpoint_discovery.py
@@ -1,13 +1,13 @@
-"""Answers of discovery: what is read, and what is left out."""
+"""Parsing of discovery's responses."""
 
 import pytest
 
 from rainpick import model
-from rainpick.node.endpoint_discovery import parse_discovery_answer
+from rainpick.node.endpoint_discovery import parse_discovery_response
 from tests.node.platform_stubs import VOCABULARY, entry
 
 
-def test_unreadable_entries_are_left_out():
+def test_invalid_entries_are_skipped_and_invalid_responses_rejected():
     unreadable = [
         entry(2, zone="nowhere"),
         entry(3, weight=-1),
@@ -16,13 +16,13 @@
         7,
     ]
     readable = entry(1, started_ms=1_700_000_000_000)
-    answer = parse_discovery_answer(
+    response = parse_discovery_response(
         {"generation": 41, "reset": True, "instances": [readable, *unreadable]}, VOCABULARY
     )
-    assert answer.endpoints == (
+    assert response.endpoints == (
         model.Endpoint(1.0, 1, 1_700_000_000_000_000, 0, 0, "s-0001", model.EndpointState.READY),
     )
-    assert len(answer.errors) == 5 and answer.unreadable == {"s-0002", "s-0003", "s-0004", "s-0005"}
+    assert len(response.errors) == 5 and response.unreadable == {"s-0002", "s-0003", "s-0004", "s-0005"}
     for unusable in (
         [],
         {},
@@ -31,4 +31,4 @@
         {"generation": 1, "reset": True, "instances": {}},
     ):
         with pytest.raises(ValueError):
-            parse_discovery_answer(unusable, VOCABULARY)
+            parse_discovery_response(unusable, VOCABULARY)
--- a/tests/node/test_event_loop.py
+++ b/tests/node/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: which events reach the decisions, and which of their commands leave."""
+"""The event loop: events for the decisions, and commands for the relay."""
 
 import json
 import time
@@ -9,7 +9,7 @@
 from rainpick.node.clock import Clock
 from rainpick.node.commit_calls import CommitCall, MergedNonces, UnconfirmedCall
 from rainpick.node.configuration import read_configuration
-from rainpick.node.endpoint_discovery import parse_discovery_answer
+from rainpick.node.endpoint_discovery import parse_discovery_response
 from rainpick.node.event_loop import EventLoop
 from rainpick.node.mailbox import Mailbox
 from tests.node.platform_stubs import SETTINGS, VOCABULARY, configuration_tree, entry
@@ -18,7 +18,7 @@
 
 
 class StubDecisions:
-    """Records events and returns the commands that it is given."""
+    """A double of the decisions that records events and returns the commands set by the test."""
 
     def __init__(self):
         self.events, self.commands = [], []
@@ -35,7 +35,7 @@
 def make_loop(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration_tree(ADDRESS, ADDRESS, ADDRESS)))
-    cached_list = parse_discovery_answer(
+    cached_list = parse_discovery_response(
         {"generation": 0, "reset": True, "instances": [entry(1)]}, VOCABULARY
     )
     calls = []
@@ -46,35 +46,39 @@
     return loop, loop.stepper.director, calls
 
 
-def test_a_report_of_a_server_that_no_list_named_is_dropped_and_counted(tmp_path):
-    """Malformed, it names nobody, and would count among what the fleet answers and drops."""
+def test_a_report_of_an_unlisted_server_is_dropped_and_counted(tmp_path):
+    """Guards against counting a malformed report in the fleet's answered and dropped attempts."""
     loop, decisions, _ = make_loop(tmp_path)
     listed, unlisted = (
         model.ServerLoadReport(name, 0, 5, 5, 0, 500_000, ()) for name in ("s-0001", "s-ffff")
     )
-    loop.turn([], [unlisted, listed, model.RouteLoadReport(1, 0, 3, 0, 500_000)])
+    loop.process_batch([], [unlisted, listed, model.RouteLoadReport(1, 0, 3, 0, 500_000)])
     assert decisions.events[2:] == [listed, model.RouteLoadReport(1, 0, 3, 0, 500_000)]
     assert loop.unknown_reports == 1
-    loop.turn(
-        [parse_discovery_answer({"generation": 1, "reset": False, "instances": [entry(0xFFFF)]}, VOCABULARY)],
+    loop.process_batch(
+        [
+            parse_discovery_response(
+                {"generation": 1, "reset": False, "instances": [entry(0xFFFF)]}, VOCABULARY
+            )
+        ],
         [unlisted],
     )
     assert decisions.events[-1] == unlisted and loop.unknown_reports == 1, (
-        "listed in the same turn it is known"
+        "the report of a server listed in the same batch is accepted"
     )
 
 
-def test_only_commands_for_the_relay_leave_as_a_call(tmp_path):
+def test_only_commands_for_the_relay_are_sent_as_a_call(tmp_path):
     loop, decisions, calls = make_loop(tmp_path)
     decisions.commands = [model.Subscribe(True), model.LogMessage("x"), model.SetTimer(0, 1000)]
-    loop.turn([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
-    assert calls == [], "no call without a command"
+    loop.process_batch([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
+    assert calls == [], "no call without commands for the relay"
     decisions.commands = [
         model.Subscribe(True),
         model.SetWithdrawn("s-0001", True),
         model.RequestAcknowledgement(3, False),
     ]
-    loop.turn([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
+    loop.process_batch([], [model.RouteLoadReport(1, 0, 3, 0, 500_000)])
     assert calls == [
         CommitCall(model.RequestAcknowledgement(3, False), (model.SetWithdrawn("s-0001", True),))
     ]
@@ -83,12 +87,12 @@
 def test_there_is_no_step_without_events(tmp_path):
     loop, _, _ = make_loop(tmp_path)
     steps = loop.stepper.step_count
-    loop.turn([], [])
+    loop.process_batch([], [])
     assert loop.stepper.step_count == steps
 
 
-def test_the_clock_is_unix_time_and_never_runs_backwards(monkeypatch):
-    """Servers' starts are told in Unix time; a machine whose clock is set must not undo a slow start."""
+def test_the_clock_starts_at_unix_time_and_never_runs_backwards(monkeypatch):
+    """Guards against a wall clock step that cuts a slow start short, as start times are in Unix time."""
     clock = Clock()
     assert abs(clock() - time.time_ns() // 1000) < 5_000_000
     before = clock()
@@ -118,35 +122,38 @@
 
 
 def run_day(tmp_path, name, settings):
-    """A day of one director: yields the calls so far after each turn."""
+    """Run a scripted day of one director; after each batch, yield all calls so far."""
     path = tmp_path / f"{name}.json"
     path.write_text(json.dumps(configuration_tree(ADDRESS, ADDRESS, ADDRESS, settings=settings)))
     configuration, calls, now = read_configuration({"PROXY_CONFIG": str(path)}), [], [1_000_000_000]
     location = {"zone": settings["failureDomains"][0], "machineType": settings["machineTypes"][0]}
     servers = [entry(number, **location) for number in range(9)]
-    cached_list = parse_discovery_answer(
+    cached_list = parse_discovery_response(
         {"generation": 0, "reset": True, "instances": servers}, configuration.vocabulary
     )
     loop = EventLoop(configuration, cached_list, Mailbox(), calls.append, Director)
     loop.clock = Clock(lambda: now[0], lambda: now[0])
     loop.step(now[0])
-    for turn in range(12):
+    for batch in range(12):
         now[0] += 300_000
-        loop.stepped_us = 0
-        change = entry(turn % 9, "Terminating" if turn % 2 else "Ready", started_ms=1_000 + turn, **location)
-        answer = parse_discovery_answer(
-            {"generation": turn + 1, "reset": False, "instances": [change]}, configuration.vocabulary
+        loop.last_step_us = 0
+        change = entry(
+            batch % 9, "Terminating" if batch % 2 else "Ready", started_ms=1_000 + batch, **location
+        )
+        response = parse_discovery_response(
+            {"generation": batch + 1, "reset": False, "instances": [change]}, configuration.vocabulary
         )
         reports = [
-            model.ServerLoadReport(f"s-{number:04x}", 0, 20, turn, 40_000, 500_000, ()) for number in range(9)
+            model.ServerLoadReport(f"s-{number:04x}", 0, 20, batch, 40_000, 500_000, ())
+            for number in range(9)
         ]
-        loop.stepper.pending_events += [model.ProxyJoined(turn, True, 10.0 + turn, 0)]
-        loop.turn([answer], reports)
+        loop.stepper.pending_events += [model.ProxyJoined(batch, True, 10.0 + batch, 0)]
+        loop.process_batch([response], reports)
         yield list(calls)
 
 
-def test_directors_with_different_settings_in_one_process_share_nothing(tmp_path):
-    """The state and settings of one must not show in the other's commands."""
+def test_directors_with_different_settings_in_one_process_share_no_state(tmp_path):
+    """Guards against state or settings of one director that affect the commands of the other."""
     alone = [list(run_day(tmp_path, "one", SETTINGS))[-1], list(run_day(tmp_path, "two", OTHER_SETTINGS))[-1]]
     *_, together = zip(
         run_day(tmp_path, "one", SETTINGS), run_day(tmp_path, "two", OTHER_SETTINGS), strict=True
@@ -166,7 +173,7 @@
 
 def test_an_unconfirmed_call_is_reported_to_the_decisions_with_all_merged_nonces(tmp_path):
     loop, decisions, _ = make_loop(tmp_path)
-    loop.turn([MergedNonces(7, (5, 6)), UnconfirmedCall(7), UnconfirmedCall(9)], [])
+    loop.process_batch([MergedNonces(7, (5, 6)), UnconfirmedCall(7), UnconfirmedCall(9)], [])
     assert decisions.events[2:] == [
         model.Retransmitted(5),
         model.Retransmitted(6),
@@ -180,7 +187,7 @@
     taking_over = decisions.channel_state._replace(takeover=True, unbound=7, backlog=19, grace_used=0.85)
     for state in (decisions.channel_state, taking_over, taking_over, decisions.channel_state):
         decisions.channel_state, loop.channel_monitor.due_us = state, 0
-        loop.turn([], [])
+        loop.process_batch([], [])
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert [line["event"] for line in lines] == [
         "takeover begins",
--- a/tests/node/test_frame_codec.py
+++ b/tests/node/test_frame_codec.py
@@ -1,4 +1,4 @@
-"""Streams to the director's address: which messages are read, which are dropped, and what ends a stream."""
+"""Streams to the director's address: accepted, dropped and rejected messages."""
 
 import pytest
 from hypothesis import given
@@ -43,11 +43,11 @@
         model.ServerLoadReport("s-5be2a07c", 0, 212, 3, 41_700, 1_000_000, (0.61, 7.0)),
         model.RouteLoadReport(5, 0, 19, 0, 1_000_000),
     ]
-    # The metrics count if all that the settings name are there.
+    # The metrics are used only if all metrics named by the settings are present.
     assert read_stream(TELEMETRY, SERVER_REPORT | {"metrics": {"util": 0.5}})[1].load == ()
     without_metrics = {name: value for name, value in SERVER_REPORT.items() if name != "metrics"}
     assert read_stream(TELEMETRY, without_metrics)[1].load == ()
-    # Where no attempt was answered there is no mean latency.
+    # If no attempt was answered, there is no mean latency.
     unanswered = {name: value for name, value in SERVER_REPORT.items() if name != "rtt"} | {"errors": 212}
     assert read_stream(TELEMETRY, unanswered)[1].mean_latency_us == 0
 
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",  # read as a length it is far too long
+        b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",  # the first four bytes are far too large as a length
         b"\x00\x00\x00\x00",
         b"\xff\xff\xff\xff",
         (1 << 20).to_bytes(4, "little") + b"{",
@@ -98,18 +98,20 @@
         {},
     ],
 )
-def test_a_peer_that_is_no_collector_is_rejected(data):
-    """Commands, HTTP, zones that do not exist, reports before ``telemetry``, impossible lengths."""
+def test_a_peer_that_is_not_a_collector_is_rejected(data):
+    """Covers commands, HTTP, unknown zones, reports before ``telemetry``, and impossible lengths."""
     *_, last = read_stream(data)
     assert type(last) is StreamEnded and b'"t":"reject"' in last.data
 
 
 def test_a_peer_is_rejected_at_the_first_byte_that_cannot_begin_an_object():
-    """A length that could be right must not make the director wait for bytes that cannot be used."""
+    """Guards against waiting for the rest of an invalid message because its length is plausible."""
     reader = FrameReader(VOCABULARY)
     assert reader.receive(b"\x40\x00\x00\x00") == []
     assert type(reader.receive(b"x")[0]) is StreamEnded
-    assert reader.receive(b"y" * 100_000) == [] and not reader.buffer, "nothing is kept of an ended stream"
+    assert reader.receive(b"y" * 100_000) == [] and not reader.buffer, (
+        "the data of an ended stream is discarded"
+    )
 
 
 @pytest.mark.parametrize(
@@ -144,7 +146,7 @@
         ("t", {"a": 1}),
     ],
 )
-def test_a_malformed_server_report_is_dropped_alone(field, value):
+def test_a_malformed_server_report_does_not_affect_the_next_message(field, value):
     messages = read_stream(TELEMETRY, SERVER_REPORT | {field: value}, ROUTE_REPORT)
     assert [type(message) for message in messages] == [
         CollectorJoined,
@@ -167,7 +169,7 @@
         ("interval", -1000),
     ],
 )
-def test_a_malformed_route_report_is_dropped_alone(field, value):
+def test_a_malformed_route_report_does_not_affect_the_next_message(field, value):
     messages = read_stream(TELEMETRY, ROUTE_REPORT | {field: value}, SERVER_REPORT)
     assert [type(message) for message in messages] == [
         CollectorJoined,
@@ -198,8 +200,8 @@
         b'{"t":"hb","a":"\xff"',
     ],
 )
-def test_a_collector_that_sends_no_strict_json_is_closed_without_a_message(begin):
-    """Nothing is ever written to a collector; deep nesting and endless numbers must not trip the reader."""
+def test_a_collector_that_sends_invalid_json_is_closed_without_a_message(begin):
+    """Guards against a ``reject`` to a collector, and against failing on deep nesting or long numbers."""
     body = begin + b"}"
     messages = read_stream(TELEMETRY, len(body).to_bytes(4, "little") + body)
     assert [type(message) for message in messages] == [CollectorJoined, StreamEnded] and messages[
--- a/tests/node/test_mailbox.py
+++ b/tests/node/test_mailbox.py
@@ -1,4 +1,4 @@
-"""The mailbox sheds load reports only; and the log is bounded."""
+"""The mailbox, which sheds load reports only, and the rate-limited log."""
 
 import io
 import json
@@ -29,8 +29,8 @@
     assert received == list(range(50))
 
 
-def test_the_log_is_bounded_and_counts_the_lines_left_out():
-    """A thousand rejected peers a second must not fill what holds the log."""
+def test_the_log_is_rate_limited_and_counts_suppressed_lines():
+    """Guards against a thousand rejected peers per second filling the storage of the log."""
     now_s, sink = [0.0], io.StringIO()
     log = Log(sink, lambda: now_s[0])
     for _ in range(10_000):
@@ -43,7 +43,10 @@
 
 
 def test_a_log_line_is_one_write():
-    """A director killed between a line's text and its end spoilt the first line of the next one."""
+    """Guards against a director killed between a line's text and its line end.
+
+    The first line of the next director was then appended to the incomplete line.
+    """
 
     class Sink(io.StringIO):
         written: list[str] = []
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -1,4 +1,4 @@
-"""A live director as a process: its start, its way back after a kill, and a stepped wall clock."""
+"""A live director as a process: start, recovery after a kill, and a stepped wall clock."""
 
 import json
 import os
@@ -13,49 +13,51 @@
 from tests.waiting import until
 
 
-def test_a_proxy_that_joins_is_bound_and_a_drain_withdrawn(director):
+def test_a_proxy_that_joins_is_bound_and_a_draining_server_withdrawn(director):
     director.relay.attach(3)
-    until(lambda: bound_proxies(director.relay) == [3], "its table")
-    expected = {entry(number)["instanceId"] for number in range(6)}  # the configuration knew two of them
+    until(lambda: bound_proxies(director.relay) == [3], "the binding of the proxy")
+    expected = {entry(number)["instanceId"] for number in range(6)}  # two of them are in the cached list
     until(
         lambda: (
             {command["endpoint"] for command in director.relay.commands("share") if command["w"]} == expected
         ),
-        "all servers in its table",
+        "all servers in the proxy's table",
     )
     director.discovery.change(entry(2, "Terminating"))
     until(lambda: director.withdrawn_servers() == {"s-0002"}, "the withdrawal")
 
 
-def test_heartbeats_while_discovery_and_relay_are_unreachable(director):
+def test_heartbeats_get_replies_while_discovery_and_relay_are_unreachable(director):
     until(lambda: director.relay.subscribers, "a subscription")
     director.discovery.close()
     director.relay.close()
-    until(lambda: director.has_logged("relay notifications unreachable"), "the break")
+    until(lambda: director.has_logged("relay notifications unreachable"), "the loss of the relay")
     for _ in range(20):
-        assert director.answers_heartbeat()
+        assert director.responds_to_heartbeat()
 
 
 def test_a_killed_director_recovers_from_its_configuration_and_the_relay(director):
-    """Its address may still have connections of the former process; endpoints come from the configuration,
-    joined proxies from the relay."""
-    for proxy in range(6):  # all there are
+    """The endpoints come from the cached list in the configuration, the joined proxies from the relay.
+
+    The director's address may still have connections of the killed process.
+    """
+    for proxy in range(6):  # all proxies of the configuration
         director.relay.attach(proxy)
-    until(lambda: bound_proxies(director.relay) == list(range(6)), "all tables")
+    until(lambda: bound_proxies(director.relay) == list(range(6)), "the bindings of all proxies")
     collector = Peer(director.listen).send({"t": "telemetry", "locality": "a"})
     director.process.kill()
     director.process.wait()
-    director.discovery.close()  # unreachable: only the cached list is left
-    until(lambda: not director.relay.connections, "the end of its connections")
+    director.discovery.close()  # the cached list is the only source of endpoints
+    until(lambda: not director.relay.connections, "the end of the killed director's connections")
     director.relay.accepted.clear()
     director.start()
-    until(lambda: bound_proxies(director.relay) == list(range(6)), "all tables again")
+    until(lambda: bound_proxies(director.relay) == list(range(6)), "new bindings of all proxies")
     assert {command["endpoint"] for command in director.relay.commands("share")} == {"s-0000", "s-0001"}
     collector.close()
 
 
 def test_a_thread_that_fails_ends_the_whole_process(tmp_path):
-    """A director that looks alive and decides nothing is worse than none."""
+    """Guards against a director that still replies to heartbeats but makes no decisions."""
     text = "import rainpick.node.process as node\nnode.run_or_exit(lambda: 1 / 0)"
     result = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, timeout=30)
     assert result.returncode == 1 and "ZeroDivisionError" in result.stderr
@@ -88,12 +90,12 @@
     director.relay.attach(3)
     until(
         lambda: bound_proxies(director.relay) == [3] and len(director.relay.commands("share")) == 6,
-        "its table",
+        "the binding and table of the proxy",
     )
     assert director.has_logged("cached endpoint list unusable")
 
 
-STEPPED = """
+STEPPED_CLOCK_PROGRAM = """
 import os, time
 real, path = time.time_ns, os.environ["WALL_STEP"]
 time.time_ns = lambda: real() + int(open(path).read())
@@ -104,18 +106,18 @@
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
 def test_a_new_server_is_warming_up_when_the_wall_clock_is_stepped(tmp_path, monkeypatch, step_s):
-    """Stamped before the step or after it, whichever way the clock went."""
+    """Covers servers that started before and after the step, and steps in both directions."""
     shift = tmp_path / "step"
     shift.write_text("0")
     monkeypatch.setenv("WALL_STEP", str(shift))
-    director = DirectorUnderTest(tmp_path, sys.executable, "-c", STEPPED)
+    director = DirectorUnderTest(tmp_path, sys.executable, "-c", STEPPED_CLOCK_PROGRAM)
     try:
         director.relay.attach(1)
-        until(lambda: bound_proxies(director.relay) == [1], "its table")
+        until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
         before_ms = time.time_ns() // 1_000_000
         (tmp_path / "next").write_text(str(step_s * 10**9))
         (tmp_path / "next").rename(shift)
-        until(lambda: director.has_logged("wall clock stepped"), "the step")
+        until(lambda: director.has_logged("wall clock stepped"), "the detection of the step")
         after_ms = time.time_ns() // 1_000_000 + step_s * 1000
         for number, started_ms in ((6, before_ms), (7, after_ms)):
             director.discovery.change(entry(number, started_ms=started_ms))
@@ -126,7 +128,7 @@
                     for command in director.relay.commands("share")
                     if command["endpoint"] == name
                 ],
-                "its line",
+                "the weight of the new server",
             )
             assert 0 < weights[0] < 0.9, (name, weights)
     finally:
