--- a/tests/node/test_proxy_membership.py
+++ b/tests/node/test_proxy_membership.py
@@ -1,4 +1,4 @@
-"""Which proxies are joined between two streams of the relay's notifications."""
+"""Tracking of joined proxies across two streams of the relay's notifications."""
 
 from rainpick import model
 from rainpick.node import proxy_membership
@@ -12,7 +12,7 @@
 
 
 def handle_all(membership, *notifications, stream=1):
-    """The events for notifications on one stream."""
+    """Return the events for these notifications on one stream."""
     return [
         event
         for notification in notifications
@@ -27,11 +27,11 @@
     return membership
 
 
-def test_a_stream_after_a_break_reports_all_joins_again_and_who_has_left():
+def test_a_stream_after_a_break_reports_all_joins_again_and_missed_leaves():
     membership = with_joined(1, 2, 3)
     membership.handle(StreamClosed(1))
     membership.handle(StreamOpened(2))
-    # 1 may have left and come back unseen, its binding lost: it has to be bound again.
+    # Proxy 1 may have left, lost its binding and rejoined during the break: it must be bound again.
     assert handle_all(membership, joined(1), stream=2) == [joined(1)]
     assert handle_all(membership, joined(3), model.ProxyLeft(3), stream=2) == [joined(3), model.ProxyLeft(3)]
     assert handle_all(membership, Ping(), stream=2) == [model.ProxyLeft(2)] and set(membership.joined) == {1}
@@ -39,19 +39,22 @@
 
 
 def test_no_join_is_reported_twice_after_a_change_of_address():
-    """Each new configuration bound all proxies anew: two thousand lines, most of a second of the channel."""
+    """Guards against binding all proxies again after each new configuration.
+
+    That wrote two thousand lines, most of a second of the channel.
+    """
     membership = with_joined(1, 2, 3)
     membership.handle(StreamOpened(2))
     assert handle_all(membership, joined(1), joined(4), stream=2) == [joined(4)]
-    assert handle_all(membership, Ping()) == [], "the former stream is alive, and has not listed anything"
+    assert handle_all(membership, Ping()) == [], "the former stream is alive, and its ping ends no listing"
     assert handle_all(membership, joined(2), stream=2) == []
     assert handle_all(membership, Ping(), stream=2) == [model.ProxyLeft(3)]
     assert membership.handle(StreamClosed(1)) == [] and set(membership.joined) == {1, 2, 4}
-    assert handle_all(membership, joined(1), stream=2) == [joined(1)], "it came back after the listing"
+    assert handle_all(membership, joined(1), stream=2) == [joined(1)], "the proxy rejoined after the listing"
 
 
-def test_a_former_stream_that_was_dead_leaves_all_joins_unconfirmed():
-    """Cut off before the new configuration came, it had missed whatever happened since."""
+def test_unconfirmed_proxies_are_reported_if_the_former_stream_was_dead():
+    """A former stream that was cut off before the new configuration arrived has missed all changes since."""
     membership = with_joined(1, 2)
     membership.handle(StreamOpened(2))
     assert handle_all(membership, joined(1), joined(2), Ping(), stream=2) == []
@@ -61,7 +64,7 @@
 
 
 def test_late_joins_and_leaves_on_a_former_stream_are_reported_as_joins():
-    """It left and came back just before the new stream listed it: the notification of that comes last."""
+    """A proxy may leave and rejoin just before the new stream lists it; those notifications arrive last."""
     membership = with_joined(1, 2)
     membership.handle(StreamOpened(2))
     assert handle_all(membership, joined(1), Ping(), stream=2) == [model.ProxyLeft(2)]
@@ -78,10 +81,10 @@
 
 
 def test_the_nonce_of_merged_calls_acknowledges_all_of_them():
-    """A proxy that only the earlier one reached would never have answered, and counts as waiting for good."""
+    """Guards against a proxy that only an earlier call concerns counting as unacknowledged forever."""
     membership = with_joined(1)
     membership.merge_nonces(MergedNonces(7, (5, 6)))
-    membership.merge_nonces(MergedNonces(9, (7, 8)))  # the merged one had to wait again
+    membership.merge_nonces(MergedNonces(9, (7, 8)))  # the merged call was merged again
     nonces = [event.nonce for event in handle_all(membership, model.Acknowledged(1, 9, 20))]
     assert nonces == [5, 6, 7, 8, 9]
     assert [event.nonce for event in handle_all(membership, model.Acknowledged(1, 4, 20))] == [4]
@@ -90,12 +93,15 @@
     assert len(membership.merged_nonces) == proxy_membership.MERGED_NONCE_LIMIT
 
 
-def test_of_two_changes_of_address_the_last_one_counts_whichever_opens_first():
-    """The earlier one opened last and was taken for the newest: no proxy that joined then got a table."""
+def test_after_two_changes_of_address_the_last_stream_is_current_whichever_opens_first():
+    """Guards against an earlier stream that opens last being treated as the newest.
+
+    Proxies that joined afterwards then got no table.
+    """
     membership = with_joined(1)
     membership.handle(StreamOpened(3))
     membership.handle(StreamOpened(2))
-    assert handle_all(membership, joined(1), joined(4), stream=2) == [], "that is not the current stream"
+    assert handle_all(membership, joined(1), joined(4), stream=2) == [], "stream 2 is not the current stream"
     assert handle_all(membership, joined(1), joined(5), Ping(), stream=3) == [joined(5)]
     assert membership.handle(StreamClosed(2)) == [] and not membership.superseded
     assert handle_all(membership, joined(6), stream=3) == [joined(6)]
--- a/tests/node/test_relay_notifications.py
+++ b/tests/node/test_relay_notifications.py
@@ -1,4 +1,4 @@
-"""The relay's lines, and the notifications in them."""
+"""Parsing of the relay's lines and notifications."""
 
 import json
 
@@ -14,7 +14,7 @@
 def test_a_line_over_the_limit_is_an_error():
     lines = LineReader()
     assert lines.receive(b"a\n\nb") == [b"a"] and lines.receive(b"c\n") == [b"bc"]
-    with pytest.raises(ValueError, match="a line over"):
+    with pytest.raises(ValueError, match="line exceeds"):
         lines.receive(b"x" * (LINE_LIMIT + 1))
 
 
--- a/tests/node/test_relay_subscription.py
+++ b/tests/node/test_relay_subscription.py
@@ -1,4 +1,4 @@
-"""Notifications of the relay against a stub that falls silent, closes and sends nonsense."""
+"""The relay subscription with a stub relay that stays silent, disconnects or sends garbage."""
 
 import contextlib
 import threading
@@ -15,7 +15,7 @@
 
 @contextlib.contextmanager
 def subscribed(relay):
-    """A subscription, and the list to which it adds its notifications."""
+    """Run a subscription; yield it and the list to which it appends its notifications."""
     notifications = []
     subscription = RelaySubscription(relay.address, VOCABULARY, notifications.extend)
     threading.Thread(target=subscription.run, daemon=True).start()
@@ -23,7 +23,10 @@
 
 
 def stream_changes(notifications):
-    """Types and streams: tuples of one number are equal whatever their types are."""
+    """Return the type and stream of each ``StreamOpened`` and ``StreamClosed``.
+
+    Comparing the types is necessary because named tuples with equal fields are equal.
+    """
     return [
         (type(notification), notification.stream)
         for notification in notifications
@@ -32,7 +35,7 @@
 
 
 def events(notifications, stream):
-    """The events on a stream but pings."""
+    """Return the events on a stream except pings."""
     return [
         notification.event
         for notification in notifications
@@ -53,9 +56,9 @@
         assert type(notifications[0]) is StreamOpened
         relay.notify("detach", node=1)
         relay.notify("done", node=1, nonce=5, latency=2.5)
-        relay.notify("done", node=99, nonce=5, latency=2.5)  # there is no such proxy: dropped
+        relay.notify("done", node=99, nonce=5, latency=2.5)  # unknown proxy: dropped
         relay.notify("detach", node=2)
-        until(lambda: StreamEvent(1, model.ProxyLeft(2)) in notifications, "the last of them")
+        until(lambda: StreamEvent(1, model.ProxyLeft(2)) in notifications, "the last notification")
         assert events(notifications, 1) == [
             model.ProxyJoined(1, True, 10.0, 0),
             model.ProxyLeft(1),
@@ -64,7 +67,7 @@
         ]
 
 
-def test_a_stream_that_falls_silent_breaks_or_is_unreadable_is_replaced(relay, monkeypatch):
+def test_a_stream_that_is_silent_broken_or_unreadable_is_replaced(relay, monkeypatch):
     monkeypatch.setattr(relay_subscription, "SILENCE_TIMEOUT_S", 0.5)
     with subscribed(relay) as (subscription, notifications):
         await_ping(notifications)
@@ -72,9 +75,9 @@
         until(lambda: subscription.streams == 2, "a second stream after silence")
         relay.silent = False
         relay.drop_connections()
-        until(lambda: subscription.streams == 3, "a third after a break")
+        until(lambda: subscription.streams == 3, "a third stream after a disconnection")
         relay.subscribers[-1].sendall(b"\x00\x01nonsense\n")
-        until(lambda: subscription.streams == 4, "a fourth after nonsense")
+        until(lambda: subscription.streams == 4, "a fourth stream after garbage")
         assert stream_changes(notifications) == [
             (StreamOpened, 1),
             (StreamClosed, 1),
@@ -92,34 +95,32 @@
     with subscribed(relay) as (subscription, notifications):
         await_ping(notifications)
         subscription.set_address(other.address)
-        until(
-            lambda: events(notifications, 2) == [model.ProxyJoined(2, True, 10.0, 0)], "who is joined there"
-        )
+        until(lambda: events(notifications, 2) == [model.ProxyJoined(2, True, 10.0, 0)], "the listing there")
         relay.notify("done", node=2, nonce=5, latency=2.5)
         until(
             lambda: events(notifications, 1) == [model.Acknowledged(2, 5, 2500)],
-            "what the old address still sends",
+            "the acknowledgement from the old address",
         )
         relay.close()
-        until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old one")
+        until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old stream")
         assert stream_changes(notifications) == [(StreamOpened, 1), (StreamOpened, 2), (StreamClosed, 1)]
         assert subscription.streams == 2
     other.close()
 
 
-def test_a_former_address_that_does_not_end_its_stream_is_left(relay, monkeypatch):
-    monkeypatch.setattr(relay_subscription, "FORMER_STREAM_S", 0.3)
+def test_the_stream_of_a_former_address_is_closed_if_the_address_does_not_end_it(relay, monkeypatch):
+    monkeypatch.setattr(relay_subscription, "FORMER_STREAM_TIMEOUT_S", 0.3)
     other = StubRelay()
     with subscribed(relay) as (subscription, notifications):
         await_ping(notifications)
         subscription.set_address(other.address)
-        until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old one")
+        until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old stream")
         assert subscription.streams == 2
     other.close()
 
 
-def test_a_reader_thread_that_cannot_be_started_is_tried_again(relay, monkeypatch):
-    """It ended the thread that connects, and the whole director with it."""
+def test_starting_a_reader_thread_is_retried_if_it_fails(relay, monkeypatch):
+    """Guards against the failure ending the connecting thread, and with it the whole director."""
     start, failures = threading.Thread.start, []
 
     def fail_thrice(thread):
@@ -140,9 +141,12 @@
     return [thread for thread in threading.enumerate() if thread.name == relay_subscription.THREAD_NAME]
 
 
-def test_a_stream_that_ends_while_the_next_one_connects_is_followed_by_one_only(relay, monkeypatch):
-    """Its reader took itself for the newest: a third stream was opened, and all proxies were listed again."""
-    until(lambda: not reader_threads(), "the ends of earlier ones")
+def test_a_stream_that_ends_while_the_next_one_connects_is_replaced_only_once(relay, monkeypatch):
+    """Guards against the ending stream being treated as the newest.
+
+    A third stream was then opened, and all proxies were listed again.
+    """
+    until(lambda: not reader_threads(), "the end of earlier reader threads")
     other, notifications, connect_relay = StubRelay(), [], relay_subscription.connect_relay
     other.attach(2)
 
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -1,4 +1,4 @@
-"""Two real directors on loopback: the first is killed in a release, and the second takes over its proxies."""
+"""Takeover between two real directors on loopback: one is killed during a release of the servers."""
 
 import json
 import os
@@ -9,16 +9,16 @@
 
 import pytest
 
-from rainpick.node.frame_codec import HEARTBEAT_ANSWER
+from rainpick.node.frame_codec import HEARTBEAT_REPLY
 from rainpick.simulated_peers.ports import free_ports
 from tests.node.paced_relay import Fleet, PacedRelay
 from tests.node.platform_stubs import SETTINGS, Peer, StubDiscovery, configuration_tree, entry
 from tests.waiting import until
 
 PROXIES, SERVERS = 300, 60
-OWN_PROXIES = 60  # that the second director has from the start
+OWN_PROXIES = 60  # joined to the surviving director from the start
 GRACE_S = 6.0
-FIRST_BINDS = 12  # binds of the takeover
+FIRST_BINDS = 12  # bindings that show that the takeover has begun
 TAKEOVER_SETTINGS = SETTINGS | {
     "fleetSize": 5,
     "penalties": {"crossZone": 0.06},
@@ -28,7 +28,7 @@
 
 
 class Director:
-    """A process, its relay and its address."""
+    """A director process with its relay and its address."""
 
     def __init__(self, folder, name, fleet, discovery):
         self.relay = PacedRelay(fleet, TAKEOVER_SETTINGS["domain"])
@@ -47,14 +47,14 @@
             )
         self.listen = listen
 
-    def answers_heartbeat(self):
+    def responds_to_heartbeat(self):
         try:
             peer = Peer(self.listen)
         except OSError:
             return False
-        answer = peer.send({"t": "hb"}).read(len(HEARTBEAT_ANSWER))
+        reply = peer.send({"t": "hb"}).read(len(HEARTBEAT_REPLY))
         peer.close()
-        return answer == HEARTBEAT_ANSWER
+        return reply == HEARTBEAT_REPLY
 
     def stop(self):
         self.process.kill()
@@ -72,13 +72,13 @@
     discovery.close()
 
 
-def test_the_surviving_director_keeps_all_drains(pair):
+def test_the_surviving_director_completes_all_drains_within_the_grace(pair):
     (killed, survivor), discovery, fleet = pair
     for director in (killed, survivor):
-        until(director.answers_heartbeat, "a heartbeat")
+        until(director.responds_to_heartbeat, "a heartbeat")
     for proxy in range(PROXIES):
         (survivor if proxy < OWN_PROXIES else killed).relay.join_proxy(proxy)
-    until(lambda: len(fleet.bound) == PROXIES, "all tables")
+    until(lambda: len(fleet.bound) == PROXIES, "the bindings of all proxies")
     servers = random.Random(26).sample(range(SERVERS), 30)
     batches = [servers[:9], servers[9:18], servers[18:27], servers[27:]]
 
@@ -89,17 +89,17 @@
 
     for numbers in batches[:2]:
         draining = drain(numbers)
-        until(lambda draining=draining: draining <= survivor.relay.removed, "the withdrawal")
+        until(lambda draining=draining: draining <= survivor.relay.removed, "the withdrawals of the batch")
     killed.process.send_signal(signal.SIGKILL)
     killed.process.wait()
     killed.relay.discard_queue()
     for proxy in range(OWN_PROXIES, PROXIES):
         survivor.relay.join_proxy(proxy)
-    # Its first bindings show that the director knows of the joins: an earlier drain would reach, with its
-    # withdrawal, all proxies that have joined unnoticed.
-    until(lambda: len(survivor.relay.channel.bound) > OWN_PROXIES + FIRST_BINDS, "the takeover has begun")
+    # The first bindings show that the director has received the joins. If a drain began earlier, its
+    # withdrawal would also reach proxies whose joins the director has not received yet.
+    until(lambda: len(survivor.relay.channel.bound) > OWN_PROXIES + FIRST_BINDS, "the start of the takeover")
     for numbers in batches[2:]:
         drain(numbers)
-    until(fleet.uses_no_draining_server, "no proxy may pick a draining server", 4 * GRACE_S)
+    until(fleet.uses_no_draining_server, "the removal of all draining servers", 4 * GRACE_S)
     assert fleet.longest_use_s() <= GRACE_S, fleet.longest_use_s()
     assert survivor.relay.peak_queue_fraction <= 0.9
