--- a/rainpick/emulator/__init__.py
+++ b/rainpick/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulates the fleet that a director serves, in virtual time, around the engine that the daemon drives."""
+"""Emulation of a director's fleet in virtual time, around the same engine that the daemon drives."""
--- a/rainpick/emulator/load_reports.py
+++ b/rainpick/emulator/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what the proxies observed, sent to the director at its pace and as late as reports are."""
+"""Load reports of the proxies, sent to the director at a limited rate and with a delay."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from rainpick.settings import Settings
 
 SEND_INTERVAL_US = 100_000
-SENDS_PER_S = 10
+BATCHES_PER_S = 10
 
 LoadReport: TypeAlias = ServerLoadReport | RouteLoadReport
 
 
 class LoadReporter:
-    """Collects the proxies' observations in rounds, and sends so many reports a second.
+    """Collects the proxies' observations at a fixed interval, and sends a limited number of reports a second.
 
-    A round that is not through when the next one begins is gone on with, up to a few rounds: a report that is
-    too late says nothing any more.
+    Reports that are not sent when the next ones are collected stay queued. The queue holds a few intervals;
+    beyond that the oldest reports are discarded, since a late report has no value for the decisions.
     """
 
     def __init__(
@@ -37,38 +37,38 @@
         self.clock, self.proxies, self.receive = clock, proxies, receive
         self.delay_us = shape.report_delay_us
         self.interval_us = int(settings.proxies.report_every)
-        self.batch_size = max(1, round(settings.proxies.hears_per_s / SENDS_PER_S))
+        self.batch_size = max(1, round(settings.proxies.hears_per_s / BATCHES_PER_S))
         zones = max(1, len(settings.zones))
-        self.max_waiting = 4 * (shape.servers * zones + shape.proxies)
-        self.waiting: deque[LoadReport] = deque()
+        self.max_queued = 4 * (shape.servers * zones + shape.proxies)
+        self.queue: deque[LoadReport] = deque()
 
     def start(self) -> None:
-        """Schedule the first round and the first batch."""
+        """Schedule the first collection and the first batch."""
         self.clock.schedule_after(self.interval_us, self.collect)
         self.clock.schedule_after(SEND_INTERVAL_US, self.send)
 
     def collect(self) -> None:
-        """Turn what the proxies observed since the last round into reports."""
-        totals: dict[tuple[Key, int], Observations] = {}  # by server and zone of the proxies
+        """Convert the observations since the last collection to reports and queue them."""
+        totals: dict[tuple[Key, int], Observations] = {}  # by server and by zone of the proxies
         for proxy in self.proxies.values():
             for server, observations in proxy.observations.items():
                 totals.setdefault((server, proxy.zone), Observations()).add(observations)
-            self.waiting.append(RouteLoadReport(proxy.number, 0, proxy.attempts, 0, self.interval_us))
+            self.queue.append(RouteLoadReport(proxy.number, 0, proxy.attempts, 0, self.interval_us))
             proxy.observations, proxy.attempts = {}, 0
         for (server, zone), total in totals.items():
-            self.waiting.append(self.server_report(server, zone, total))
-        while len(self.waiting) > self.max_waiting:
-            self.waiting.popleft()
+            self.queue.append(self.server_report(server, zone, total))
+        while len(self.queue) > self.max_queued:
+            self.queue.popleft()
         self.clock.schedule_after(self.interval_us, self.collect)
 
     def server_report(self, server: Key, zone: int, total: Observations) -> ServerLoadReport:
-        """Make the report on a server by the proxies of a zone."""
+        """Return the report of a zone's proxies on a server."""
         mean_us = total.latency_us // max(1, total.attempts - total.failures)
         return ServerLoadReport(server, zone, total.attempts, total.failures, mean_us, self.interval_us, ())
 
     def send(self) -> None:
-        """Send the next batch."""
-        reports = [self.waiting.popleft() for _ in range(min(self.batch_size, len(self.waiting)))]
+        """Send the next batch of queued reports."""
+        reports = [self.queue.popleft() for _ in range(min(self.batch_size, len(self.queue)))]
         if reports:
             self.clock.schedule_after(self.delay_us, self.receive, reports)
         self.clock.schedule_after(SEND_INTERVAL_US, self.send)
--- a/rainpick/emulator/proxy.py
+++ b/rainpick/emulator/proxy.py
@@ -1,4 +1,4 @@
-"""An emulated proxy: it holds the weights that it was sent and picks servers by them."""
+"""An emulated proxy, which stores the published weights and picks servers by them."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from rainpick.director.snapshots import WITHDRAWN, Line
 from rainpick.emulator.random_streams import RandomStream
 
-Pick = Literal["lottery", "wheel", "pair"]
-"""How a proxy picks: by weighted lot, by smooth weighted round robin, or the less busy of two lots."""
+PickPolicy = Literal["lottery", "wheel", "pair"]
+"""Load balancing policy: weighted random, smooth weighted round robin, or power of two choices."""
 
-Choices: TypeAlias = tuple[list[Key], list[int]]  # open servers, and their weights summed up
+Choices: TypeAlias = tuple[list[Key], list[int]]  # open servers, and the running sums of their weights
 
 
 @dataclass(slots=True)
 class Observations:
-    """What a proxy observed at a server since its last report."""
+    """A proxy's observations of a server since its last report."""
 
     attempts: int = 0
     failures: int = 0
-    latency_us: int = 0  # of all answered attempts together
+    latency_us: int = 0  # sum over the answered attempts
 
     def add(self, other: Observations) -> None:
         """Add another proxy's observations of the same server."""
@@ -35,21 +35,26 @@
 
 
 class Proxy:
-    """One proxy; it starts with the servers of a default table, each of weight 1."""
+    """A proxy. It starts with the servers of its default table, each with weight 1."""
 
     def __init__(
-        self, number: int, zone: int, pick: Pick, random: RandomStream, default_table: Iterable[Key] = ()
+        self,
+        number: int,
+        zone: int,
+        pick_policy: PickPolicy,
+        random: RandomStream,
+        default_table: Iterable[Key] = (),
     ):
-        self.number, self.zone, self.policy, self.random = number, zone, pick, random
+        self.number, self.zone, self.pick_policy, self.random = number, zone, pick_policy, random
         self.weights: dict[Key, int] = dict.fromkeys(default_table, 1)
-        self.choices: Choices | None = None  # of all open servers, until the weights change
+        self.choices: Choices | None = None  # of all open servers; None after the weights changed
         self.in_flight: Counter[Key] = Counter()
-        self.credits: dict[Key, float] = {}  # of the smooth weighted round robin
-        self.observations: dict[Key, Observations] = {}  # since the last report, as the next one
+        self.credits: dict[Key, float] = {}  # state of the smooth weighted round robin
+        self.observations: dict[Key, Observations] = {}  # since the last report
         self.attempts = 0
 
     def update(self, entries: Iterable[Line]) -> None:
-        """Apply the entries of a message: a withdrawn server stays with weight 0, a removed one goes."""
+        """Apply the entries of a message: withdrawn servers get weight 0, removed servers are deleted."""
         self.choices = None
         for entry in entries:
             if entry.weight or entry.flags & WITHDRAWN == WITHDRAWN:
@@ -59,20 +64,20 @@
                 self.credits.pop(entry.server, None)
 
     def pick(self, excluded: Collection[Key] = ()) -> Key | None:
-        """Pick an open server that is not excluded; None if there is none."""
-        if self.policy == "wheel":
+        """Return an open server that is not excluded, None if there is none."""
+        if self.pick_policy == "wheel":
             return self.pick_round_robin(excluded)
         servers, sums = self.open_choices(excluded) if excluded else self.all_choices()
         if not servers:
             return None
-        first = self.draw(servers, sums)
-        if self.policy == "lottery":
+        first = self.draw_server(servers, sums)
+        if self.pick_policy == "lottery":
             return first
-        second = self.draw(servers, sums)
+        second = self.draw_server(servers, sums)
         return first if self.in_flight[first] <= self.in_flight[second] else second
 
     def pick_round_robin(self, excluded: Collection[Key]) -> Key | None:
-        """Pick the server that is furthest behind its share."""
+        """Pick the server with the largest credit, that is, the one furthest below its share."""
         weights = {
             server: weight for server, weight in self.weights.items() if weight and server not in excluded
         }
@@ -84,22 +89,22 @@
         return best
 
     def open_choices(self, excluded: Collection[Key]) -> Choices:
-        """Collect the open servers that are not excluded."""
+        """Return the open servers that are not excluded."""
         entries = [entry for entry in self.weights.items() if entry[1] and entry[0] not in excluded]
         return [server for server, _ in entries], list(accumulate(weight for _, weight in entries))
 
     def all_choices(self) -> Choices:
-        """Give all open servers, cached until the weights change."""
+        """Return all open servers; the result is cached until the weights change."""
         if self.choices is None:
             self.choices = self.open_choices(())
         return self.choices
 
-    def draw(self, servers: list[Key], sums: list[int]) -> Key:
-        """Draw one server by weight."""
+    def draw_server(self, servers: list[Key], sums: list[int]) -> Key:
+        """Return a random server with probability proportional to its weight."""
         return servers[bisect(sums, self.random.uniform() * sums[-1])]
 
     def record(self, server: Key, failed: bool, latency_us: int) -> None:
-        """Record the end of an attempt for the next report."""
+        """Add a completed attempt to the observations of the next report."""
         observations = self.observations.get(server)
         if observations is None:
             observations = self.observations[server] = Observations()
--- a/rainpick/emulator/random_streams.py
+++ b/rainpick/emulator/random_streams.py
@@ -1,7 +1,7 @@
-"""Seeded random numbers, in a stream for each part of a run.
+"""Seeded random numbers, with an independent stream for each part of a run.
 
-A change in one part leaves the draws of the others alone. Runs of an experiment that have the seed in common
-have arrivals and work in common, too: their differences are paired (common random numbers).
+A change in one part does not change the draws of the others. So runs with the same seed have the same
+arrivals and work, and their results can be compared in pairs (common random numbers).
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 import numpy
 
-BLOCK_SIZE = 1024  # draws made at once: a call of numpy for each costs ten times as much
+BLOCK_SIZE = 1024  # numbers generated at once; one call of numpy for each number costs ten times as much
 
 
 class RandomStream:
-    """One stream of draws. The same seed and name give the same stream on every machine (PCG64)."""
+    """A stream of random numbers. The same seed and name give the same stream on every machine (PCG64)."""
 
     def __init__(self, seed: int, name: str):
         self.generator = numpy.random.Generator(numpy.random.PCG64([seed, crc32(name.encode())]))
@@ -28,7 +28,7 @@
         return self.uniforms.pop()
 
     def exponential(self, mean: float) -> float:
-        """Draw from the exponential distribution of a mean."""
+        """Draw from the exponential distribution with this mean."""
         if not self.exponentials:
             self.exponentials = self.generator.standard_exponential(BLOCK_SIZE).tolist()
         return mean * self.exponentials.pop()
--- a/rainpick/emulator/server.py
+++ b/rainpick/emulator/server.py
@@ -1,7 +1,8 @@
-"""An emulated server: slots or shared cores, a queue, a slow start, a limit on connections, faults.
+"""Emulated servers: slots or shared cores, a queue, a slow start, a connection limit, faults.
 
-There are two disciplines, as queueing theory has them: slots (so many calls at once, the rest wait: M/M/c
-with Poisson arrivals and exponential work) and processor sharing (all calls share the cores).
+There are two service disciplines in the sense of queueing theory. With slots, a server processes one attempt
+per core and queues the others (M/M/c with Poisson arrivals and exponential work). With processor sharing,
+all attempts share the cores.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 from heapq import heappop, heappush
 from typing import NamedTuple, TypeAlias
 
-from rainpick.emulator.clock import Ticket, VirtualClock
+from rainpick.emulator.clock import TimerId, VirtualClock
 
-HUNG_RETRY_US = 10_000  # how long after a finished call of a hung server is looked at again
-WARM_UP_CHECK_US = 20_000  # how often the speed of shared cores is brought up to date during a slow start
+HUNG_CHECK_INTERVAL_US = 10_000  # between checks of a finished attempt while its server hangs
+WARM_UP_UPDATE_INTERVAL_US = 20_000  # between updates of the speed of shared cores during a slow start
 
 
 class Outcome(StrEnum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     ANSWERED = "answered"
     DROPPED = "dropped"  # the queue is full
     REFUSED = "refused"  # the server is down or out of connections
-    BROKEN = "broken"  # the server stopped during the call
+    BROKEN = "broken"  # the server stopped during the attempt
     TIMED_OUT = "late"
     NO_SERVER = "no line"  # the proxy has no open server
 
@@ -34,20 +35,21 @@
 
 
 class ServerType(NamedTuple):
-    """What a server is able to. Times are in microseconds; ``speed`` is work per microsecond and core."""
+    """Capacity of a server. Times are in microseconds; ``speed`` is work per microsecond and core."""
 
     cores: int = 4
     speed: float = 1.0
     sharing: bool = False
-    queue_capacity: int = 64  # calls that may wait, or with ``sharing`` be worked on beyond the cores'
+    # Attempts that may wait, or with ``sharing`` be in progress, beyond one per core.
+    queue_capacity: int = 64
     max_connections: int = 10_000
-    warm_up_us: int = 0  # from the start to full speed, in a straight line
+    warm_up_us: int = 0  # from the start to full speed, with a linear increase
     start_capacity: float = 1.0  # fraction of the speed at the start
-    thrash: float = 0.0  # with ``sharing``: fraction of the speed that each call beyond the cores costs
+    thrash: float = 0.0  # with ``sharing``: slowdown per attempt beyond the cores, as a fraction
 
 
 class Server(ABC):
-    """One server, up and warm at first. Subclasses are the disciplines."""
+    """A server, initially up and warm. Subclasses implement the service disciplines."""
 
     def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
         self.clock, self.name, self.type = clock, name, server_type
@@ -55,7 +57,7 @@
         self.hung, self.slowdown = False, 1.0
 
     def speed_fraction(self) -> float:
-        """Give the fraction of its speed that the server has now."""
+        """Return the current speed as a fraction of the full speed."""
         if self.hung:
             return 0.0
         warm_up_us, start = self.type.warm_up_us, self.type.start_capacity
@@ -63,184 +65,186 @@
         return min(1.0, start + (1 - start) * max(0.0, age)) / self.slowdown
 
     def start(self) -> None:
-        """Start, which begins a slow start."""
+        """Start the server, which then is in slow start."""
         self.up, self.started_us, self.hung = True, self.clock.now, False
 
     def stop(self) -> None:
-        """Stop at once: calls in progress break."""
+        """Stop at once, which breaks the attempts in progress."""
         self.up = False
-        for done in self.remove_calls():
+        for done in self.remove_attempts():
             done(Outcome.BROKEN)
 
     def handle(self, work: float, done: OutcomeCallback) -> None:
-        """Handle a call of some work, in microseconds at speed 1; ``done`` is called once."""
-        calls = self.call_count()
-        if not self.up or calls >= self.type.max_connections:
+        """Handle an attempt. ``work`` is in microseconds at speed 1; ``done`` is called once."""
+        attempts = self.attempt_count()
+        if not self.up or attempts >= self.type.max_connections:
             done(Outcome.REFUSED)
-        elif calls >= self.type.cores + self.type.queue_capacity:
+        elif attempts >= self.type.cores + self.type.queue_capacity:
             done(Outcome.DROPPED)
         else:
             self.admit(work, done)
 
     @abstractmethod
     def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
-        """Begin a fault, or with no arguments end it."""
+        """Start a fault; without arguments, end the fault."""
 
     @abstractmethod
-    def call_count(self) -> int:
-        """Count the calls that wait or are worked on."""
+    def attempt_count(self) -> int:
+        """Return the number of attempts that wait or are in progress."""
 
     @abstractmethod
     def admit(self, work: float, done: OutcomeCallback) -> None:
-        """Begin a call or put it into the queue."""
+        """Start or queue an attempt."""
 
     @abstractmethod
-    def remove_calls(self) -> list[OutcomeCallback]:
-        """Remove all calls, and give their callbacks."""
+    def remove_attempts(self) -> list[OutcomeCallback]:
+        """Remove all attempts and return their callbacks."""
 
 
-class SlotCall:
-    """A call at a server with slots."""
+class SlotAttempt:
+    """An attempt at a server with slots."""
 
-    __slots__ = ("done", "ticket", "work")
+    __slots__ = ("done", "timer", "work")
 
     def __init__(self, work: float, done: OutcomeCallback):
         self.work, self.done = work, done
-        self.ticket: Ticket = 0  # of its end, once it is worked on
+        self.timer: TimerId = 0  # of its end, once it is in progress
 
 
 class SlotServer(Server):
-    """Works on as many calls at once as it has cores; a fault lets it finish at the speed of the begin."""
+    """Processes one attempt per core. A change of speed does not affect attempts in progress."""
 
     def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
         super().__init__(clock, name, server_type)
-        self.queue: deque[SlotCall] = deque()
-        self.working: set[SlotCall] = set()
+        self.queue: deque[SlotAttempt] = deque()
+        self.in_progress: set[SlotAttempt] = set()
 
     def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
-        """Begin or end a fault: calls that begin from now on feel it."""
+        """Start or end a fault; a slowdown affects only attempts that start later."""
         recovered = self.hung and not hung
         self.slowdown, self.hung = slowdown, hung
         if recovered:
             self.fill_slots()
 
-    def call_count(self) -> int:
-        """Count the calls that wait or are worked on."""
-        return len(self.queue) + len(self.working)
+    def attempt_count(self) -> int:
+        """Return the number of attempts that wait or are in progress."""
+        return len(self.queue) + len(self.in_progress)
 
     def admit(self, work: float, done: OutcomeCallback) -> None:
-        """Queue a call, and begin it if a slot is free."""
-        self.queue.append(SlotCall(work, done))
+        """Queue an attempt, and start it if a slot is free."""
+        self.queue.append(SlotAttempt(work, done))
         self.fill_slots()
 
-    def remove_calls(self) -> list[OutcomeCallback]:
-        """Remove all calls and cancel their ends."""
-        for call in self.working:
-            self.clock.cancel(call.ticket)
-        callbacks = [call.done for call in (*self.queue, *self.working)]
+    def remove_attempts(self) -> list[OutcomeCallback]:
+        """Remove all attempts and cancel their timers."""
+        for attempt in self.in_progress:
+            self.clock.cancel(attempt.timer)
+        callbacks = [attempt.done for attempt in (*self.queue, *self.in_progress)]
         self.queue.clear()
-        self.working.clear()
+        self.in_progress.clear()
         return callbacks
 
     def fill_slots(self) -> None:
-        """Begin calls that wait while slots are free."""
-        while self.queue and len(self.working) < self.type.cores and not self.hung:
-            call = self.queue.popleft()
-            self.working.add(call)
-            duration_us = call.work / (self.type.speed * self.speed_fraction())
-            call.ticket = self.clock.schedule_after(max(1, round(duration_us)), self.finish, call)
-
-    def finish(self, call: SlotCall) -> None:
-        """End a call; while the server hangs, its end is put off."""
+        """Start waiting attempts while slots are free."""
+        while self.queue and len(self.in_progress) < self.type.cores and not self.hung:
+            attempt = self.queue.popleft()
+            self.in_progress.add(attempt)
+            duration_us = attempt.work / (self.type.speed * self.speed_fraction())
+            attempt.timer = self.clock.schedule_after(max(1, round(duration_us)), self.finish, attempt)
+
+    def finish(self, attempt: SlotAttempt) -> None:
+        """Complete an attempt; while the server hangs, completion is delayed."""
         if self.hung:
-            call.ticket = self.clock.schedule_after(HUNG_RETRY_US, self.finish, call)
+            attempt.timer = self.clock.schedule_after(HUNG_CHECK_INTERVAL_US, self.finish, attempt)
             return
-        self.working.discard(call)
-        call.done(Outcome.ANSWERED)
+        self.in_progress.discard(attempt)
+        attempt.done(Outcome.ANSWERED)
         self.fill_slots()
 
 
 class SharedCoreServer(Server):
-    """Shares its cores among all calls; a change of its speed changes all of them at once.
+    """Shares its cores among all attempts; a change of speed affects all of them at once.
 
-    All calls get work at the same rate. So one sum of the work that each has got is kept, and a call ends
-    when the sum has grown by its work.
+    All attempts progress at the same rate. ``work_done`` is the work done for each attempt since the server
+    was created, so an attempt ends when ``work_done`` has increased by its work.
     """
 
     def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
         super().__init__(clock, name, server_type)
-        self.calls: list[tuple[float, int, OutcomeCallback]] = []  # heap by the sum at which each ends
-        self.work_done = 0.0  # the sum
-        self.updated_us = clock.now  # when it was last brought up to date
+        # Heap by the value of ``work_done`` at which the attempt ends.
+        self.attempts: list[tuple[float, int, OutcomeCallback]] = []
+        self.work_done = 0.0
+        self.updated_us = clock.now  # time of the last update of ``work_done``
         self.admitted = 0
-        self.next_end: Ticket | None = None
+        self.next_end_timer: TimerId | None = None
 
     def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
-        """Begin or end a fault: calls in progress feel it at once."""
-        self.settle()
+        """Start or end a fault, which affects attempts in progress at once."""
+        self.update_work_done()
         self.slowdown, self.hung = slowdown, hung
         self.schedule_next_end()
 
-    def call_count(self) -> int:
-        """Count the calls that share the cores."""
-        return len(self.calls)
+    def attempt_count(self) -> int:
+        """Return the number of attempts that share the cores."""
+        return len(self.attempts)
 
     def admit(self, work: float, done: OutcomeCallback) -> None:
-        """Begin a call, which slows down the others."""
-        self.settle()
+        """Start an attempt, which slows down the others."""
+        self.update_work_done()
         self.admitted += 1
-        heappush(self.calls, (self.work_done + work, self.admitted, done))
+        heappush(self.attempts, (self.work_done + work, self.admitted, done))
         self.schedule_next_end()
 
-    def remove_calls(self) -> list[OutcomeCallback]:
-        """Remove all calls."""
-        callbacks = [done for _, _, done in self.calls]
-        self.calls.clear()
+    def remove_attempts(self) -> list[OutcomeCallback]:
+        """Remove all attempts and return their callbacks."""
+        callbacks = [done for _, _, done in self.attempts]
+        self.attempts.clear()
         self.schedule_next_end()
         return callbacks
 
     def rate(self) -> float:
-        """Give the work that each call gets in a microsecond."""
-        calls = len(self.calls)
-        if not calls:
+        """Return the work done for each attempt in a microsecond."""
+        attempts = len(self.attempts)
+        if not attempts:
             return 0.0
-        excess = max(0, calls - self.type.cores)
+        excess = max(0, attempts - self.type.cores)
         speed = self.type.speed * self.speed_fraction() / (1 + self.type.thrash * excess)
-        return speed * min(1.0, self.type.cores / calls)
+        return speed * min(1.0, self.type.cores / attempts)
 
-    def settle(self) -> None:
-        """Account for the work done since this was last called, at the rate of now."""
+    def update_work_done(self) -> None:
+        """Add the work since the last update, at the current rate."""
         self.work_done += (self.clock.now - self.updated_us) * self.rate()
         self.updated_us = self.clock.now
 
     def schedule_next_end(self) -> None:
-        """Schedule the end of the call that is next to end at the present rate."""
-        if self.next_end is not None:
-            self.clock.cancel(self.next_end)
-            self.next_end = None
+        """Schedule the end of the attempt that ends next at the current rate."""
+        if self.next_end_timer is not None:
+            self.clock.cancel(self.next_end_timer)
+            self.next_end_timer = None
         rate = self.rate()
-        if not self.calls or not rate:
+        if not self.attempts or not rate:
             return
-        delay_us = max(1, round(max(0.0, self.calls[0][0] - self.work_done) / rate))
+        delay_us = max(1, round(max(0.0, self.attempts[0][0] - self.work_done) / rate))
         warming_up = self.type.warm_up_us and self.speed_fraction() * self.slowdown < 1
-        if warming_up:  # the rate rises meanwhile
-            delay_us = min(delay_us, WARM_UP_CHECK_US)
-        self.next_end = self.clock.schedule_after(delay_us, self.end_calls)
-
-    def end_calls(self) -> None:
-        """End the calls whose work is done."""
-        self.next_end = None
-        self.settle()
+        if warming_up:  # the rate increases in the meantime
+            delay_us = min(delay_us, WARM_UP_UPDATE_INTERVAL_US)
+        self.next_end_timer = self.clock.schedule_after(delay_us, self.finish_attempts)
+
+    def finish_attempts(self) -> None:
+        """Complete the attempts whose work is done."""
+        self.next_end_timer = None
+        self.update_work_done()
         callbacks: list[OutcomeCallback] = []
-        reached = self.work_done * (1 + 1e-9) + 0.5 * self.rate()  # half a microsecond short is done
-        while self.calls and self.calls[0][0] <= reached:
-            callbacks.append(heappop(self.calls)[2])
+        # An attempt that ends within half a microsecond has ended: times are whole microseconds.
+        reached = self.work_done * (1 + 1e-9) + 0.5 * self.rate()
+        while self.attempts and self.attempts[0][0] <= reached:
+            callbacks.append(heappop(self.attempts)[2])
         self.schedule_next_end()
         for done in callbacks:
             done(Outcome.ANSWERED)
 
 
 def create_server(clock: VirtualClock, name: Hashable, server_type: ServerType) -> Server:
-    """Make a server of the discipline that its type names."""
-    discipline = SharedCoreServer if server_type.sharing else SlotServer
-    return discipline(clock, name, server_type)
+    """Create a server with the service discipline of its type."""
+    server_class = SharedCoreServer if server_type.sharing else SlotServer
+    return server_class(clock, name, server_type)
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -1,7 +1,7 @@
-"""An emulated fleet around one engine, the one that the daemon drives: nothing of it is copied.
+"""An emulated fleet around one engine, the same code that the daemon drives.
 
-Servers are listed, proxies join and are written to over links with a delay, clients send requests through
-them, and load reports go back to the engine.
+The engine receives the endpoint list, the joins of proxies and their load reports. Its messages are delivered
+to the proxies with a delay. Clients send requests to the proxies, which make attempts at the servers.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from rainpick.director.addresses import Key
 from rainpick.director.engine import Engine, Write
 from rainpick.emulator.clients import Clients
-from rainpick.emulator.clock import Ticket, VirtualClock
+from rainpick.emulator.clock import TimerId, VirtualClock
 from rainpick.emulator.load_reports import LoadReport, LoadReporter
 from rainpick.emulator.proxy import Proxy
 from rainpick.emulator.random_streams import RandomStream
@@ -29,15 +29,19 @@
 
 
 class World:
-    """One run. ``module`` makes the decision module; ``begin`` starts all, ``run`` lets time pass."""
+    """A run of an emulated fleet.
+
+    ``director_factory`` creates the director of the decision modules. ``begin`` starts the fleet, ``run``
+    advances the virtual time.
+    """
 
     def __init__(
-        self, settings: Settings, shape: Shape, seed: int, module: Callable[[], Director] = Director
+        self, settings: Settings, shape: Shape, seed: int, director_factory: Callable[[], Director] = Director
     ):
         self.shape, self.seed, self.clock = shape, seed, VirtualClock(BEGIN_US)
-        self.engine = Engine(settings, seed, BEGIN_US, module)
-        self.engine_due_us = -1  # when the engine is next advanced, if that is not past
-        self.engine_ticket: Ticket = 0
+        self.engine = Engine(settings, seed, BEGIN_US, director_factory)
+        self.engine_due_us = -1  # time of the next scheduled advance; not scheduled if it is in the past
+        self.engine_timer: TimerId = 0
         self.zone_count = max(1, len(settings.zones))
         self.servers: dict[Key, Server] = {}
         self.endpoints: dict[Key, Endpoint] = {}
@@ -51,11 +55,11 @@
 
     @property
     def offered(self) -> int:
-        """The requests that have arrived so far."""
+        """Number of requests that have arrived so far."""
         return self.clients.offered
 
     def add_server(self, number: int) -> None:
-        """Add a server and its endpoint, ready and warm."""
+        """Add a ready and warm server and its endpoint."""
         shape, address = self.shape, (SERVER_HOST, FIRST_PORT + number)
         machine_type = number % len(shape.server_types)
         self.servers[address] = create_server(self.clock, address, shape.server_types[machine_type])
@@ -70,26 +74,26 @@
         )
 
     def begin(self) -> None:
-        """Hand the list to the engine, let all proxies join, and begin to report."""
+        """Pass the endpoint list to the engine, add all proxies, and start the load reports."""
         endpoints = tuple(self.endpoints.values())
         self.engine.update_endpoints(EndpointUpdate(UpdateKind.CACHED, endpoints, self.list_version))
         for number in range(self.shape.proxies):
-            self.join(number)
+            self.add_proxy(number)
         self.reporter.start()
         self.advance_engine()
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time."""
         self.clock.run(self.clock.now + int(seconds * 1e6))
 
-    def service(self) -> float:
-        """Give the fraction of the ended requests that were answered within the SLO time."""
-        return self.clients.service()
+    def service_ratio(self) -> float:
+        """Return the fraction of the completed requests that were answered within the SLO time."""
+        return self.clients.service_ratio()
 
     # The engine
 
     def advance_engine(self) -> None:
-        """Let the engine handle its events, deliver what it writes, and come back when it is next due."""
+        """Let the engine process its events, send its messages, and schedule its next advance."""
         for write in self.engine.advance(self.clock.now):
             self.clock.schedule_after(self.shape.same_zone_delay_us, self.deliver, write)
         due_us = self.engine.due_us()
@@ -97,17 +101,17 @@
             self.schedule_engine(max(due_us, self.clock.now + 1))
 
     def schedule_engine(self, due_us: int) -> None:
-        """Schedule the next advance, unless one is scheduled that is not later."""
+        """Schedule the next advance, unless an advance is already scheduled at or before ``due_us``."""
         now = self.clock.now
         if now < self.engine_due_us <= due_us:
             return
         if self.engine_due_us > now:
-            self.clock.cancel(self.engine_ticket)
+            self.clock.cancel(self.engine_timer)
         self.engine_due_us = due_us
-        self.engine_ticket = self.clock.schedule_at(due_us, self.advance_engine)
+        self.engine_timer = self.clock.schedule_at(due_us, self.advance_engine)
 
     def deliver(self, write: Write) -> None:
-        """Deliver a message to its proxy, and acknowledge it."""
+        """Deliver a message to its proxy and acknowledge it to the engine."""
         proxy = self.proxies.get(write.proxy)
         if proxy is not None:
             proxy.update(write.delta.lines)
@@ -115,12 +119,12 @@
             self.advance_engine()
 
     def receive_reports(self, reports: list[LoadReport]) -> None:
-        """Hand load reports to the engine."""
+        """Pass load reports to the engine."""
         self.engine.add_load_reports(reports)
         self.advance_engine()
 
-    def join(self, number: int) -> None:
-        """Let a proxy join with some servers as its default table, and requests arrive at it."""
+    def add_proxy(self, number: int) -> None:
+        """Add a proxy with a default table of some servers, and start the requests to it."""
         shape, addresses = self.shape, sorted(self.servers)
         default_table = [
             addresses[(number * 7 + offset) % len(addresses)] for offset in range(shape.default_servers)
@@ -131,30 +135,30 @@
         self.engine.join(number, True, shape.requests_per_s / shape.proxies, proxy.zone, default_table)
         self.clients.start(proxy)
 
-    # The endpoint list and the servers' life
+    # The endpoint list, and the start and stop of servers
 
-    def list_state(self, server: Key, state: EndpointState) -> None:
-        """Change a server's state in the list, which the engine learns after the delay of the list."""
+    def set_listed_state(self, server: Key, state: EndpointState) -> None:
+        """Change a server's state in the endpoint list, which the engine receives after a delay."""
         endpoint = self.endpoints[server] = self.endpoints[server]._replace(state=state)
-        self.clock.schedule_after(self.shape.list_delay_us, self.update_list, endpoint)
+        self.clock.schedule_after(self.shape.list_delay_us, self.send_endpoint_update, endpoint)
 
-    def update_list(self, endpoint: Endpoint) -> None:
-        """Hand a changed endpoint to the engine."""
+    def send_endpoint_update(self, endpoint: Endpoint) -> None:
+        """Pass a changed endpoint to the engine."""
         self.list_version += 1
         self.engine.update_endpoints(EndpointUpdate(UpdateKind.DELTA, (endpoint,), self.list_version))
         self.advance_engine()
 
     def drain(self, server: Key) -> None:
-        """List a server as draining; it goes on serving."""
-        self.list_state(server, EndpointState.DRAINING)
+        """Set a server's listed state to draining; it continues to serve."""
+        self.set_listed_state(server, EndpointState.DRAINING)
 
     def stop(self, server: Key) -> None:
-        """Stop a server."""
+        """Stop a server and list it as gone."""
         self.servers[server].stop()
-        self.list_state(server, EndpointState.GONE)
+        self.set_listed_state(server, EndpointState.GONE)
 
     def start(self, server: Key) -> None:
-        """Start a stopped server, which then warms up."""
+        """Start a stopped server, which then is in slow start."""
         self.servers[server].start()
         self.endpoints[server] = self.endpoints[server]._replace(started_us=self.clock.now)
-        self.list_state(server, EndpointState.READY)
+        self.set_listed_state(server, EndpointState.READY)
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -1,4 +1,4 @@
-"""The very engine in virtual time: runs repeat to the byte, drains are kept, slow servers get less."""
+"""The emulated fleet: runs are reproducible, and the engine handles drains, faults and overload."""
 
 import os
 import subprocess
@@ -29,20 +29,20 @@
 """
 
 
-def create_world(seed=1, module=Director, **shape):
-    world = World(parse(TEXT), Shape(**shape), seed, module)
+def create_world(seed=1, director_factory=Director, **shape):
+    world = World(parse(TEXT), Shape(**shape), seed, director_factory)
     world.begin()
     return world
 
 
-def test_a_quiet_fleet_is_served_within_the_slo():
+def test_a_fleet_without_faults_is_served_within_the_slo():
     world = create_world()
     world.run(20)
-    assert world.service() > 0.98 and world.clients.outcomes[Outcome.NO_SERVER] == 0
+    assert world.service_ratio() > 0.98 and world.clients.outcomes[Outcome.NO_SERVER] == 0
     assert 0.95 < world.offered / (20 * 400) < 1.05
 
 
-def test_runs_of_a_seed_are_equal_whatever_the_hash_seed():
+def test_runs_with_the_same_seed_do_not_depend_on_the_hash_seed():
     outputs = {
         subprocess.run(
             [sys.executable, "-c", SEED_RUN],
@@ -57,37 +57,37 @@
 
 
 @pytest.mark.parametrize("pick", ["lottery", "wheel", "pair"])
-def test_attempts_end_within_the_drain_grace_with_every_pick(pick):
+def test_attempts_at_a_draining_server_end_within_the_drain_grace_with_every_pick_policy(pick):
     world, sent = create_world(pick=pick), []
     world.clients.listeners.append(lambda now, server, proxy: sent.append((now, server)))
     world.run(3)
-    name = ("10.0.0.1", 1026)
-    world.drain(name)
+    server_address = ("10.0.0.1", 1026)
+    world.drain(server_address)
     listed_us = world.clock.now + world.shape.list_delay_us
     world.run(6)
-    last = max(now for now, server in sent if server == name)
+    last = max(now for now, server in sent if server == server_address)
     assert listed_us - 300_000 < last < listed_us + 2_000_000
     assert world.clients.outcomes[Outcome.NO_SERVER] == 0
 
 
 class NoWithdrawals(Director):
-    """A director that never withdraws: the check on drains must find it."""
+    """A director that withdraws no servers, to show that the check of drains detects it."""
 
     def step(self, now, events):
         return [
-            order
-            for order in super().step(now, events)
+            command
+            for command in super().step(now, events)
             if not (
-                type(order) is model.SetWithdrawn
-                and order.withdrawn
-                or type(order) is model.SetWeight
-                and not order.weight
+                type(command) is model.SetWithdrawn
+                and command.withdrawn
+                or type(command) is model.SetWeight
+                and not command.weight
             )
         ]
 
 
-def test_a_director_that_withdraws_nothing_goes_on_sending():
-    world, sent = create_world(module=NoWithdrawals), []
+def test_a_director_without_withdrawals_keeps_sending_to_a_draining_server():
+    world, sent = create_world(director_factory=NoWithdrawals), []
     world.clients.listeners.append(lambda now, server, proxy: sent.append((now, server)))
     world.run(3)
     world.drain(("10.0.0.1", 1026))
@@ -98,41 +98,41 @@
 def test_an_outlier_is_ejected_and_readmitted():
     world = create_world()
     world.run(4)
-    name = ("10.0.0.1", 1030)
-    world.servers[name].stop()  # it dies, and the list says nothing
+    server_address = ("10.0.0.1", 1030)
+    world.servers[server_address].stop()  # without an update of the endpoint list
     world.run(8)
-    open_to = sum(bool(proxy.weights.get(name)) for proxy in world.proxies.values())
+    open_to = sum(bool(proxy.weights.get(server_address)) for proxy in world.proxies.values())
     assert open_to <= 2
-    world.servers[name].start()
+    world.servers[server_address].start()
     world.run(30)
-    assert sum(bool(proxy.weights.get(name)) for proxy in world.proxies.values()) >= 6
+    assert sum(bool(proxy.weights.get(server_address)) for proxy in world.proxies.values()) >= 6
 
 
-def test_a_slow_start_ramps_up():
+def test_a_restarted_server_gets_few_requests_at_first():
     world, sent = create_world(server_types=(ServerType(warm_up_us=4_000_000, start_capacity=0.2),)), []
     world.clients.listeners.append(lambda now, server, proxy: sent.append((now, server)))
     world.run(3)
-    name = ("10.0.0.1", 1027)
-    world.stop(name)
+    server_address = ("10.0.0.1", 1027)
+    world.stop(server_address)
     world.run(2)
-    world.start(name)
+    world.start(server_address)
     begin = world.clock.now
     world.run(12)
-    early = sum(server == name for now, server in sent if begin + 300_000 < now < begin + 1_800_000)
-    late = sum(server == name for now, server in sent if now > begin + 9_000_000) / 2
+    early = sum(server == server_address for now, server in sent if begin + 300_000 < now < begin + 1_800_000)
+    late = sum(server == server_address for now, server in sent if now > begin + 9_000_000) / 2
     assert 0 < early < 0.6 * late, (early, late)
 
 
-def test_overload_ends_in_drops_and_bounded_memory():
+def test_overload_causes_drops_and_memory_stays_bounded():
     world = create_world(requests_per_s=4_000.0, servers=6)
     world.run(4)
     before = len(world.clock.pending)
     world.run(8)
-    assert world.service() < 0.6 and len(world.clock.pending) < 2 * before + 2_000
-    assert len(world.reporter.waiting) < 200 and world.engine.channel.lines < 5_000
+    assert world.service_ratio() < 0.6 and len(world.clock.pending) < 2 * before + 2_000
+    assert len(world.reporter.queue) < 200 and world.engine.channel.lines < 5_000
 
 
-def test_round_robin_follows_weights_exactly_and_lots_nearly():
+def test_round_robin_follows_the_weights_exactly_and_random_picks_approximately():
     for pick, tolerance in (("wheel", 0), ("lottery", 120)):
         proxy = Proxy(0, 0, pick, RandomStream(1, "p"))
         proxy.update([Line(("a", 1), 3, OPEN), Line(("a", 2), 1, OPEN), Line(("a", 3), 0, WITHDRAWN)])
