--- a/rainpick/__main__.py
+++ b/rainpick/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m rainpick``."""
+"""Entry point of ``python -m rainpick``."""
 
 from rainpick.cli import main
 
--- a/rainpick/operator_settings.py
+++ b/rainpick/operator_settings.py
@@ -1,11 +1,11 @@
-"""Translation of the operators' settings into the settings of the decisions.
+"""Translation of the operators' settings to the settings of the decision modules.
 
-Operators write camel-case keys of their own (``hardLimitUs``), either as ``path=value`` lines or as nested
-JSON. The decisions read one flat map with dotted snake-case keys (``routes.0.time_limit_us``). These keys are
+Operators use camel-case keys (``hardLimitUs``), either in ``path=value`` lines or in nested JSON. The
+decision modules read a flat map with dotted snake-case keys (``routes.0.time_limit_us``). These keys are
 stored in records, so they must not change.
 
-This module lies outside ``rainpick.settings`` on purpose: the live director and the adapter of the simulator
-import it and have to start without pydantic.
+This module is not part of ``rainpick.settings``, because the live director and the simulator adapter import
+it and must start without pydantic.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 JsonValue: TypeAlias = "dict[str, JsonValue] | list[JsonValue] | str | int | float | bool | None"
 SettingValue: TypeAlias = "str | int | float | bool | tuple[SettingValue, ...] | None"
 
-# The operators' key to ours, for one component of a dotted path. Any other key is put into snake case.
+# Keys by the operators' key, which is a component of a path. All other keys are converted to snake case.
 KEYS = {
     "grades": "routes",
     "sloUs": "slo_time_us",
@@ -49,12 +49,12 @@
     "crossZone": "cross_zone",
     "lateFail": "late_drop",
 }
-# Texts that stand for another value.
+# Strings that are translated to another value.
 VALUES: dict[str, SettingValue] = {"safe": "repeatable", "unsafe": "mutating", "true": True, "false": False}
 
 
 def translate_key(key: str) -> str:
-    """Translate one component of an operators' path.
+    """Translate a component of a path in the operators' settings.
 
     >>> translate_key("drainGraceUs"), translate_key("hardLimitUs"), translate_key("0")
     ('drain_grace_us', 'time_limit_us', '0')
@@ -65,7 +65,7 @@
 
 
 def translate_value(text: str) -> SettingValue:
-    """Read a value that is written as text; what is no number stays text, a comma makes a tuple.
+    """Parse a value. Text with commas is a tuple; text that is not a number is a string.
 
     >>> translate_value("12"), translate_value("0.5"), translate_value("false,true"), translate_value("safe")
     (12, 0.5, (False, True), 'repeatable')
@@ -98,16 +98,16 @@
 
 
 def translate_nested(tree: JsonValue, path: str = "") -> dict[str, SettingValue]:
-    """Translate nested JSON into the same map that the equivalent ``path=value`` lines give.
+    """Translate nested JSON to the same map as the equivalent ``path=value`` lines.
 
-    ``path``: the translated key of ``tree`` itself, empty at the root. As in the lines, a list of one element
-    is that element, and an empty list is an empty text.
+    ``path`` is the translated key of ``tree``, empty at the root. As in the lines, a list of one element is
+    converted to this element, and an empty list to an empty string.
 
     >>> translate_nested({"grades": [{"name": "a", "repeat": "safe"}], "failureDomains": ["x", "y"], "az": 1})
     {'routes.count': 1, 'routes.0.name': 'a', 'routes.0.effect': 'repeatable', 'zones': ('x', 'y'), 'zone': 1}
     """
     if isinstance(tree, list) and any(isinstance(element, dict) for element in tree):
-        tree = _named_by_index(tree)
+        tree = _keyed_by_index(tree)
     if isinstance(tree, dict):
         settings: dict[str, SettingValue] = {}
         for name, member in tree.items():
@@ -122,8 +122,8 @@
     return {path: translate_value(tree) if isinstance(tree, str) else tree}
 
 
-def _named_by_index(elements: list[JsonValue]) -> dict[str, JsonValue]:
-    """A list of objects as the lines write it: its length, and its elements under their indexes."""
+def _keyed_by_index(elements: list[JsonValue]) -> dict[str, JsonValue]:
+    """Convert a list of objects to the form of the lines: its length, and its elements by index."""
     members: dict[str, JsonValue] = {"count": len(elements)}
     members.update((str(index), element) for index, element in enumerate(elements))
     return members
--- a/rainpick/settings/__init__.py
+++ b/rainpick/settings/__init__.py
@@ -1,4 +1,4 @@
-"""A director's settings: JSON5 files, checked against a schema, turned into the flat map of the decisions."""
+"""Settings of a director: loading and validation of JSON5 files, conversion for the decision modules."""
 
 from rainpick.settings.decision_settings import decision_settings
 from rainpick.settings.load import SettingsError, json_schema, load, parse
--- a/rainpick/settings/address_pattern.py
+++ b/rainpick/settings/address_pattern.py
@@ -1,4 +1,4 @@
-"""Patterns over server addresses: they select the servers that a rule of the settings describes."""
+"""Patterns that select servers by address, for the server rules in the settings."""
 
 import ipaddress
 
@@ -6,10 +6,10 @@
 
 
 class AddressPattern:
-    """A pattern over addresses and ports.
+    """A pattern of IP addresses and ports.
 
-    It is ``HOST``, ``HOST:PORT``, ``HOST:FIRST-LAST`` or ``NETWORK/BITS``, the last with or without ports. An
-    IPv6 host with ports stands in brackets. ``ValueError`` if the pattern is none of these.
+    The forms are ``HOST``, ``HOST:PORT``, ``HOST:FIRST-LAST`` and ``NETWORK/BITS``, the last with or without
+    ports. An IPv6 host with ports is in brackets. ``ValueError`` if the pattern has none of these forms.
 
     >>> AddressPattern("127.0.0.1:9000-9011").matches(ipaddress.ip_address("127.0.0.1"), 9004)
     True
@@ -22,7 +22,7 @@
 
     def __init__(self, pattern: str):
         host, separator, ports = pattern, "", ""
-        # More than one colon without brackets: an IPv6 address, whose last group is no port.
+        # Several colons without brackets are an IPv6 address, whose last group is not a port.
         if pattern.count(":") == 1 or pattern.startswith("["):
             host, separator, ports = pattern.rpartition(":")
         try:
@@ -36,11 +36,11 @@
             raise ValueError(f"fleet.servers: {pattern!r} has a port range that ends before it begins")
 
     def matches(self, host: ipaddress.IPv4Address | ipaddress.IPv6Address, port: int) -> bool:
-        """Whether the pattern matches this address and port."""
+        """Return whether the pattern matches an address and port."""
         return host in self.network and port in self.ports
 
 
 def _port_range(text: str) -> range:
-    """The ports of ``PORT`` or ``FIRST-LAST``, the last one included."""
+    """Return the ports of ``PORT`` or ``FIRST-LAST``, including the last one."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
--- a/rainpick/settings/decision_settings.py
+++ b/rainpick/settings/decision_settings.py
@@ -1,20 +1,20 @@
-"""The settings in the form that the decisions take: a flat map from dotted names to values.
+"""Conversion of the settings to the settings of the decision modules: a flat map from dotted names to values.
 
-Records of a day hold this map and a replay reads it again, so a name must never change.
+The map is stored in records and read again by replays, so the names must not change.
 """
 
 from typing import Any
 
 from rainpick.settings.model import RoutePart, Settings
 
-# Names of admission modes in the settings file whose name in the map is another one.
+# Admission modes whose name in the map differs from the name in the settings file.
 ADMISSION_MODES = {"rate": "rps"}
 
 
 def decision_settings(settings: Settings) -> dict[str, Any]:
-    """The map that the decisions get in their ``Started`` event; durations in microseconds.
+    """Return the map for the ``Started`` event of the decision modules; durations are in microseconds.
 
-    The names are the ones into which ``rainpick.operator_settings`` translates.
+    ``rainpick.operator_settings`` produces the same names.
     """
     proxies, channel, rules = settings.proxies, settings.channel, settings.rules
     flat: dict[str, Any] = {
@@ -53,7 +53,7 @@
 
 
 def _route_entries(index: int, route: RoutePart) -> dict[str, Any]:
-    """The entries of one route."""
+    """Return the entries of a route."""
     return {
         f"routes.{index}.name": route.name,
         f"routes.{index}.slo_time_us": route.slo_time,
--- a/rainpick/settings/load.py
+++ b/rainpick/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading of JSON5 files. Each fault is reported with its file, path and value, and what is allowed there."""
+"""Loading and validation of JSON5 files. Errors state the file, the path, the value and what is allowed."""
 
 from pathlib import Path
 from typing import Any, TypeVar, overload
@@ -10,12 +10,12 @@
 from rainpick.settings.model import Settings
 
 Model = TypeVar("Model", bound=BaseModel)
-MAX_FILE_BYTES = 4_000_000  # no file written by a person is larger
-MAX_SHOWN_VALUE = 60  # characters of a value that an error quotes
+MAX_FILE_BYTES = 4_000_000  # far above the size of a file written by hand
+MAX_SHOWN_VALUE = 60  # characters of a value in an error message
 
 
 class SettingsError(Exception):
-    """The file cannot be used; the text has a line for each fault."""
+    """The file can't be used; the message has a line for each error."""
 
 
 @overload
@@ -23,19 +23,19 @@
 @overload
 def load(path: str | Path, model: type[Model]) -> Model: ...
 def load(path: str | Path, model: type[BaseModel] = Settings) -> BaseModel:
-    """Read a file and check it against the schema of ``model``.
+    """Read a file and validate it by ``model``.
 
-    ``SettingsError`` names the file and each fault, also if the file can't be read or is no JSON5.
+    ``SettingsError`` names the file and each error, also if the file can't be read or is not JSON5.
     """
     try:
         data = Path(path).read_bytes()
         if len(data) > MAX_FILE_BYTES:
-            raise SettingsError(f"{path}: {len(data)} bytes; at most {MAX_FILE_BYTES} are read")
+            raise SettingsError(f"{path}: the file has {len(data)} bytes, the maximum is {MAX_FILE_BYTES}")
         return parse(data.decode(), str(path), model)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
-        raise SettingsError(f"{path}: not UTF-8: {error.reason} at byte {error.start}") from None
+        raise SettingsError(f"{path}: the file is not UTF-8: {error.reason} at byte {error.start}") from None
 
 
 @overload
@@ -43,7 +43,7 @@
 @overload
 def parse(text: str, where: str, model: type[Model]) -> Model: ...
 def parse(text: str, where: str = "settings", model: type[BaseModel] = Settings) -> BaseModel:
-    """Check JSON5 text against the schema of ``model``. ``where`` names the text in errors.
+    """Validate JSON5 text by ``model``. ``where`` names the source of the text in error messages.
 
     >>> parse('{routes: [{name: "a", slo_time: "1s", time_limit: 2}]}')
     Traceback (most recent call last):
@@ -59,25 +59,25 @@
 
 
 def json_schema() -> dict[str, Any]:
-    """The JSON Schema of the settings."""
+    """Return the JSON Schema of the settings."""
     return Settings.model_json_schema()
 
 
 def _decode(text: str, where: str) -> dict[str, Any]:
-    """The object that the JSON5 text holds."""
+    """Decode JSON5 text to an object."""
     try:
         tree = json5.loads(text, allow_duplicate_keys=False)
     except ValueError as error:
         raise SettingsError(f"{where}: {error}") from None
     except RecursionError:
-        raise SettingsError(f"{where}: nested too deeply") from None
+        raise SettingsError(f"{where}: the document is nested too deeply") from None
     if not isinstance(tree, dict):
-        raise SettingsError(f"{where}: {_abbreviate(tree)}: a {{...}} of settings is wanted")
+        raise SettingsError(f"{where}: {_abbreviate(tree)}: an object {{...}} is expected")
     return tree
 
 
 def _describe(error: ErrorDetails, where: str) -> str:
-    """One line for one fault. The value is left out where there is none, or where it is the whole file."""
+    """Format an error as a line. The value is omitted if it is missing or the whole file."""
     path = ".".join(map(str, error["loc"])) or "(as a whole)"
     message = error["msg"].removeprefix("Value error, ")
     if error["type"] == "extra_forbidden":
@@ -88,6 +88,6 @@
 
 
 def _abbreviate(value: object) -> str:
-    """The value as an error quotes it."""
+    """Format a value for an error message."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_VALUE else text[: MAX_SHOWN_VALUE - 3] + "..."
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -1,6 +1,6 @@
-"""The schema of a director's settings file. Every key that may stand in the file has a field here.
+"""The schema of a director's settings file, with a field for each key of the file.
 
-Field names are the keys of the file, and class names stand in the printed JSON Schema: neither may change.
+Field names are the keys of the file, and class names are in the printed JSON Schema, so neither may change.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from rainpick.settings.part import Part, text_field
 from rainpick.settings.units import Address, Duration
 
-Effect = Literal["repeatable", "keyed", "mutating"]  # of a call: whether it may be sent twice, and how
+Effect = Literal["repeatable", "keyed", "mutating"]  # of a request: whether it may be sent again, and how
 
 
 class DirectorPart(Part):
-    """The director itself: its position among the directors of the fleet, and where it runs."""
+    """The director: its number among the directors of the fleet, its zone, and settings of its process."""
 
     number: int = Field(0, ge=0, description="this director's place among them, from 0")
     of: int = Field(1, ge=1, description="how many directors serve the fleet")
@@ -41,7 +41,7 @@
 
 
 class FleetRule(Part):
-    """What is known beforehand of some servers: a rule of the settings."""
+    """Configured properties of the servers whose address matches a pattern."""
 
     schema_description = (
         "What is known beforehand of the servers at some addresses; the first rule that matches counts."
@@ -55,7 +55,7 @@
 
 
 class FleetPart(Part):
-    """The servers: who may register, what is known of them beforehand, how long they are waited for."""
+    """The servers: limits of registration, configured properties, grace after the loss of a stream."""
 
     uid: str = Field("rainpick", min_length=1, max_length=64, description="LB UID of members' groups")
     group: str = Field("servers", min_length=1, max_length=255, description="group of members and proxies")
@@ -67,7 +67,7 @@
 
 
 class RoutePart(Part):
-    """A kind of call, with its latency objective, time limit and importance."""
+    """A route: a kind of request with a latency objective, a time limit and an importance."""
 
     name: str
     slo_time: Duration = Field(description="the time within which an answer is wanted")
@@ -79,14 +79,14 @@
 
     @model_validator(mode="after")
     def check_times(self) -> RoutePart:
-        """The time limit covers the latency objective."""
+        """Check that the time limit is not less than the latency objective."""
         if self.time_limit < self.slo_time:
             raise ValueError("time_limit must not be under slo_time")
         return self
 
 
 class KnownProxy(Part):
-    """What is known beforehand of some proxies: a rule of the settings."""
+    """Configured properties of the proxies whose LB UID matches a pattern."""
 
     schema_description = (
         "What is known of proxies whose LB UID matches a pattern; the first that matches counts."
@@ -98,7 +98,7 @@
 
 
 class ProxiesPart(Part):
-    """The proxies: how many there are, what they report, what is known of them beforehand."""
+    """The proxies: their number, their load reports, and their configured properties."""
 
     count: int = Field(30, ge=0, le=65_000, description="proxies of all directors together")
     by_zone: bool = Field(False, description="a proxy joins a director of its own zone")
@@ -115,7 +115,7 @@
 
 
 class ChannelPart(Part):
-    """The budget of messages to proxies, counted in table lines."""
+    """Limits of the channel to the proxies, in table lines."""
 
     lines_per_s: float = Field(2_500.0, gt=0)
     head_lines: int = Field(6, ge=0, description="what a message costs beside its lines")
@@ -125,22 +125,24 @@
 
     @model_validator(mode="after")
     def check_pending_lines(self) -> ChannelPart:
-        """A few messages must fit into the queue, or it would block for ever."""
+        """Check that a few messages fit into the queue; otherwise the channel would block for ever."""
         if self.pending_lines < 4 * (self.head_lines + 1):
             raise ValueError("pending_lines has no room for a few messages of head_lines each")
         return self
 
 
 class RulesPart(Part):
-    """The bounds that published tables keep: empty tables, draining, slow start, falling weights."""
+    """Limits on the published tables: empty tables, drains, slow start, overload of servers."""
 
     bare: Duration = text_field("2.8s", description="a joined proxy may be without a line for so long")
     drain_grace: Duration = text_field("2.7s", description="then nothing goes to a drained server any more")
     warm_after: Duration = text_field("12s", description="a started server is warm then")
-    start_capacity: float = Field(0.16, gt=0, le=1)  # fraction of its capacity that a started server has
-    fall_multiple: float = Field(3.0, gt=1)  # a server falls over by work of so many times its capacity
-    fall: Duration = text_field("1.5s")  # the time over which that work is counted
-    gone_does_not_bind: bool = False  # whether servers stay in their tables when the list drops them
+    start_capacity: float = Field(
+        0.16, gt=0, le=1
+    )  # fraction of its capacity that a server has when it starts
+    fall_multiple: float = Field(3.0, gt=1)  # a server fails if it gets work of this many times its capacity
+    fall: Duration = text_field("1.5s")  # time window over which this work is counted
+    gone_does_not_bind: bool = False  # whether servers stay in their tables when they disappear from the list
 
 
 class SaspPart(Part):
@@ -197,13 +199,13 @@
 
 
 class PricesPart(Part):
-    """What a call costs beside its time."""
+    """Costs of a request other than its duration."""
 
     cross_zone: float = Field(0.0, ge=0, description="what a call costs that crosses zones")
 
 
 class Settings(Part):
-    """All settings of a director, as one file holds them."""
+    """All settings of a director."""
 
     schema_description = "A director's settings."
 
@@ -225,24 +227,24 @@
 
     @model_validator(mode="after")
     def check_references(self) -> Settings:
-        """Check what no single part can know: counts, names of zones and machines, addresses used twice."""
+        """Check conditions across parts: counts, names of zones and machines, duplicate addresses."""
         if not 1 <= len(self.routes) <= 16:
-            raise ValueError(f"routes: {len(self.routes)} of them; 1 to 16 are allowed")
+            raise ValueError(f"routes: there are {len(self.routes)}; 1 to 16 are allowed")
         self._check_zones()
         self._check_server_rules()
         if len({route.name for route in self.routes}) < len(self.routes):
-            raise ValueError("routes: two of them have the same name")
+            raise ValueError("routes: two routes have the same name")
         if self.director.number >= self.director.of:
             raise ValueError(f"director.number: {self.director.number} must be under director.of")
         self._check_listen_addresses()
         return self
 
     def zone_index(self, name: str | None) -> int:
-        """The index of a zone; no name stands for the first zone."""
+        """Return the index of a zone; None is the first zone."""
         return self.zones.index(name) if name is not None else 0
 
     def _zone_references(self) -> Iterator[tuple[str, str | None]]:
-        """Each path of the file that may name a zone, and the name."""
+        """Yield the path of each part that may name a zone, and the name."""
         yield "director", self.director.zone
         yield "proxies", self.proxies.zone
         for index, rule in enumerate(self.fleet.servers):
@@ -266,10 +268,10 @@
                 raise ValueError(
                     f"{path}.weight: {rule.weight} is over fleet.weight_most {self.fleet.weight_most}"
                 )
-            AddressPattern(rule.match)  # raises if it is no pattern
+            AddressPattern(rule.match)  # raises if the pattern is invalid
 
     def _check_listen_addresses(self) -> None:
-        """Port 0 may be used more than once: the system chooses another port each time."""
+        """Check for duplicate addresses. Port 0 may be repeated, since the system chooses different ports."""
         listen = self.listen
         fronts = (listen.sasp, listen.otlp, listen.status, listen.mqtt)
         fixed = [address for address in fronts if address is not None and address.port]
--- a/rainpick/settings/part.py
+++ b/rainpick/settings/part.py
@@ -1,7 +1,7 @@
-"""What all parts of a settings file have in common.
+"""Base class of the parts of a settings file.
 
-The texts that the printed JSON Schema shows are ``description`` of a field and ``schema_description`` of a
-part; docstrings are for readers of the code and are not printed.
+The printed JSON Schema contains the ``description`` of each field and the ``schema_description`` of each
+part. Docstrings are not part of the schema.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 
 def text_field(default: str, description: str | None = None) -> Any:
-    """A field whose default is written as in the file, such as ``"1.5s"``, and validated like a value there.
+    """Declare a field with a default in the notation of the file, such as ``"1.5s"``, which is validated.
 
-    ``Any``, as pydantic's own ``Field`` for a field without a default: the loaded type is another one.
+    The return type is ``Any``, as for pydantic's own ``Field``, because the loaded value has another type.
     """
     return Field(default, description=description)
 
 
-def _publish_description(schema: dict[str, Any], part: type[Part]) -> None:
-    """Put the description for users in place of the docstring that pydantic has put there."""
+def _replace_description(schema: dict[str, Any], part: type[Part]) -> None:
+    """Replace the docstring, which pydantic puts into the schema, with the description for users."""
     schema.pop("description", None)
     if part.schema_description:
         schema["description"] = part.schema_description
 
 
 class Part(BaseModel):
-    """A part of a settings file. An unknown key is an error: a misspelt one would silently be ignored."""
+    """A part of a settings file. Unknown keys are errors; misspelt keys would otherwise be ignored."""
 
     model_config = ConfigDict(
-        extra="forbid", frozen=True, validate_default=True, json_schema_extra=_publish_description
+        extra="forbid", frozen=True, validate_default=True, json_schema_extra=_replace_description
     )
     schema_description: ClassVar[str] = ""
--- a/rainpick/settings/units.py
+++ b/rainpick/settings/units.py
@@ -1,4 +1,4 @@
-"""Durations and socket addresses in the way they are written in settings files."""
+"""Parsing of durations and socket addresses in settings files."""
 
 import re
 from typing import Annotated, NamedTuple
@@ -10,7 +10,7 @@
 
 
 def parse_duration_us(value: object) -> int:
-    """Read a duration with its unit as whole microseconds; ``ValueError`` if it is none.
+    """Parse a duration with a unit and return whole microseconds; ``ValueError`` if it is malformed.
 
     >>> parse_duration_us("1.5s"), parse_duration_us("250ms"), parse_duration_us("20us")
     (1500000, 250000, 20)
@@ -25,7 +25,7 @@
 
 
 class SocketAddress(NamedTuple):
-    """Where a socket listens; port 0 lets the system choose."""
+    """Address on which a socket listens; with port 0 the system chooses a port."""
 
     host: str
     port: int
@@ -35,7 +35,7 @@
 
 
 def parse_socket_address(value: object) -> SocketAddress:
-    """Read ``HOST:PORT``; ``ValueError`` if the value is not that.
+    """Parse ``HOST:PORT``; ``ValueError`` if the value is malformed.
 
     >>> parse_socket_address("127.0.0.1:3860")
     SocketAddress(host='127.0.0.1', port=3860)
@@ -48,7 +48,7 @@
     return SocketAddress(host, int(port))
 
 
-# Field types of the settings: text in the file, microseconds or an address once it is loaded.
+# Field types of the settings: strings in the file, loaded as microseconds or as a ``SocketAddress``.
 Duration = Annotated[
     int,
     BeforeValidator(parse_duration_us),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: each error is reported with its file, path, value and what is allowed."""
+"""Settings files: loading, errors, and conversion to the settings of the decision modules."""
 
 import json
 
@@ -35,7 +35,7 @@
         ("}", "x.json5: "),
     ],
 )
-def test_an_error_names_path_value_and_what_is_allowed(text, expected):
+def test_an_error_states_the_path_the_value_and_what_is_allowed(text, expected):
     assert expected in error_text(text)
 
 
@@ -48,25 +48,25 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{routes: \xff}", b"[" * 5000, b"{routes: []}"])
-def test_a_file_that_holds_no_settings_is_a_settings_error(tmp_path, data):
+def test_a_file_without_valid_settings_raises_a_settings_error(tmp_path, data):
     path = tmp_path / "s.json5"
     path.write_bytes(data)
     with pytest.raises(SettingsError, match="s.json5: "):
         load(path)
 
 
-def test_a_missing_file_is_a_settings_error(tmp_path):
+def test_a_missing_file_raises_a_settings_error(tmp_path):
     with pytest.raises(SettingsError, match="No such file"):
         load(tmp_path / "none")
 
 
-def test_the_decisions_get_a_flat_map_in_whole_microseconds():
+def test_decision_settings_are_a_flat_map_with_whole_microseconds():
     flat = decision_settings(parse(MINIMAL % 'rules: {warm_after: "12s"}, channel: {messages_most: 12}'))
     assert flat["rules.warm_after_us"] == 12_000_000 and flat["proxies.pushes_allowed"] == 12
     assert flat["routes.0.slo_time_us"] == 1_000_000 and flat["routes.count"] == 1
 
 
-def test_the_schema_is_json_and_names_every_part():
+def test_the_schema_is_json_and_contains_every_part():
     text = json.dumps(json_schema())
     parts = "director", "listen", "fleet", "channel", "rules", "sasp", "otlp"
     assert all(f'"{part}"' in text for part in parts)
