--- a/rainpick/cli/__init__.py
+++ b/rainpick/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line ``rainpick``: ``application`` holds the commands together, a module declares each group.
+"""The command line ``rainpick``. ``application`` is the root; each group of commands is declared in a module.
 
-What a command prints is in a module named ``..._output``. The commands import these, and whatever else is
-slow to import, when they run: ``rainpick run`` is to start without what only other commands need.
+Modules named ``..._output`` print the results of commands. Commands import these and other slow modules when
+they run, so that ``rainpick run`` starts without the dependencies of other commands.
 """
 
 from rainpick.cli.application import main
--- a/rainpick/cli/application.py
+++ b/rainpick/cli/application.py
@@ -1,6 +1,6 @@
 """The root of the command line.
 
-Exit codes: 0 all is well, 1 the command failed or its verdict is bad, 2 the call or a file is wrong.
+Exit codes: 0 success, 1 the command failed or its verdict is negative, 2 the arguments or a file are invalid.
 """
 
 from __future__ import annotations
--- a/rainpick/cli/config_commands.py
+++ b/rainpick/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""``rainpick config``: settings files and schemas."""
+"""``rainpick config``: validation of settings files, and schemas."""
 
 from __future__ import annotations
 
--- a/rainpick/cli/day_commands.py
+++ b/rainpick/cli/day_commands.py
@@ -1,4 +1,4 @@
-"""``rainpick day`` plays a scripted day on loopback, ``rainpick audit`` judges the logs of one again."""
+"""``rainpick day`` runs a scripted day on loopback; ``rainpick audit`` evaluates the logs of a day again."""
 
 from __future__ import annotations
 
--- a/rainpick/cli/day_output.py
+++ b/rainpick/cli/day_output.py
@@ -1,4 +1,4 @@
-"""What is printed while a scripted day is played."""
+"""Progress output of a scripted day."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from rainpick.cli.terminal import print_rich
 from rainpick.simulated_peers.scenario import Scenario
 
-STATUS_EVERY_S = 5.0
+STATUS_INTERVAL_S = 5.0
 
 
 def ignore_progress(second: float, event: str, states: Sequence[Mapping[str, Any] | None]) -> None:
@@ -16,10 +16,10 @@
 
 
 class DayProgress:
-    """Prints each event of a day at once, and the state of the directors every few seconds."""
+    """Prints each event of a day when it occurs, and the state of the directors every few seconds."""
 
     def __init__(self, scenario: Scenario):
-        self.last_status_s = -STATUS_EVERY_S
+        self.last_status_s = -STATUS_INTERVAL_S
         print_rich(
             f"{scenario.name}: {scenario.servers} servers in {len(scenario.zones)} zones, "
             f"{scenario.proxies} proxies, {scenario.calls_per_s:g} calls a second, "
@@ -27,20 +27,21 @@
         )
 
     def __call__(self, second: float, event: str, states: Sequence[Mapping[str, Any] | None]) -> None:
-        """Print the event, or the states if there is no event. ``second``: since the day began.
+        """Print the event, or the states if ``event`` is empty.
 
-        ``states``: of each director, None for one that does not answer.
+        ``second`` is the time since the start of the day. ``states`` has the status of each director, None if
+        it does not respond.
         """
         if event:
             print_rich(f"[bold]{second:6.1f} s  {event}[/bold]")
-        elif second - self.last_status_s >= STATUS_EVERY_S:
+        elif second - self.last_status_s >= STATUS_INTERVAL_S:
             self.last_status_s = second
-            descriptions = [_describe(state) for state in states]
+            descriptions = [_format_status(state) for state in states]
             print_rich(f"{second:6.1f} s  " + "; ".join(descriptions))
 
 
-def _describe(state: Mapping[str, Any] | None) -> str:
-    """A director that has not begun to decide counts as one that does not answer."""
+def _format_status(state: Mapping[str, Any] | None) -> str:
+    """Format a director's status. Before its first decision, a director is shown as not responding."""
     if not state or "channel" not in state:
         return "no director answers"
     ready = sum(server["state"] == "ready" for server in state["servers"])
--- a/rainpick/cli/errors.py
+++ b/rainpick/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of commands: printed in one line each, without a traceback, with an exit code."""
+"""Errors of commands, which are printed as one line without a traceback, and exit codes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from rainpick.settings import SettingsError
 
-FAILED = 1  # exit code: the command failed, or its verdict is bad
-WRONG_CALL = 2  # exit code: the call or a file is wrong
+FAILED = 1  # exit code: the command failed, or its verdict is negative
+INVALID_USAGE = 2  # exit code: the arguments or a file are invalid
 
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
 
 class CommandError(Exception):
-    """A command can't go on; the text says why, ``exit_code`` how the process ends."""
+    """A command can't continue. The message states the reason; ``exit_code`` is that of the process."""
 
     def __init__(self, message: str, exit_code: int = FAILED):
         super().__init__(message)
@@ -27,7 +27,7 @@
 
 
 def report_errors(command: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
-    """Print the errors that a user can do something about, and end the process with their exit code."""
+    """Decorate a command to print expected errors and exit with their exit code."""
 
     @wraps(command)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> Result:
@@ -37,7 +37,7 @@
             return command(*args, **kwargs)
         except SettingsError as error:
             click.echo(str(error), err=True)
-            sys.exit(WRONG_CALL)
+            sys.exit(INVALID_USAGE)
         except CommandError as error:
             click.echo(f"rainpick: {error}", err=True)
             sys.exit(error.exit_code)
--- a/rainpick/cli/inspect_output.py
+++ b/rainpick/cli/inspect_output.py
@@ -1,4 +1,4 @@
-"""What directors knew at a moment of a recorded day: a server, a table, a proxy, or the fleet."""
+"""State of directors at a point in time of a recorded day: a server, a table, a proxy, or the fleet."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 
-from rainpick.cli.errors import WRONG_CALL, CommandError
+from rainpick.cli.errors import INVALID_USAGE, CommandError
 from rainpick.decisions.director import Director
 from rainpick.record import inspect
 from rainpick.record.clock import replay_until
@@ -17,51 +17,51 @@
 from rainpick.record.steps import Incarnation
 from rainpick.store import read
 
-END_OF_TIME_US = 1 << 62
+NO_TIME_LIMIT_US = 1 << 62  # later than any step
 
 
 def print_inspection(
     folders: list[Path],
     subject: str,
     until_s: float | None,
-    session_number: int,
-    module: Callable[[], Director],
+    incarnation_number: int,
+    director_factory: Callable[[], Director],
     as_json: bool,
 ) -> None:
-    """Print the subject as each director knew it; ``CommandError`` if there is no such subject or moment.
+    """Print the state of a subject in each director; ``CommandError`` if the subject or time does not exist.
 
-    ``subject``: as ``--inspect`` takes it. ``until_s``: the moment, the end of the records if None.
-    ``session_number``: which session of the record, if there is one record only.
+    ``subject`` has the form of ``--inspect``. ``until_s`` is the time, None for the end of the records.
+    ``incarnation_number`` selects an incarnation if there is only one record.
     """
     try:
         if len(folders) == 1:
-            directors = [_director_at(folders[0], until_s, session_number, module)]
+            directors = [_director_at(folders[0], until_s, incarnation_number, director_factory)]
         else:
-            sessions = replay_until(folders, until_s, module)
-            directors = [(replay.incarnation, inspect.director_of_replay(replay)) for replay in sessions]
+            replays = replay_until(folders, until_s, director_factory)
+            directors = [(replay.incarnation, inspect.director_of_replay(replay)) for replay in replays]
         reports = [inspect.inspect_subject(director, subject) for _, director in directors]
     except LookupError as error:
-        raise CommandError(str(error), WRONG_CALL) from None
+        raise CommandError(str(error), INVALID_USAGE) from None
     if as_json:
         click.echo(json.dumps(reports[0] if len(folders) == 1 else reports))
         return
-    for (session, director), report in zip(directors, reports, strict=True):
-        second = (director.now - session.now) / 1e6
-        click.echo(f"{second:.3f} s after the begin of director {session.director}")
+    for (incarnation, director), report in zip(directors, reports, strict=True):
+        second = (director.now - incarnation.now) / 1e6
+        click.echo(f"{second:.3f} s after the begin of director {incarnation.director}")
         _print_fields(report, "")
 
 
 def _director_at(
-    folder: Path, until_s: float | None, session_number: int, module: Callable[[], Director]
+    folder: Path, until_s: float | None, incarnation_number: int, director_factory: Callable[[], Director]
 ) -> tuple[Incarnation, Director]:
-    """One session of a record, and its director as it was ``until_s`` seconds after the session began."""
-    session, steps = select_incarnation(lambda: read(folder), session_number)
-    until_us = END_OF_TIME_US if until_s is None else session.now + int(until_s * 1e6)
-    return session, inspect.replay_director_until(session, steps, until_us, module)
+    """Return an incarnation of a record, and its director at ``until_s`` seconds after its start."""
+    incarnation, steps = select_incarnation(lambda: read(folder), incarnation_number)
+    until_us = NO_TIME_LIMIT_US if until_s is None else incarnation.now + int(until_s * 1e6)
+    return incarnation, inspect.replay_director_until(incarnation, steps, until_us, director_factory)
 
 
 def _print_fields(fields: dict[str, Any], indent: str) -> None:
-    """Print a line for each field, nested ones indented; of the factors of a weight only those that bind."""
+    """Print a line for each field, with nested fields indented. Factors of 1 are omitted."""
     for name, value in fields.items():
         label = str(name).replace("_", " ")
         if name == "because":
--- a/rainpick/cli/log_setup.py
+++ b/rainpick/cli/log_setup.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: one JSON object a line, or coloured text for people."""
+"""Structured logs on standard error, as one JSON object per line or as coloured text."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def configure_log(level: str, form: Literal["json", "console"]) -> None:
-    """Set up the log of this process. ``level``: the least severe level that is written, such as ``info``."""
+    """Set up the log of this process. ``level`` is the lowest level that is logged, such as ``info``."""
     processors: list[Processor] = [
         structlog.contextvars.merge_contextvars,
         structlog.processors.add_log_level,
--- a/rainpick/cli/options.py
+++ b/rainpick/cli/options.py
@@ -1,4 +1,4 @@
-"""Types, options and values of arguments that several commands share."""
+"""Argument types, options and defaults that several commands share."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 FOLDER = click.Path(file_okay=False)
 EXISTING_FOLDER = click.Path(file_okay=False, exists=True)
 
-STATUS_FRONT = "127.0.0.1:8780"  # where a director listens unless its settings say otherwise
-SASP_FRONT = "127.0.0.1:3860"
+DEFAULT_STATUS_ADDRESS = "127.0.0.1:8780"  # default listen addresses in the settings
+DEFAULT_SASP_ADDRESS = "127.0.0.1:3860"
 
 as_json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """The host and port of ``HOST:PORT``; ``click.BadParameter`` if the text is not that."""
+    """Parse ``HOST:PORT``; ``click.BadParameter`` if the text is malformed."""
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdigit():
         raise click.BadParameter(f"{text!r} is not HOST:PORT")
--- a/rainpick/cli/record_commands.py
+++ b/rainpick/cli/record_commands.py
@@ -1,4 +1,4 @@
-"""``rainpick record``: the recorded days of directors, listed, checked, shown, exported and imported."""
+"""``rainpick record``: list, verify, show, export and import the records of directors."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-from rainpick.cli.errors import FAILED, WRONG_CALL, CommandError, report_errors
+from rainpick.cli.errors import FAILED, INVALID_USAGE, CommandError, report_errors
 from rainpick.cli.options import EXISTING_FOLDER, FILE, FOLDER
 
 if TYPE_CHECKING:
@@ -23,11 +23,11 @@
 @record.command("ls")
 @click.argument("folder", type=EXISTING_FOLDER)
 @report_errors
-def list_sessions(folder: str) -> None:
+def list_incarnations(folder: str) -> None:
     """The lives in a record: director, epoch, steps, seconds."""
-    from rainpick.cli.record_output import print_sessions
+    from rainpick.cli.record_output import print_incarnations
 
-    print_sessions(Path(folder))
+    print_incarnations(Path(folder))
 
 
 @record.command("verify")
@@ -43,7 +43,7 @@
             intact += 1
         else:
             defects += 1
-            click.echo(_describe_defect(entry))
+            click.echo(_format_defect(entry))
     click.echo(f"{intact} records are whole, {defects} places are not")
     sys.exit(FAILED if defects else 0)
 
@@ -93,12 +93,12 @@
     try:
         count = import_file(Path(file), Path(folder))
     except ExchangeError as error:
-        raise CommandError(str(error), WRONG_CALL) from None
+        raise CommandError(str(error), INVALID_USAGE) from None
     click.echo(f"{count} records")
 
 
-def _describe_defect(defect: Damage | Torn | Gap) -> str:
-    """A line of ``record verify``; its words are output, so they do not follow the names in the program."""
+def _format_defect(defect: Damage | Torn | Gap) -> str:
+    """Format a defect for ``record verify``. The field names are printed output and must not change."""
     from rainpick.store import Damage, Gap
 
     if isinstance(defect, Gap):
--- a/rainpick/cli/record_output.py
+++ b/rainpick/cli/record_output.py
@@ -1,4 +1,4 @@
-"""Records on the terminal: the sessions in them, their steps, and reports by the time that they are about."""
+"""Output of records: their incarnations, their steps, and load reports by the begin of their interval."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from rainpick.store import read
 
 
-def print_sessions(folder: Path) -> None:
-    """Print a row for each session of a director, from one start of it to the next."""
+def print_incarnations(folder: Path) -> None:
+    """Print a row for each incarnation in a record."""
     table = Table("director", "epoch", "module", "begun (UTC)", "seconds", "steps", "holes")
-    for session, steps in read_incarnations(read(folder)):
+    for incarnation, steps in read_incarnations(read(folder)):
         step_count = gap_count = 0
-        last_us = session.now
+        last_us = incarnation.now
         for step in steps:
             if isinstance(step, MissingSteps):
                 gap_count += 1
             else:
                 step_count += 1
                 last_us = step.now
-        begin = datetime.fromtimestamp(session.wall_us / 1e6, UTC).isoformat(timespec="seconds")
+        begin = datetime.fromtimestamp(incarnation.wall_us / 1e6, UTC).isoformat(timespec="seconds")
         table.add_row(
-            str(session.director),
-            session.epoch,
-            session.module[:12],
+            str(incarnation.director),
+            incarnation.epoch,
+            incarnation.module[:12],
             begin,
-            f"{(last_us - session.now) / 1e6:.1f}",
+            f"{(last_us - incarnation.now) / 1e6:.1f}",
             str(step_count),
             str(gap_count),
         )
@@ -41,37 +41,37 @@
 
 
 def print_steps(folders: list[Path], begin_s: float, end_s: float | None) -> None:
-    """Print the events and commands of all records on the wall clock.
+    """Print the events and commands of all records by wall clock time.
 
-    A line has the second since the first step, the director, the step's position in its record, and the event
-    or command. Steps before ``begin_s`` and after ``end_s`` are left out.
+    A line has the seconds since the first step, the director, the position of the step in its record, and the
+    event or command. Steps before ``begin_s`` and after ``end_s`` are omitted.
     """
     first_us = None
-    for moment in merge_by_wall_clock(folders):
-        first_us = moment.wall_us if first_us is None else first_us
-        second = (moment.wall_us - first_us) / 1e6
+    for timed_step in merge_by_wall_clock(folders):
+        first_us = timed_step.wall_us if first_us is None else first_us
+        second = (timed_step.wall_us - first_us) / 1e6
         if second < begin_s:
             continue
         if end_s is not None and second > end_s:
             break
-        prefix = f"{second:10.3f} {moment.incarnation.director} {moment.position:>7}"
-        if isinstance(moment.step, MissingSteps):
-            click.echo(f"{prefix} hole     {moment.step.reason}")
+        prefix = f"{second:10.3f} {timed_step.incarnation.director} {timed_step.position:>7}"
+        if isinstance(timed_step.step, MissingSteps):
+            click.echo(f"{prefix} hole     {timed_step.step.reason}")
             continue
-        for event in moment.step.events:
+        for event in timed_step.step.events:
             click.echo(f"{prefix} heard    {describe(event)}")
-        for command in moment.step.commands:
+        for command in timed_step.step.commands:
             click.echo(f"{prefix} ordered  {describe(command)}")
 
 
 def print_reports_by_time(folders: list[Path]) -> None:
-    """Print load reports by the begin of the time that they are about, with both positions in the order."""
+    """Print load reports by the begin of their interval, with the positions by begin and by receipt."""
     for folder in folders:
-        for session, steps in read_incarnations(read(folder)):
+        for incarnation, steps in read_incarnations(read(folder)):
             for position, received_position, report in reports_by_time(steps):
-                second = (report.began_us - session.now) / 1e6
+                second = (report.began_us - incarnation.now) / 1e6
                 delay_s = (report.received_us - report.began_us) / 1e6
                 click.echo(
-                    f"{second:10.3f} {session.director} {position:>7} heard as {received_position:>7}, "
+                    f"{second:10.3f} {incarnation.director} {position:>7} heard as {received_position:>7}, "
                     f"{delay_s:.3f} s after its begin: {describe(report.event)}"
                 )
--- a/rainpick/cli/replay_command.py
+++ b/rainpick/cli/replay_command.py
@@ -1,4 +1,4 @@
-"""``rainpick replay``: recorded days fed to the decisions again, compared, or inspected at a moment."""
+"""``rainpick replay``: replay recorded days, compare commands, or inspect the state at a point in time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import click
 
-from rainpick.cli.errors import FAILED, WRONG_CALL, CommandError, report_errors
+from rainpick.cli.errors import FAILED, INVALID_USAGE, CommandError, report_errors
 from rainpick.cli.options import EXISTING_FOLDER, FILE, as_json_option
 from rainpick.settings import decision_settings, load
 
@@ -47,7 +47,7 @@
 @click.option("--inspect", "subject", metavar="WHAT", help="fleet, server=HOST:PORT, table=N or proxy=N.")
 @click.option(
     "--life",
-    "session_number",
+    "incarnation_number",
     type=int,
     default=-1,
     help="With --inspect of one record: which, from 0; else the last.",
@@ -64,7 +64,7 @@
     module_path: str | None,
     until_s: float | None,
     subject: str | None,
-    session_number: int,
+    incarnation_number: int,
     page_file: str | None,
     as_json: bool,
 ) -> None:
@@ -77,24 +77,24 @@
     from rainpick.record.clock import replay_together
 
     paths = [Path(folder) for folder in folders]
-    changes, director = _alternatives(overrides, module_path)
-    replacement = decision_settings(load(settings_file)) if settings_file else None
+    setting_overrides, director_factory = _load_overrides(overrides, module_path)
+    replacement_settings = decision_settings(load(settings_file)) if settings_file else None
     if subject:
-        print_inspection(paths, subject, until_s, session_number, director, as_json)
+        print_inspection(paths, subject, until_s, incarnation_number, director_factory, as_json)
         return
-    replays = replay_together(paths, director, changes, replacement, compare=True)
-    if not replays:
-        raise CommandError(f"no life of a director is in {', '.join(folders)}", WRONG_CALL)
+    results = replay_together(paths, director_factory, setting_overrides, replacement_settings, compare=True)
+    if not results:
+        raise CommandError(f"no incarnation of a director is in {', '.join(folders)}", INVALID_USAGE)
     if page_file:
-        _write_page(Path(page_file), paths, replays)
-    print_replays(replays, as_json)
-    sys.exit(FAILED if any(played.differing or played.missing for played in replays) else 0)
+        _write_page(Path(page_file), paths, results)
+    print_replays(results, as_json)
+    sys.exit(FAILED if any(result.differing or result.missing for result in results) else 0)
 
 
-def _alternatives(
+def _load_overrides(
     overrides: tuple[str, ...], module_path: str | None
 ) -> tuple[dict[str, Any], Callable[[], Director]]:
-    """The settings that are overridden, and the decision module to play with."""
+    """Return the overridden settings and the factory of the directors that process the replay."""
     from rainpick.decisions.director import Director
     from rainpick.record.load import ModuleError, load_decisions, parse_setting_overrides
 
@@ -106,8 +106,8 @@
         raise click.BadParameter(str(error)) from None
 
 
-def _write_page(path: Path, folders: list[Path], replays: list[ReplayResult]) -> None:
-    """Write the report as one HTML page."""
+def _write_page(path: Path, folders: list[Path], results: list[ReplayResult]) -> None:
+    """Write the results as an HTML page."""
     from rainpick.record.page import page
 
-    path.write_text(page("Replay of " + ", ".join(folder.name for folder in folders), replays))
+    path.write_text(page("Replay of " + ", ".join(folder.name for folder in folders), results))
--- a/rainpick/cli/replay_output.py
+++ b/rainpick/cli/replay_output.py
@@ -1,4 +1,4 @@
-"""Replays of recorded days: where the commands differ, and what that means for callers."""
+"""Output of replays: where the commands differ, and the effect of the differences on requests."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
 from rainpick.record.replay import Difference, ReplayResult
 from rainpick.record.schema import describe
 
-SHOWN_ROWS = 8  # events and commands of the first difference, of each kind
+SHOWN_ROWS = 8  # number of rows of each kind in the first difference
 
 
-def print_replays(replays: list[ReplayResult], as_json: bool) -> None:
-    """Print what would have been decided differently, in text or as one line of JSON."""
+def print_replays(results: list[ReplayResult], as_json: bool) -> None:
+    """Print the differences of replays from their records, as text or as one line of JSON."""
     if as_json:
-        click.echo(json.dumps([_replay_json(played) for played in replays]))
+        click.echo(json.dumps([_replay_json(result) for result in results]))
         return
-    for played in replays:
-        _print_replay(played)
+    for result in results:
+        _print_replay(result)
 
 
-def _replay_json(played: ReplayResult) -> dict[str, Any]:
-    """One session as ``--json`` prints it; what was compared only if the session could be compared."""
+def _replay_json(result: ReplayResult) -> dict[str, Any]:
+    """Return the output of ``--json`` for an incarnation; it includes the comparison if there is one."""
     report = {
-        "director": played.incarnation.director,
-        "epoch": played.incarnation.epoch,
-        "steps": played.steps,
-        "orders": played.commands,
-        "differing": played.differing,
-        "hole": played.missing.reason if played.missing else None,
-        "first": _difference_json(played.first_difference, played.incarnation.now)
-        if played.first_difference
+        "director": result.incarnation.director,
+        "epoch": result.incarnation.epoch,
+        "steps": result.steps,
+        "orders": result.commands,
+        "differing": result.differing,
+        "hole": result.missing.reason if result.missing else None,
+        "first": _difference_json(result.first_difference, result.incarnation.now)
+        if result.first_difference
         else None,
     }
-    if played.comparison:
-        report |= _comparison_json(played.comparison, played.incarnation.now)
+    if result.comparison:
+        report |= _comparison_json(result.comparison, result.incarnation.now)
     return report
 
 
 def _difference_json(difference: Difference, begin_us: int) -> dict[str, Any]:
-    """The first step whose commands differ. ``begin_us``: the begin of the session."""
+    """Return the first step whose commands differ. ``begin_us`` is the start of the incarnation."""
     return {"second": (difference.now - begin_us) / 1e6, **_difference_rows(difference)}
 
 
 def _difference_rows(difference: Difference) -> dict[str, list[str]]:
-    """The events and commands around the difference, by the name they have in the output."""
+    """Return the events and commands around the difference, by their names in the output."""
     rows: dict[str, Sequence[object]] = {
         "heard_before": difference.events_before,
         "heard": difference.events,
@@ -61,46 +61,46 @@
     return {name: [describe(row) for row in group[:SHOWN_ROWS]] for name, group in rows.items()}
 
 
-def _comparison_json(compared: ComparisonResult, begin_us: int) -> dict[str, Any]:
-    """The comparison in terms of callers; pairs are recorded and replayed."""
+def _comparison_json(comparison: ComparisonResult, begin_us: int) -> dict[str, Any]:
+    """Return the output of ``--json`` for a comparison; pairs are recorded and replayed."""
     return {
-        "counts": compared.counts,
-        "throttled_s": compared.throttled_s,
-        "tells_until_s": compared.valid_until_s,
-        "parted": compared.diverted,
+        "counts": comparison.counts,
+        "throttled_s": comparison.throttled_s,
+        "tells_until_s": comparison.valid_until_s,
+        "parted": comparison.diverted,
         "moved": [
             {"server": row.server, "recorded": row.recorded, "replayed": row.replayed}
-            for row in compared.share_changes
+            for row in comparison.share_changes
         ],
         "nearest": {
-            name: [_nearest_json(nearest, begin_us) for nearest in pair]
-            for name, pair in compared.approaches.items()
+            name: [_approach_json(approach, begin_us) for approach in pair]
+            for name, pair in comparison.approaches.items()
         },
     }
 
 
-def _nearest_json(nearest: LimitApproach | None, begin_us: int) -> dict[str, Any] | None:
-    """The nearest approach to a limit, None if the limit was never near."""
-    if nearest is None:
+def _approach_json(approach: LimitApproach | None, begin_us: int) -> dict[str, Any] | None:
+    """Return the nearest approach to a limit, None if there is none."""
+    if approach is None:
         return None
-    return {"part": nearest.fraction, "second": (nearest.at_us - begin_us) / 1e6, "who": nearest.subject}
+    return {"part": approach.fraction, "second": (approach.at_us - begin_us) / 1e6, "who": approach.subject}
 
 
-def _print_replay(played: ReplayResult) -> None:
-    """Print one session: whether its commands differ, where first, and the comparison."""
+def _print_replay(result: ReplayResult) -> None:
+    """Print the result of an incarnation: whether commands differ, the first difference, the comparison."""
     verdict = "[green]the same[/green]"
-    if played.differing:
-        verdict = f"[red]{played.differing} steps differ[/red]"
-    end = f"; not to the end: {played.missing.reason}" if played.missing else ""
+    if result.differing:
+        verdict = f"[red]{result.differing} steps differ[/red]"
+    end = f"; not to the end: {result.missing.reason}" if result.missing else ""
     print_rich(
-        f"director {played.incarnation.director}, {played.incarnation.epoch}: {played.steps} steps, "
-        f"{played.commands} orders, {verdict}{end}"
+        f"director {result.incarnation.director}, {result.incarnation.epoch}: {result.steps} steps, "
+        f"{result.commands} orders, {verdict}{end}"
     )
-    if not played.first_difference:
+    if not result.first_difference:
         return
-    _print_difference(played.first_difference, played.incarnation.now)
-    if played.comparison is not None:
-        _print_comparison(played.comparison, played.incarnation.now)
+    _print_difference(result.first_difference, result.incarnation.now)
+    if result.comparison is not None:
+        _print_comparison(result.comparison, result.incarnation.now)
 
 
 def _print_difference(difference: Difference, begin_us: int) -> None:
@@ -110,33 +110,33 @@
             print_rich(f"  {name.replace('_', ' ')}: {row}", soft_wrap=True, markup=False)
 
 
-def _print_comparison(compared: ComparisonResult, begin_us: int) -> None:
+def _print_comparison(comparison: ComparisonResult, begin_us: int) -> None:
     validity = "the recorded reports tell of both to the end"
-    if compared.valid_until_s is not None:
+    if comparison.valid_until_s is not None:
         validity = (
-            f"[red]from {compared.valid_until_s:.0f} s on the recorded reports answer other decisions "
+            f"[red]from {comparison.valid_until_s:.0f} s on the recorded reports answer other decisions "
             "too much to tell how the day would have gone[/red]"
         )
-    print_rich(f"in the mean {compared.diverted:.1%} of the calls go to other servers; {validity}")
-    print_rich(_counts_table(compared, begin_us))
+    print_rich(f"in the mean {comparison.diverted:.1%} of the calls go to other servers; {validity}")
+    print_rich(_counts_table(comparison, begin_us))
     table = Table("server", "share of calls recorded", "replayed", title="whose share moves most")
-    for row in compared.share_changes:
+    for row in comparison.share_changes:
         table.add_row(row.server, f"{row.recorded:.4f}", f"{row.replayed:.4f}")
     print_rich(table)
 
 
-def _counts_table(compared: ComparisonResult, begin_us: int) -> Table:
-    """Counts, throttled time and nearest approaches to limits, recorded beside replayed."""
+def _counts_table(comparison: ComparisonResult, begin_us: int) -> Table:
+    """Return a table of counts, throttled time and nearest approaches to limits, recorded and replayed."""
     table = Table("", "recorded", "replayed")
-    for name, (recorded, replayed) in compared.counts.items():
+    for name, (recorded, replayed) in comparison.counts.items():
         table.add_row(name, str(recorded), str(replayed))
-    table.add_row("seconds throttled", *(f"{seconds:.1f}" for seconds in compared.throttled_s))
-    for name, pair in compared.approaches.items():
-        table.add_row(f"nearest: {name}", *(_describe_nearest(nearest, begin_us) for nearest in pair))
+    table.add_row("seconds throttled", *(f"{seconds:.1f}" for seconds in comparison.throttled_s))
+    for name, pair in comparison.approaches.items():
+        table.add_row(f"nearest: {name}", *(_format_approach(approach, begin_us) for approach in pair))
     return table
 
 
-def _describe_nearest(nearest: LimitApproach | None, begin_us: int) -> str:
-    if nearest is None:
+def _format_approach(approach: LimitApproach | None, begin_us: int) -> str:
+    if approach is None:
         return "-"
-    return f"{nearest.fraction:.0%} ({nearest.subject}, {(nearest.at_us - begin_us) / 1e6:.1f} s)"
+    return f"{approach.fraction:.0%} ({approach.subject}, {(approach.at_us - begin_us) / 1e6:.1f} s)"
--- a/rainpick/cli/run_command.py
+++ b/rainpick/cli/run_command.py
@@ -1,4 +1,4 @@
-"""``rainpick run``: one director as a process."""
+"""``rainpick run``: run a director in this process."""
 
 from __future__ import annotations
 
--- a/rainpick/cli/sasp_commands.py
+++ b/rainpick/cli/sasp_commands.py
@@ -1,11 +1,11 @@
-"""``rainpick sasp``: what a load balancer gets that speaks SASP with a director."""
+"""``rainpick sasp``: query a director as a load balancer does by SASP."""
 
 from __future__ import annotations
 
 import click
 
 from rainpick.cli.errors import report_errors
-from rainpick.cli.options import SASP_FRONT, parse_address
+from rainpick.cli.options import DEFAULT_SASP_ADDRESS, parse_address
 
 
 @click.group("sasp")
@@ -15,7 +15,7 @@
 
 @sasp.command("weights")
 @click.option(
-    "--at", "address", default=SASP_FRONT, show_default=True, help="Where the director speaks SASP."
+    "--at", "address", default=DEFAULT_SASP_ADDRESS, show_default=True, help="Where the director speaks SASP."
 )
 @click.option("--uid", default="rainpick-cli", show_default=True, help="LB UID; it counts as a proxy.")
 @click.option("--group", default="servers", show_default=True, help="Group name.")
--- a/rainpick/cli/status_command.py
+++ b/rainpick/cli/status_command.py
@@ -1,4 +1,4 @@
-"""``rainpick status``: the state of a running director."""
+"""``rainpick status``: print the state of a running director."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import click
 
 from rainpick.cli.errors import report_errors
-from rainpick.cli.options import STATUS_FRONT
+from rainpick.cli.options import DEFAULT_STATUS_ADDRESS
 from rainpick.cli.status_front import fetch_status
 
 
@@ -15,7 +15,7 @@
 @click.option(
     "--at",
     "address",
-    default=STATUS_FRONT,
+    default=DEFAULT_STATUS_ADDRESS,
     show_default=True,
     help="Where the director shows its state.",
 )
--- a/rainpick/cli/status_front.py
+++ b/rainpick/cli/status_front.py
@@ -1,4 +1,4 @@
-"""Requests to the status front of a director, and the shape of its answers."""
+"""Client of a director's status front, and the types of its JSON responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Pin(TypedDict):
-    """Who keeps a table at the content of a version, and why."""
+    """A pin of a table: the pinned version, the operator and the reason."""
 
     version: int
     who: str
@@ -19,7 +19,7 @@
 
 
 class TableSummary(TypedDict):
-    """A table: its newest version, its size, and the versions that can still be shown or rolled back to."""
+    """A table: its latest version and size. ``kept`` has the versions that can be shown or rolled back to."""
 
     table: int
     version: int
@@ -32,7 +32,7 @@
 
 
 class TableVersion(TypedDict):
-    """The content of one version: the weight of each server, 0 for one that gets no calls."""
+    """The entries of a version: the weight of each server, 0 if it gets no attempts."""
 
     table: int
     version: int
@@ -41,7 +41,7 @@
 
 
 class ServerStatus(TypedDict):
-    """A server of the endpoint list. ``tables``: its published weight by table number."""
+    """A server of the endpoint list. ``tables`` has its published weight by table number."""
 
     address: str
     state: str
@@ -55,7 +55,7 @@
 
 
 class ProxyStatus(TypedDict):
-    """A proxy that has joined. ``table`` is None while it has the table it was started with."""
+    """A proxy that has joined. ``table`` is None while the proxy uses its default table."""
 
     uid: str
     number: int
@@ -67,13 +67,13 @@
 
 
 class StreamCounts(TypedDict):
-    """Streams of members and proxies."""
+    """Counts of streams of members and proxies."""
 
     open: int
 
 
 class ChannelStatus(TypedDict):
-    """The queue of messages to proxies, in lines of tables."""
+    """The channel to the proxies; ``lines`` are queued, ``lines_most`` is the maximum so far."""
 
     lines: int
     lines_most: int
@@ -83,13 +83,13 @@
 
 
 class CommandCounts(TypedDict):
-    """What the decisions have caused so far."""
+    """Counts of effects of the decisions so far."""
 
     messages: int
 
 
 class DirectorStatus(TypedDict):
-    """What GET /status answers, as far as it is read here; until the decisions begin it has no channel."""
+    """The used fields of the response to GET /status. ``channel`` is absent until the decisions begin."""
 
     director: int
     phase: str
@@ -104,44 +104,44 @@
 
 
 def fetch_status(address: str) -> DirectorStatus:
-    """The whole state of the director whose status front is at ``HOST:PORT``."""
-    code, body = _call(address, "GET", "/status")
+    """Return the state of the director whose status front is at ``HOST:PORT``."""
+    code, body = _request(address, "GET", "/status")
     if code != 200:
         raise CommandError(f"{address} answers {code}: {body.decode(errors='replace')}")
     return cast(DirectorStatus, json.loads(body))
 
 
 def fetch_tables(address: str) -> list[TableSummary]:
-    """A summary of each table."""
-    state = _call_json(address, "GET", "/status")
+    """Return a summary of each table."""
+    state = _request_json(address, "GET", "/status")
     return cast(list[TableSummary], state.get("tables", []))
 
 
 def fetch_table_version(address: str, table: int, version: int | None) -> TableVersion:
-    """The content of a version, the newest if ``version`` is None."""
+    """Return the entries of a version, the latest if ``version`` is None."""
     fields = {"table": table, "version": version}
-    return cast(TableVersion, _call_json(address, "POST", "/tables/show", fields))
+    return cast(TableVersion, _request_json(address, "POST", "/tables/show", fields))
 
 
 def change_table(address: str, action: str, fields: Mapping[str, int | str | None]) -> TableSummary:
-    """Pin, roll back or release a table; its state after that."""
-    return cast(TableSummary, _call_json(address, "POST", f"/tables/{action}", fields))
+    """Pin, roll back or release a table, and return its state after the change."""
+    return cast(TableSummary, _request_json(address, "POST", f"/tables/{action}", fields))
 
 
-def _call_json(
+def _request_json(
     address: str, method: str, path: str, fields: Mapping[str, int | str | None] | None = None
 ) -> dict[str, object]:
-    """The object in the answer; ``CommandError`` with the director's reason if it refuses."""
-    code, body = _call(address, method, path, b"" if fields is None else json.dumps(fields).encode())
-    answer: dict[str, object] = json.loads(body)
+    """Send a request and return the JSON object of the response; ``CommandError`` if it is an error."""
+    code, body = _request(address, method, path, b"" if fields is None else json.dumps(fields).encode())
+    response: dict[str, object] = json.loads(body)
     if code != 200:
-        raise CommandError(str(answer.get("error", code)))
-    return answer
+        raise CommandError(str(response.get("error", code)))
+    return response
 
 
-def _call(address: str, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-    """The status code and body of the answer."""
+def _request(address: str, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+    """Send a request and return the status code and the body of the response."""
     from rainpick.http1.client import Client
 
-    code, _, answer = Client(*parse_address(address)).call(method, path, body)
-    return code, answer
+    code, _, response = Client(*parse_address(address)).call(method, path, body)
+    return code, response
--- a/rainpick/cli/status_output.py
+++ b/rainpick/cli/status_output.py
@@ -1,4 +1,4 @@
-"""The state of a director as tables on the terminal."""
+"""Output of a director's state as tables."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def print_status(state: DirectorStatus) -> None:
-    """Print the state; before the decisions begin there are only the first figures of the process."""
+    """Print the state. Before the decisions begin, it consists only of figures of the process."""
     print_rich(
         f"director {state['director']}: {state['phase']}, up {state['up_s']:.0f} s, "
         f"{state['threads']} threads, {state['streams']['open']} streams"
--- a/rainpick/cli/tables_commands.py
+++ b/rainpick/cli/tables_commands.py
@@ -1,4 +1,4 @@
-"""``rainpick tables``: the versions of the tables that proxies follow, and the operators' hold on them."""
+"""``rainpick tables``: show, compare and pin versions of the tables that are published to proxies."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import click
 
 from rainpick.cli.errors import report_errors
-from rainpick.cli.options import STATUS_FRONT, as_json_option
+from rainpick.cli.options import DEFAULT_STATUS_ADDRESS, as_json_option
 from rainpick.cli.status_front import (
     TableVersion,
     change_table,
@@ -16,7 +16,7 @@
 )
 
 address_option = click.option(
-    "--at", "address", default=STATUS_FRONT, show_default=True, help="The director's status front."
+    "--at", "address", default=DEFAULT_STATUS_ADDRESS, show_default=True, help="The director's status front."
 )
 who_option = click.option("--who", required=True, help="Who does it; it is logged.")
 why_option = click.option("--why", required=True, help="Why; it is logged.")
@@ -108,14 +108,14 @@
 
 
 def _print_lines(content: TableVersion) -> None:
-    """Print a version: a head, then a line for each server."""
+    """Print a version: a header, then a line for each server."""
     click.echo(f"table {content['table']}, version {content['version']}, digest {content['digest']}")
     for server, weight in content["lines"].items():
         click.echo(f"{server:<24} {weight:>6}{'' if weight else '  shut out'}")
 
 
 def _change(address: str, action: str, fields: dict[str, int | str | None]) -> None:
-    """Change a table and print its state after that."""
+    """Change a table and print its state after the change."""
     summary = change_table(address, action, fields)
     pinned = summary["pinned"]
     state = f"pinned to the content of {pinned['version']}" if pinned else "not pinned"
--- a/rainpick/cli/tables_output.py
+++ b/rainpick/cli/tables_output.py
@@ -1,4 +1,4 @@
-"""The list of tables on the terminal."""
+"""Output of the list of tables."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
             str(summary["open"]),
             str(summary["proxies"]),
             f"{versions[0]} to {versions[-1]}" if versions else "-",
-            _describe_pin(summary["pinned"]),
+            _format_pin(summary["pinned"]),
         )
     print_rich(rows)
 
 
-def _describe_pin(pin: Pin | None) -> str:
-    """What the table is pinned to, by whom and why."""
+def _format_pin(pin: Pin | None) -> str:
+    """Format the version, the operator and the reason of a pin."""
     return f"content of {pin['version']}, {pin['who']}: {pin['why']}" if pin else ""
--- a/rainpick/cli/verdict_output.py
+++ b/rainpick/cli/verdict_output.py
@@ -1,4 +1,4 @@
-"""The verdict on a day: service, published weights over time, and the five rules."""
+"""Output of the verdict on a day: service, published weights over time, and the five rules."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 BARS = " ▁▂▃▄▅▆▇█"
 CHART_SERVERS = 6
 CHART_COLUMNS = 48
-SHOWN_BREACHES = 5  # of each rule
+SHOWN_BREACHES = 5  # per rule
 
 
 class WeightSample(NamedTuple):
-    """The weight of a server from a moment on, in the time of the logs."""
+    """The weight of a server from ``at_us`` on, in the time of the logs."""
 
     at_us: int
     weight: int
 
 
 def verdict_json(verdict: Verdict, goal: float, good: bool) -> dict[str, Any]:
-    """The verdict as ``--json`` prints it."""
+    """Return the output of ``--json`` for a verdict."""
     return {
         "good": good,
         "service": verdict.service_ratio(),
@@ -47,7 +47,7 @@
 
 
 def print_verdict(verdict: Verdict, log_folder: Path, goal: float, good: bool) -> None:
-    """Print the verdict. ``goal``: the service to reach, in 0 to 1."""
+    """Print the verdict. ``goal`` is the required service ratio, from 0 to 1."""
     print_rich(_service_table(verdict))
     print_rich(_weights_table(_weight_histories(log_folder), verdict.span))
     print_rich(_rules_table(verdict.rules))
@@ -71,7 +71,7 @@
 
 
 def _percentile(values: list[int], fraction: float) -> float:
-    """The value that ``fraction`` of the values lie under; 0 of no values."""
+    """Return the value below which ``fraction`` of the values lie; 0 if there are no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
@@ -100,7 +100,7 @@
 
 
 def _print_breaches(verdict: Verdict) -> None:
-    """The first breaches of each rule, in seconds from the begin of the day."""
+    """Print the first breaches of each rule, with seconds since the start of the day."""
     for rule in verdict.rules:
         for breach in rule.breaches[:SHOWN_BREACHES]:
             second = (breach.at - verdict.span[0]) / 1e6
@@ -108,7 +108,7 @@
 
 
 def _weight_histories(log_folder: Path) -> dict[str, list[WeightSample]]:
-    """By server, the mean of its weight over the proxies that have the server in their table."""
+    """Return the mean weight over time by server, over the proxies that have the server in their table."""
     histories: dict[str, list[WeightSample]] = defaultdict(list)
     weights_by_proxy: dict[str, dict[str, int]] = defaultdict(dict)
     for event in read_logs(log_folder):
@@ -126,7 +126,7 @@
 
 
 def _weights_table(histories: dict[str, list[WeightSample]], span_us: tuple[int, int]) -> Table:
-    """A chart for each of the servers whose weight took the most different values."""
+    """Return a table with a chart for each of the servers with the most distinct weights."""
     highest = max((sample.weight for history in histories.values() for sample in history), default=0)
     distinct = {server: len({sample.weight for sample in history}) for server, history in histories.items()}
     most_changed = sorted(histories, key=lambda server: -distinct[server])[:CHART_SERVERS]
@@ -134,12 +134,14 @@
     table.add_column("from begin to end", no_wrap=True)
     for server in sorted(most_changed):
         weights = _weights_by_column(histories[server], span_us)
-        table.add_row(server, str(weights[-1]), "".join(_bar(weight, highest) for weight in weights))
+        table.add_row(
+            server, str(weights[-1]), "".join(_bar_character(weight, highest) for weight in weights)
+        )
     return table
 
 
 def _weights_by_column(history: list[WeightSample], span_us: tuple[int, int]) -> list[int]:
-    """The weight at the end of each column of the chart; 0 until the first sample."""
+    """Return the weight at the end of each column of the chart; 0 before the first sample."""
     begin_us, end_us = span_us
     weights, weight, index = [], 0, 0
     for column in range(CHART_COLUMNS):
@@ -151,8 +153,8 @@
     return weights
 
 
-def _bar(weight: int, highest: int) -> str:
-    """The character for a weight; any weight above 0 is visible."""
+def _bar_character(weight: int, highest: int) -> str:
+    """Return the character of a weight. Rounding up makes every weight above 0 visible."""
     if not highest:
         return " "
     rounded_up = -(-(len(BARS) - 1) * weight // highest)
--- a/rainpick/cli/weights_output.py
+++ b/rainpick/cli/weights_output.py
@@ -1,4 +1,4 @@
-"""The weights that a director gives to a load balancer over SASP, printed as they come."""
+"""Output of the weights that a director sends to a load balancer by SASP."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from rainpick.sasp.messages import GetWeights, Group, MemberGroup, Registration, SetLbState, WeightGroup
 from rainpick.simulated_peers.sasp_client import SaspClient
 
-FIRST_WEIGHTS_S = 2.0  # how long the first weights are waited for while there are none
-POLL_S = 0.05
-PUSH_WAIT_S = 3600.0
+FIRST_WEIGHTS_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 0.05
+PUSH_TIMEOUT_S = 3600.0
 FLAG_NAMES = {
     CONTACT: "contact",
     QUIESCE: "quiesce",
@@ -32,7 +32,7 @@
 
 
 def print_weights(address: tuple[str, int], uid: str, group_name: str, follow: bool, as_json: bool) -> None:
-    """Join as a load balancer, print the weights, leave. ``follow``: print each change until Ctrl-C."""
+    """Join as a load balancer, print the weights and leave. ``follow`` prints changes until Ctrl-C."""
     client = SaspClient(address)
     group = Group(uid, group_name)
     try:
@@ -41,7 +41,7 @@
             _print_groups(_first_weights(client, group), as_json)
             return
         while True:
-            for message in client.receive_weights(PUSH_WAIT_S):
+            for message in client.receive_weights(PUSH_TIMEOUT_S):
                 _print_groups(message.groups, as_json)
     except KeyboardInterrupt:
         return
@@ -50,7 +50,7 @@
 
 
 def _join(client: SaspClient, group: Group, follow: bool) -> None:
-    """Register as a load balancer. ``follow``: weights are pushed, and only those that changed."""
+    """Register as a load balancer. With ``follow`` only changed weights are pushed."""
     flags = TRUST | (PUSH | NO_CHANGE if follow else 0)
     requests: tuple[SetLbState | Registration, ...] = (
         SetLbState(group.uid, flags=flags),
@@ -63,11 +63,11 @@
 
 
 def _first_weights(client: SaspClient, group: Group) -> tuple[WeightGroup, ...]:
-    """Poll until there are weights: who has just joined has none before the next step of the decisions."""
-    deadline = time.monotonic() + FIRST_WEIGHTS_S
+    """Poll until there are weights: a new load balancer has none before the next step of the decisions."""
+    deadline = time.monotonic() + FIRST_WEIGHTS_TIMEOUT_S
     groups = _poll(client, group)
     while not any(weights.entries for weights in groups) and time.monotonic() < deadline:
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
         groups = _poll(client, group)
     return groups
 
@@ -78,7 +78,7 @@
 
 
 def _print_groups(groups: tuple[WeightGroup, ...], as_json: bool) -> None:
-    """Print the entries of one message: a line each, or all of them as one line of JSON."""
+    """Print the entries of a message, one per line or all as one line of JSON."""
     rows = [(*entry.member.key(), entry.weight, entry.flags) for group in groups for entry in group.entries]
     if as_json:
         entries = [
@@ -92,5 +92,5 @@
 
 
 def _flag_names(flags: int) -> str:
-    """The names of the flags of a weight entry, ``-`` if none is set."""
+    """Return the names of the flags of a weight entry, ``-`` if no flag is set."""
     return " ".join(name for flag, name in FLAG_NAMES.items() if flags & flag) or "-"
