--- a/tests/compat/__init__.py
+++ b/tests/compat/__init__.py
@@ -1,1 +1,1 @@
-"""What users have stored stays readable, whatever is renamed in the code."""
+"""Compatibility of stored data, bytes on the wire and decisions, independent of names in the code."""
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -1,8 +1,8 @@
-"""Values of today's types in a form without names of the program, as the data files under ``wire`` hold them.
+"""Conversion of values to and from the neutral form of the data files under ``wire``.
 
-A value of one of the types below is written as its neutral name and its fields in order, and is made from
-these by position: another name for a type is another line here, another name for a field is nothing, and the
-data files stay as they are.
+The neutral form contains no names of the program: a value of one of the types below consists of a neutral
+type name and the fields by position. When a type is renamed, its line in ``TYPES`` changes; when a field is
+renamed, nothing changes. The data files do not change in either case.
 """
 
 from enum import IntEnum
@@ -109,53 +109,55 @@
     "http: asked": http.Request,
     "http: answer": http.Response,
 }
-NEUTRAL = {kind: name for name, kind in TYPES.items()}
+NEUTRAL_NAMES = {value_type: name for name, value_type in TYPES.items()}
 
 
-def shown_bytes(data):
-    """Readable where that is exact: printable ASCII and ends of lines; else hexadecimal digits."""
+def neutral_bytes(data):
+    """Convert bytes to text if they are printable ASCII and line ends, otherwise to hexadecimal digits."""
     if data and all(32 <= byte < 127 or byte in b"\r\n" for byte in data):
         return {"text": data.decode("ascii")}
     return {"hex": data.hex()}
 
 
-def shown(value):
-    """The neutral form, of JSON's kinds only."""
+def to_neutral(value):
+    """Convert a value to its neutral form, which consists of JSON types only."""
     if isinstance(value, IntEnum):
         value = int(value)
-    kind = type(value)
-    if value is None or kind in (bool, int, float, str):
+    value_type = type(value)
+    if value is None or value_type in (bool, int, float, str):
         return value
-    if kind in (bytes, bytearray):
-        return shown_bytes(bytes(value))
-    if kind in NEUTRAL:
+    if value_type in (bytes, bytearray):
+        return neutral_bytes(bytes(value))
+    if value_type in NEUTRAL_NAMES:
         fields = msgspec.structs.astuple(value) if isinstance(value, msgspec.Struct) else tuple(value)
-        if kind in (mqtt.Connect, mqtt.Connack, mqtt.Publish, mqtt.Disconnect):
-            fields = tuple(numbered(field) if type(field) is dict else field for field in fields)
-        return {"is": NEUTRAL[kind], "values": [shown(field) for field in fields]}
-    if kind in (set, frozenset):
-        return sorted(map(shown, value))
-    if kind in (list, tuple):
-        return [shown(item) for item in value]
-    if kind is dict:
-        return {"map": [[shown(name), shown(item)] for name, item in value.items()]}
-    raise TypeError(f"{kind.__name__} has no neutral name")
+        if value_type in (mqtt.Connect, mqtt.Connack, mqtt.Publish, mqtt.Disconnect):
+            fields = tuple(
+                properties_by_identifier(field) if type(field) is dict else field for field in fields
+            )
+        return {"is": NEUTRAL_NAMES[value_type], "values": [to_neutral(field) for field in fields]}
+    if value_type in (set, frozenset):
+        return sorted(map(to_neutral, value))
+    if value_type in (list, tuple):
+        return [to_neutral(item) for item in value]
+    if value_type is dict:
+        return {"map": [[to_neutral(name), to_neutral(item)] for name, item in value.items()]}
+    raise TypeError(f"{value_type.__name__} has no neutral name")
 
 
-def numbered(properties):
-    """The properties of a packet by the standard's identifiers, not by our names for them."""
+def properties_by_identifier(properties):
+    """Convert MQTT properties from names in the program to identifiers of the standard."""
     return {mqtt.IDENTIFIERS[name][0]: value for name, value in properties.items()}
 
 
-def named(properties):
-    """The reverse of ``numbered``."""
+def properties_by_name(properties):
+    """Convert MQTT properties from identifiers of the standard to names in the program."""
     return {mqtt.PROPERTIES[number][0]: value for number, value in properties.items()}
 
 
-def made(form):
-    """The value of a neutral form; lists become tuples."""
+def from_neutral(form):
+    """Convert a neutral form to a value; lists become tuples."""
     if isinstance(form, list):
-        return tuple(made(item) for item in form)
+        return tuple(from_neutral(item) for item in form)
     if not isinstance(form, dict):
         return form
     if "text" in form:
@@ -163,9 +165,9 @@
     if "hex" in form:
         return bytes.fromhex(form["hex"])
     if "map" in form:
-        return {made(name): made(item) for name, item in form["map"]}
-    kind = TYPES[form["is"]]
-    fields = [made(field) for field in form["values"]]
-    if kind in (mqtt.Connect, mqtt.Connack, mqtt.Publish, mqtt.Disconnect):
-        fields = [named(field) if type(field) is dict else field for field in fields]
-    return kind(*fields)
+        return {from_neutral(name): from_neutral(item) for name, item in form["map"]}
+    value_type = TYPES[form["is"]]
+    fields = [from_neutral(field) for field in form["values"]]
+    if value_type in (mqtt.Connect, mqtt.Connack, mqtt.Publish, mqtt.Disconnect):
+        fields = [properties_by_name(field) if type(field) is dict else field for field in fields]
+    return value_type(*fields)
--- a/tests/compat/operations_command.py
+++ b/tests/compat/operations_command.py
@@ -1,4 +1,4 @@
-"""What the command line prints today, from fixed input: help, a fixed status, a record, files."""
+"""The operations that the cases in ``wire/command.jsonl`` name: output of commands for fixed input."""
 
 import contextlib
 import json
@@ -14,85 +14,93 @@
 from rainpick.http1.messages import Response
 from rainpick.http1.server import Server
 from tests.compat.operations_mqtt import inline_references
-from tests.compat.operations_status import as_listed, kinds
+from tests.compat.operations_status import json_structure, maps_as_pairs
 
-SAMPLE = Path(__file__).parents[1] / "record" / "samples" / "without-types"
-WIDTH = 160
+SAMPLE_RECORD = Path(__file__).parents[1] / "record" / "samples" / "without-types"
+TERMINAL_WIDTH = 160
 
 
-def printed(words, **places):
-    """Exit code and text. Places of this run are named ``{name}`` in the words and in what is printed."""
-    words = [word.format(**places) for word in words]
-    plain = Console(highlight=False, width=WIDTH, force_terminal=False, _environ={})
+def run_command(arguments, **replacements):
+    """Run a command and return its exit code and output.
+
+    Paths and addresses of this run are written as ``{name}`` in the arguments and in the output.
+    """
+    arguments = [argument.format(**replacements) for argument in arguments]
+    plain = Console(highlight=False, width=TERMINAL_WIDTH, force_terminal=False, _environ={})
     with patch.object(terminal, "console", plain):
-        found = CliRunner().invoke(main, words, prog_name="rainpick")
-    text = found.output
-    for name, place in places.items():
-        text = text.replace(place, "{" + name + "}")
-    return [found.exit_code, text]
+        result = CliRunner().invoke(main, arguments, prog_name="rainpick")
+    text = result.output
+    for name, value in replacements.items():
+        text = text.replace(value, "{" + name + "}")
+    return [result.exit_code, text]
 
 
-def on_record(words):
-    return printed(words, sample=str(SAMPLE))
+def run_on_record(arguments):
+    return run_command(arguments, sample=str(SAMPLE_RECORD))
 
 
-def on_record_keys(words):
-    """Only the keys of printed JSON: values depend on the decisions."""
-    code, text = on_record(words)
-    return [code, as_listed(kinds(json.loads(text)))]
+def run_on_record_keys(arguments):
+    """Return only the keys of printed JSON, since the values depend on the decisions."""
+    code, text = run_on_record(arguments)
+    return [code, maps_as_pairs(json_structure(json.loads(text)))]
 
 
-def on_record_steps(words):
-    """What is printed of steps, with neutral words for the names of types and fields."""
-    code, text = on_record(words)
+def run_on_record_steps(arguments):
+    """Return printed steps with the names of types and fields masked."""
+    code, text = run_on_record(arguments)
     return [code, re.sub(r"\b\w+=", "FIELD=", re.sub(r"\b[A-Z]\w+\(", "TYPE(", text))]
 
 
-def with_file(words):
-    """A command that reads one file, which lies in the folder where it runs."""
-    text, words = words
+def run_with_file(case):
+    """Run a command that reads a file in its working directory."""
+    text, arguments = case
     with TemporaryDirectory() as folder, contextlib.chdir(folder):
         Path("file.json5").write_bytes(text)
-        return printed(words)
+        return run_command(arguments)
 
 
-def schema(words):
-    """A printed JSON Schema without the names and texts of types."""
-    _, text = printed(words)
-    found = json.loads(text)
-    return inline_references({name: part for name, part in found.items() if name != "$defs"}, found["$defs"])
+def printed_schema(arguments):
+    """Return a printed JSON Schema without the names and texts of types."""
+    _, text = run_command(arguments)
+    schema = json.loads(text)
+    return inline_references(
+        {name: part for name, part in schema.items() if name != "$defs"}, schema["$defs"]
+    )
 
 
 @contextlib.contextmanager
-def front(answers):
-    """A status front that gives fixed answers and keeps what it was asked."""
-    asked = []
+def status_front(responses):
+    """Run a status front that sends fixed responses and records the requests."""
+    requests = []
 
-    def handle(one):
-        asked.append([one.method, one.path, one.body])
-        return Response(*answers[one.path])
+    def handle(request):
+        requests.append([request.method, request.path, request.body])
+        return Response(*responses[request.path])
 
     server = Server("status", ("127.0.0.1", 0), handle)
     try:
-        yield "%s:%d" % server.address, asked
+        yield "%s:%d" % server.address, requests
     finally:
         server.close()
 
 
-def on_front(words):
-    """What a command prints and asks of a front that answers so: path, status, body."""
-    words, answers = words
-    with front({path: (status, body) for path, status, body in answers}) as (at, asked):
-        return [*printed([*words, "--at", "{at}"], at=at), asked]
+def run_on_status_front(case):
+    """Run a command against a status front with fixed responses; return its output and its requests.
+
+    A response is given by path, status code and body.
+    """
+    arguments, responses = case
+    with status_front({path: (status, body) for path, status, body in responses}) as (at, requests):
+        return [*run_command([*arguments, "--at", "{at}"], at=at), requests]
 
 
 OPERATIONS = {
-    "printed": printed,
-    "on record": on_record,
-    "on record, keys": on_record_keys,
-    "on record, steps": on_record_steps,
-    "with file": with_file,
-    "schema": schema,
-    "on front": on_front,
+    "printed": run_command,
+    "on record": run_on_record,
+    "on record, keys": run_on_record_keys,
+    "on record, steps": run_on_record_steps,
+    "with file": run_with_file,
+    "schema": printed_schema,
+    "on front": run_on_status_front,
 }
 ERRORS = {}
--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -1,4 +1,4 @@
-"""What the status front of a running director answers today: keys, kinds of values, refusals."""
+"""The operations that the cases in ``wire/status.jsonl`` name: responses of a director's status front."""
 
 import json
 from tempfile import TemporaryDirectory
@@ -7,59 +7,62 @@
 from tests.loopback.help import MemberEnd, ProxyEnd, running
 from tests.waiting import until
 
-BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # maps under these names have keys that are no words of ours
+BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # fields that are maps by number or address
 
 
-def kinds(value, name=""):
-    """A tree's keys, with the kinds of values in place of values. Whole numbers and others are one kind."""
+def json_structure(value, name=""):
+    """Replace the values of decoded JSON by their types. Integers and other numbers are one type."""
     if isinstance(value, dict):
         if name in BY_NUMBER_OR_ADDRESS:
-            return ["map of", *sorted({json.dumps(kinds(item)) for item in value.values()})]
-        return {key: kinds(item, key) for key, item in value.items()}
+            return ["map of", *sorted({json.dumps(json_structure(item)) for item in value.values()})]
+        return {key: json_structure(item, key) for key, item in value.items()}
     if isinstance(value, list):
-        return ["list of", *sorted({json.dumps(kinds(item)) for item in value})]
+        return ["list of", *sorted({json.dumps(json_structure(item)) for item in value})]
     if value is None or isinstance(value, bool):
         return json.dumps(value) if value is None else "truth"
     return "number" if isinstance(value, int | float) else "text"
 
 
-def asked(client, method, path, words=None):
-    status, _, body = client.call(method, path, b"" if words is None else json.dumps(words).encode())
+def send_request(client, method, path, fields=None):
+    status, _, body = client.call(method, path, b"" if fields is None else json.dumps(fields).encode())
     return status, json.loads(body)
 
 
-def with_director(ask):
-    """Ask a director that has two servers and a proxy which holds both, and that records its day."""
+def with_director(query):
+    """Call ``query`` with a client of a recording director; a proxy has received its two servers."""
     with (
         TemporaryDirectory() as folder,
         running(f'record: {{folder: "{folder}", sync: false}}', mqtt=True) as daemon,
     ):
         client = Client(*daemon.status)
         MemberEnd(daemon, 9001, 9002)
-        ProxyEnd(daemon, "edge-1").until(lambda held: len(held) == 2)
+        ProxyEnd(daemon, "edge-1").until(lambda weights: len(weights) == 2)
         until(
-            lambda: [row["proxies"] for row in asked(client, "GET", "/status")[1]["tables"]] == [1], "a table"
+            lambda: [row["proxies"] for row in send_request(client, "GET", "/status")[1]["tables"]] == [1],
+            "a table",
         )
         try:
-            return ask(client)
+            return query(client)
         finally:
             client.close()
 
 
 def status_keys(_):
-    return with_director(lambda client: as_listed(kinds(asked(client, "GET", "/status")[1])))
+    return with_director(
+        lambda client: maps_as_pairs(json_structure(send_request(client, "GET", "/status")[1]))
+    )
 
 
-def as_listed(tree):
-    """Maps as lists of pairs, so that the order of keys counts."""
+def maps_as_pairs(tree):
+    """Convert maps to lists of pairs, so that the order of keys is compared."""
     if isinstance(tree, dict):
-        return [[key, as_listed(item)] for key, item in tree.items()]
+        return [[key, maps_as_pairs(item)] for key, item in tree.items()]
     if isinstance(tree, list):
-        return ["list", *map(as_listed, tree)]
+        return ["list", *map(maps_as_pairs, tree)]
     return tree
 
 
-DEEDS = {
+ACTION_FIELDS = {
     "show": {"table": None},
     "pin": {"table": None, "who": "staff", "why": "a test"},
     "rollback": {"table": None, "version": None, "who": "staff", "why": "a test"},
@@ -67,26 +70,29 @@
 }
 
 
-def deed_keys(deeds):
-    """The answers to deeds on a table, one after another."""
+def action_keys(actions):
+    """Return the responses to consecutive actions on a table."""
 
-    def ask(client):
-        number = asked(client, "GET", "/status")[1]["tables"][0]["table"]
-        found = [asked(client, "POST", f"/tables/{deed}", DEEDS[deed] | {"table": number}) for deed in deeds]
-        return [[status, as_listed(kinds(answer))] for status, answer in found]
+    def query(client):
+        number = send_request(client, "GET", "/status")[1]["tables"][0]["table"]
+        responses = [
+            send_request(client, "POST", f"/tables/{action}", ACTION_FIELDS[action] | {"table": number})
+            for action in actions
+        ]
+        return [[status, maps_as_pairs(json_structure(response))] for status, response in responses]
 
-    return with_director(ask)
+    return with_director(query)
 
 
-def refusals(requests):
-    """Status and body of what the front does not do."""
+def error_responses(requests):
+    """Return status code, content type and body of the responses to invalid requests."""
 
-    def ask(client):
-        found = [client.call(method, path, body) for method, path, body in requests]
-        return [[status, headers.get("content-type"), body] for status, headers, body in found]
+    def query(client):
+        responses = [client.call(method, path, body) for method, path, body in requests]
+        return [[status, headers.get("content-type"), body] for status, headers, body in responses]
 
-    return with_director(ask)
+    return with_director(query)
 
 
-OPERATIONS = {"status keys": status_keys, "deed keys": deed_keys, "refusals": refusals}
+OPERATIONS = {"status keys": status_keys, "deed keys": action_keys, "refusals": error_responses}
 ERRORS = {}
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -1,7 +1,7 @@
-"""Each protocol's bytes against data files that were written once: see ``wire/README.md``.
+"""Bytes and values of each protocol against data files that are never regenerated; see ``wire/README.md``.
 
-A line of a file: its name, the operation, what goes in and what must come out. The operations are in the
-``operations_*`` modules; ``forms`` says how values of our types stand in the files.
+A line of a file is a case: its name, the operation, the input and the expected output. The operations are in
+the ``operations_*`` modules; ``forms`` defines the form of values in the files.
 """
 
 import json
@@ -18,7 +18,7 @@
     operations_simhost,
     operations_status,
 )
-from tests.compat.forms import made, shown
+from tests.compat.forms import from_neutral, to_neutral
 
 WIRE = Path(__file__).parent / "wire"
 PROTOCOLS = {
@@ -38,27 +38,30 @@
 
 
 def outcome(protocol, case):
-    """What an operation gives, in the neutral form; an error as its neutral name, its text and its values."""
+    """Return the result of an operation in the neutral form; errors as neutral name, text and values."""
     module = PROTOCOLS[protocol]
     operation = module.OPERATIONS[case["operation"]]
     try:
-        return shown(operation(made(case["in"])))
+        return to_neutral(operation(from_neutral(case["in"])))
     except (*module.ERRORS, ValueError) as error:
-        name = next((module.ERRORS[kind] for kind in type(error).__mro__ if kind in module.ERRORS), "value")
-        return {"error": name, "says": str(error), "with": shown(list(vars(error).values()))}
+        name = next(
+            (module.ERRORS[error_type] for error_type in type(error).__mro__ if error_type in module.ERRORS),
+            "value",
+        )
+        return {"error": name, "says": str(error), "with": to_neutral(list(vars(error).values()))}
 
 
 @pytest.mark.parametrize("protocol, case", CASES, ids=[f"{name}: {case['name']}" for name, case in CASES])
-def test_the_bytes_and_values_are_those_of_the_file(protocol, case):
-    """Also their order and kinds: 1, 1.0 and true are three things on a wire."""
-    found, wanted = outcome(protocol, case), case["out"]
-    assert found == wanted
-    assert json.dumps(found) == json.dumps(wanted)
+def test_bytes_and_values_are_equal_to_the_data_file(protocol, case):
+    """The order and the types are compared, too: 1, 1.0 and true differ on the wire."""
+    actual, expected = outcome(protocol, case), case["out"]
+    assert actual == expected
+    assert json.dumps(actual) == json.dumps(expected)
 
 
 @pytest.mark.parametrize("protocol", PROTOCOLS)
-def test_every_operation_and_name_is_used(protocol):
-    """A file from which lines were lost, or a name twice, is told."""
+def test_every_operation_is_used_and_names_are_unique(protocol):
+    """Detects lines that were lost from a file, and duplicate names."""
     cases = [case for name, case in CASES if name == protocol]
     assert {case["operation"] for case in cases} == set(PROTOCOLS[protocol].OPERATIONS)
     assert len({case["name"] for case in cases}) == len(cases)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what it prints, and its exit codes."""
+"""The command line: printed output and exit codes."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from rainpick.simulated_peers.ports import free_ports
 from tests.loopback.help import MemberEnd, ProxyEnd, running
 
-RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # of two segments
+RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # has two segments
 FRONTS = "sasp", "otlp", "status"
 MINIMAL = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}]}'
 
@@ -40,7 +40,7 @@
     assert result.exit_code == 2 and result.output.count(str(path)) == 2
 
 
-def test_config_check_reads_the_list_file_too(tmp_path):
+def test_config_check_also_checks_the_list_file(tmp_path):
     (tmp_path / "list").write_text('{servers: [{address: "a:1", zone: "nowhere"}]}')
     path = tmp_path / "s.json5"
     path.write_text(MINIMAL.replace("{routes", f'{{fleet: {{list_file: "{tmp_path}/list"}}, routes'))
@@ -53,7 +53,7 @@
     assert json.loads(run("config", "schema").output)["title"] == "Settings"
 
 
-def test_status_and_weights_of_a_running_director():
+def test_status_and_weights_of_a_running_director_are_printed():
     with running() as daemon:
         MemberEnd(daemon, 9001, 9002)
         ProxyEnd(daemon, "edge-1").until(lambda weights: len(weights) == 2)
@@ -95,7 +95,7 @@
 
 
 def remove_a_segment(folder):
-    """Number 2 of three; number 3 is number 1 with its own number in its head."""
+    """Remove segment 2 of 3. Segment 3 is a copy of segment 1 with another number in its header."""
     data = (folder / "0000000001.seg").read_bytes()
     magic_and_format, number = data[:6], (3).to_bytes(8, "big")
     (folder / "0000000003.seg").write_bytes(magic_and_format + number + data[14:])
@@ -119,8 +119,8 @@
     assert result.exit_code == 1 and first == line and last.endswith(" records are whole, 1 places are not")
 
 
-def start(tmp_path, **parts):
-    """A director in a process of its own."""
+def start_director(tmp_path, **parts):
+    """Start a director in a process of its own."""
     listen = {front: f"127.0.0.1:{port}" for front, port in zip(FRONTS, free_ports(3), strict=True)}
     path = tmp_path / "director.json5"
     path.write_text(
@@ -136,7 +136,7 @@
 
 
 def log_lines_until(process, event):
-    """What the process logs up to and including this event."""
+    """Return the log lines of the process up to and including the first of an event."""
     lines = []
     for line in process.stderr:
         lines.append(json.loads(line))
@@ -145,10 +145,10 @@
     raise AssertionError(lines)
 
 
-def test_a_director_process_reloads_on_sighup_and_ends_on_sigterm(tmp_path):
+def test_a_director_process_reloads_the_list_file_on_sighup_and_exits_on_sigterm(tmp_path):
     path = tmp_path / "list.json5"
     path.write_text('{servers: [{address: "127.0.0.1:9001"}]}')
-    process = start(tmp_path, fleet={"list_file": str(path)})
+    process = start_director(tmp_path, fleet={"list_file": str(path)})
     try:
         log_lines_until(process, "decisions begin")
         path.write_text("{servers: 7}")
@@ -168,7 +168,7 @@
 
 def test_a_director_does_not_start_when_an_address_is_in_use(tmp_path):
     with running() as daemon:
-        process = start(
+        process = start_director(
             tmp_path, listen={"sasp": "%s:%d" % daemon.sasp, "otlp": "127.0.0.1:0", "status": "127.0.0.1:0"}
         )
         log = process.stderr.read()
@@ -176,8 +176,8 @@
         assert process.wait(10) == 1 and "Address already in use" in log and "Traceback" not in log
 
 
-def test_the_simulator_adapter_imports_none_of_the_libraries():
-    """It must build and start in an empty folder, lean."""
+def test_the_simulator_adapter_imports_no_third_party_libraries():
+    """The adapter must build and start in an empty folder, so it imports no more than it needs."""
     code = (
         "import sys, rainpick.simhost.__main__\n"
         "print([name for name in sys.modules if name.split('.')[0] in "
@@ -187,7 +187,7 @@
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
 
 
-def test_a_day_prints_a_verdict_and_exits_by_it(tmp_path):
+def test_a_day_prints_a_verdict_that_determines_the_exit_code(tmp_path):
     path = tmp_path / "day.json5"
     text = (
         '{name: "d", length: "2s", servers: 2, proxies: 2, calls_per_s: 20, zones: ["a"], goal: %s, '
@@ -203,7 +203,7 @@
     assert run("audit", str(tmp_path / "logs")).exit_code == 0
 
 
-def test_replay_takes_a_folder_of_decision_modules(tmp_path):
+def test_replay_accepts_a_folder_of_decision_modules(tmp_path):
     folder = tmp_path / "decisions"
     shutil.copytree(Path(decisions.__file__).parent, folder, ignore=shutil.ignore_patterns("__pycache__"))
     assert run("replay", str(RECORD), "--module", str(folder)).exit_code == 0
