--- a/rainpick/cli/weights_output.py
+++ b/rainpick/cli/weights_output.py
@@ -50,7 +50,7 @@
 
 
 def _join(client: SaspClient, group: Group, follow: bool) -> None:
-    """Register as a load balancer. With ``follow`` only changed weights are pushed."""
+    """Register as a load balancer. With ``follow`` the director pushes changed weights."""
     flags = TRUST | (PUSH | NO_CHANGE if follow else 0)
     requests: tuple[SetLbState | Registration, ...] = (
         SetLbState(group.uid, flags=flags),
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -137,12 +137,10 @@
     bare: Duration = text_field("2.8s", description="a joined proxy may be without a line for so long")
     drain_grace: Duration = text_field("2.7s", description="then nothing goes to a drained server any more")
     warm_after: Duration = text_field("12s", description="a started server is warm then")
-    start_capacity: float = Field(
-        0.16, gt=0, le=1
-    )  # fraction of its capacity that a server has when it starts
+    start_capacity: float = Field(0.16, gt=0, le=1)  # capacity of a server at its start, as a fraction
     fall_multiple: float = Field(3.0, gt=1)  # a server fails if it gets work of this many times its capacity
     fall: Duration = text_field("1.5s")  # time window over which this work is counted
-    gone_does_not_bind: bool = False  # whether servers stay in their tables when they disappear from the list
+    gone_does_not_bind: bool = False  # whether servers that left the list stay in their tables
 
 
 class SaspPart(Part):
@@ -182,7 +180,7 @@
 
 
 class RecordPart(Part):
-    """The record of the events that were received and the commands that were given."""
+    """The record of received events and issued commands."""
 
     folder: str | None = Field(None, description="where the day is recorded; not at all if absent")
     segment_most: int = Field(67_108_864, ge=65_536, description="bytes of a segment")
--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -7,7 +7,7 @@
 from tests.loopback.help import MemberEnd, ProxyEnd, running
 from tests.waiting import until
 
-BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # fields that are maps by number or address
+BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # maps whose keys, numbers or addresses, are not compared
 
 
 def json_structure(value, name=""):
