--- a/rainpick/rules/__init__.py
+++ b/rainpick/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Audits a simulated day against the five rules, from what passed on sockets and nothing else."""
+"""Audits a simulated day against the five rules, using only the traffic that its peers logged."""
 
 from rainpick.rules.audit import audit
 from rainpick.rules.logs import read_logs
--- a/rainpick/rules/audit.py
+++ b/rainpick/rules/audit.py
@@ -1,7 +1,8 @@
-"""Judges a day by the five rules of ``docs/rules.md``, from the logs of the simulated peers.
+"""Audits a day against the five rules of ``docs/rules.md``, using the logs of the simulated peers.
 
-It knows nothing of a director's inside. What a director was told counts from the reply or the send of the
-member that told it; what a proxy holds is what it read.
+The audit uses no internal state of a director. A director counts as informed of a server's state when the
+server has received the reply, or has sent a message without waiting for one. A proxy holds the weights that
+it has read.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from rainpick.rules.timeline import build_timeline
 from rainpick.rules.verdict import Limits, RouteService, Verdict
 
-RETRY_COUNTERS = {"again": "sent by proxies", "repeat": "dropped by servers"}  # by kind of event
+RETRY_COUNTERS = {"again": "sent by proxies", "repeat": "dropped by servers"}  # by kind of log event
 
 
 def audit(events: Iterable[LogEvent], limits: Limits) -> Verdict:
-    """Judge a day from its events, which are in order of time."""
+    """Audit a day, given its log events sorted by time."""
     events = list(events)
     timeline = build_timeline(events, limits)
     begin, end = day_span(events)
@@ -38,7 +39,7 @@
 
 
 def day_span(events: list[LogEvent]) -> tuple[int, int]:
-    """Find begin and end of the day by its marks, else by its first and last event."""
+    """Return begin and end of the day from its ``mark`` events, else from its first and last event."""
     if not events:
         return 0, 0
     marks: dict[str, int] = {event["what"]: event["t"] for event in events if event["k"] == "mark"}
@@ -48,7 +49,7 @@
 
 
 def measure_service(events: list[LogEvent], limits: Limits, begin: int, end: int) -> dict[str, RouteService]:
-    """Count the requests of each route that came within the day, and the good ones of them."""
+    """Count each route's requests that were due within the day, and those answered within the SLO time."""
     service: dict[str, RouteService] = {
         name: {"asked": 0, "good": 0, "importance": route["importance"], "took": []}
         for name, route in limits.routes.items()
--- a/rainpick/rules/cold_servers.py
+++ b/rainpick/rules/cold_servers.py
@@ -1,4 +1,4 @@
-"""The rule "no cold server pushed over": a server warming up gets no more work than it withstands."""
+"""The rule "no cold server pushed over": limits the work sent to a server that is warming up."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from rainpick.rules.timeline import Timeline
 from rainpick.rules.verdict import Breach, Limits, Rule
 
-SLACK_CALLS = 4  # calls of mean work that a server withstands beyond its budget
+SLACK_ATTEMPTS = 4  # attempts of mean work that a server withstands beyond its budget
 
 
 def work_budget(run: LogEvent, age_us: int, limits: Limits) -> float:
-    """Microseconds of work that a server of an age withstands within the window ``limits.fall``."""
+    """Return the microseconds of work that a server of an age withstands within ``limits.fall``."""
     age = age_us / limits.warm_after
     fraction = limits.start_capacity + (1 - limits.start_capacity) * age
     budget: float = limits.fall_multiple * fraction * run["capacity"] * limits.fall
@@ -20,9 +20,9 @@
 
 
 def check_cold_servers(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
-    """Judge the rule over a day: the work of all proxies together, and servers that fell over."""
+    """Check the rule over a day: the work sent by all proxies together, and servers that failed under it."""
     rule = Rule("no cold server pushed over")
-    windows: dict[str, deque[tuple[int, float]]] = defaultdict(deque)  # time and work of calls, by server
+    windows: dict[str, deque[tuple[int, float]]] = defaultdict(deque)  # time and work of attempts, by server
     for event in events:
         if event["k"] == "stop" and event["how"] == "fell":
             rule.breaches.append(Breach(event["t"], event["s"], "fell over"))
@@ -35,7 +35,7 @@
         window.append((event["t"], event["w"]))
         while window[0][0] <= max(event["t"] - limits.fall, run["t"] - 1):
             window.popleft()
-        budget = work_budget(run, event["t"] - run["born"], limits) + SLACK_CALLS * event["w"]
+        budget = work_budget(run, event["t"] - run["born"], limits) + SLACK_ATTEMPTS * event["w"]
         ratio = sum(work for _, work in window) / budget
         rule.measure(ratio, event["s"], event["t"], f"sent {ratio:.2f} of what it stands")
     return rule
--- a/rainpick/rules/drains.py
+++ b/rainpick/rules/drains.py
@@ -8,9 +8,10 @@
 
 
 def check_drains(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
-    """Judge the rule over a day.
+    """Check the rule over a day.
 
-    The grace counts from when the proxy's director was told, or from the proxy's joining if that is later.
+    The grace begins when the proxy's director is informed of the drain, or at the proxy's join if that is
+    later.
     """
     rule = Rule("drains kept")
     bound_states = ("draining", "gone") if limits.gone_binds else ("draining",)
--- a/rainpick/rules/duplicate_effects.py
+++ b/rainpick/rules/duplicate_effects.py
@@ -8,26 +8,29 @@
 from rainpick.rules.timeline import Timeline
 from rainpick.rules.verdict import Breach, Limits, Rule
 
-FORBIDDEN = 2  # the ratio of a retry that is a breach whenever it is sent
+FORBIDDEN_RATIO = 2  # ratio of a retry that is never allowed; above 1 is a breach
 
 
 def measure_retry(rule: Rule, event: LogEvent, limits: Limits, pods: dict[str, int]) -> None:
-    """Measure a retry by its route: mutating requests have none, idempotent ones a pod and a window."""
+    """Measure a retry by the effect of its route.
+
+    Mutating requests may not be retried; idempotent ones only in the same pod and within the route's window.
+    """
     route = limits.routes[event["r"]]
     request = f"{event['r']} {event['id']}"
     if route["effect"] == "mutating":
-        rule.measure(FORBIDDEN, event["p"], event["t"], f"{request} repeated: it may never be")
+        rule.measure(FORBIDDEN_RATIO, event["p"], event["t"], f"{request} repeated: it may never be")
     elif route["effect"] == "keyed":
         tried_pods = {pods.get(server) for server in event["after"]}
         if tried_pods != {pods.get(event["s"])}:
-            rule.measure(FORBIDDEN, event["p"], event["t"], f"{request} repeated outside its pod")
+            rule.measure(FORBIDDEN_RATIO, event["p"], event["t"], f"{request} repeated outside its pod")
         else:
             ratio = (event["t"] - event["first"]) / route["window"]
             rule.measure(ratio, event["p"], event["t"], f"{request} repeated after its window")
 
 
 def check_duplicate_effects(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
-    """Judge the rule over a day. Effects count for requests that a proxy retried, not for clients' own."""
+    """Check the rule over a day. Repeated effects of a client's own retries are not breaches."""
     rule = Rule("no effect twice")
     pods = {server: runs[-1]["pod"] for server, runs in timeline.runs.items()}
     retried: set[str] = set()
--- a/rainpick/rules/empty_tables.py
+++ b/rainpick/rules/empty_tables.py
@@ -1,4 +1,4 @@
-"""The rule "a line to pick": a joined proxy has an open server while a warm one is listed ready."""
+"""The rule "a line to pick": a joined proxy has a server with weight while a warm server is ready."""
 
 from __future__ import annotations
 
@@ -9,28 +9,31 @@
 from rainpick.rules.timeline import KnownServers, Timeline
 from rainpick.rules.verdict import Limits, Rule
 
-KINDS = frozenset({"weights", "standing", "left"})  # of the events that the check is about
+EVENT_KINDS = frozenset({"weights", "standing", "left"})  # log events that change a table or end a session
 
 
 class Span(NamedTuple):
-    """A span of time."""
+    """A span of time in microseconds."""
 
     begin: int
     end: int
 
     def overlap(self, other: Span) -> int:
-        """Microseconds that two spans have in common; negative if they are apart."""
+        """Return the overlap of two spans in microseconds; negative if they are disjoint."""
         return min(self.end, other.end) - max(self.begin, other.begin)
 
 
 def warm_span(run: LogEvent, known: list[KnownServers], warm_after_us: int, end: int) -> Span:
-    """Find when a run's server was warm and open: until it ended, or any director was told to avoid it."""
-    avoided = [at for servers in known for at in servers.unusable_times(run["s"]) if at >= run["t"]]
-    return Span(run["born"] + warm_after_us, min([run.get("end", end), *avoided]))
+    """Return the span in which the server of a run is warm and usable.
+
+    It ends with the run, or when the first director is informed that the server is draining or gone.
+    """
+    unusable_from = [at for servers in known for at in servers.unusable_times(run["s"]) if at >= run["t"]]
+    return Span(run["born"] + warm_after_us, min([run.get("end", end), *unusable_from]))
 
 
 class EmptyTableCheck:
-    """Follows the table of each proxy through the day."""
+    """Tracks the table of each proxy through the day."""
 
     def __init__(self, limits: Limits, timeline: Timeline, end: int):
         self.rule, self.limit_us, self.timeline = Rule("a line to pick"), limits.bare, timeline
@@ -39,11 +42,11 @@
         self.warm_spans = [
             warm_span(run, known, limits.warm_after, end) for runs in timeline.runs.values() for run in runs
         ]
-        self.tables: dict[str, dict[str, int]] = defaultdict(dict)  # open servers and weights, by proxy
-        self.empty_since: dict[str, int] = {}  # by proxy, for those with an empty table
+        self.tables: dict[str, dict[str, int]] = defaultdict(dict)  # weight above 0 by server, by proxy
+        self.empty_since: dict[str, int] = {}  # time by proxy, for proxies with an empty table
 
     def update(self, event: LogEvent) -> None:
-        """Handle an event of one of ``KINDS``, in order of time."""
+        """Handle an event of one of ``EVENT_KINDS``; events must arrive in order of time."""
         if event["k"] != "left":
             self.update_table(event["p"], event)
         elif event["p"] in self.empty_since:
@@ -65,7 +68,7 @@
             self.measure(proxy, event["t"])
 
     def measure(self, proxy: str, until: int) -> None:
-        """End the time of an empty table; what counts is its longest overlap with a warm server's span."""
+        """End the time of an empty table, and measure its longest overlap with a warm server's span."""
         since = self.empty_since.pop(proxy)
         session = self.timeline.session_at(proxy, until - 1)
         if session is None:
@@ -84,9 +87,9 @@
 
 
 def check_empty_tables(events: list[LogEvent], limits: Limits, timeline: Timeline, end: int) -> Rule:
-    """Judge the rule over a day that lasts until ``end``."""
+    """Check the rule over a day that lasts until ``end``."""
     check = EmptyTableCheck(limits, timeline, end)
     for event in events:
-        if event["k"] in KINDS:
+        if event["k"] in EVENT_KINDS:
             check.update(event)
     return check.finish()
--- a/rainpick/rules/logs.py
+++ b/rainpick/rules/logs.py
@@ -1,16 +1,17 @@
-"""Reads the logs of the simulated peers: one JSON object a line, from files ``*.jsonl``.
+"""Reads the logs of the simulated peers: one JSON object per line, from files ``*.jsonl``.
 
-Every event has its kind ``k`` and its time ``t``, in microseconds of the machine's monotonic clock. Further
+Every event has a kind ``k`` and a time ``t``, in microseconds of the machine's monotonic clock. Further
 keys are ``s`` (a server), ``p`` (a proxy), ``d`` (the number of a director), ``r`` (a route) and ``id`` (a
-request). The kinds, by who writes them:
-
-* a server: ``start`` and ``stop``, ``said`` (it told a director its state), ``lost`` (its stream to a
-  director broke), ``call`` (an attempt arrived), ``repeat`` (it dropped a duplicate), ``effect`` (a request
-  took effect);
-* a proxy: ``standing`` and ``weights`` (the entries ``m`` that it starts with or has read), ``joined`` and
-  ``left``, ``try`` and ``end`` (an attempt), ``again`` (a retry), ``report``;
-* a client: ``asked`` (a request has ended, over all its attempts);
-* the runner: ``mark`` (the day begins or ends), ``event``, ``status``, ``killed`` and ``revived``.
+request). The kinds, by the peer that logs them:
+
+* a server: ``start`` and ``stop``, ``said`` (it sent its state to a director), ``lost`` (its stream to a
+  director broke), ``call`` (it received an attempt), ``repeat`` (it dropped a duplicate request), ``effect``
+  (a request took effect);
+* a proxy: ``standing`` (entries ``m`` of its default table), ``weights`` (entries ``m`` that it has read),
+  ``joined`` and ``left``, ``try`` and ``end`` (an attempt), ``again`` (a retry), ``report``;
+* a client: ``asked`` (a request has ended, including its retries; ``t`` is the time at which it was due);
+* the runner: ``mark`` (the day begins or ends), ``event`` (a step of the schedule), ``status`` (of a
+  director), ``killed`` and ``revived`` (a director).
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 
 
 def read_logs(folder: Path) -> list[LogEvent]:
-    """Read the events of all logs of a folder in order of time.
+    """Read the events of all logs in a folder, sorted by time.
 
-    A line that is not JSON is left out: it is the last one of a process that was killed while it wrote.
+    Lines that are not JSON are skipped: a process killed while writing leaves its last line incomplete.
     """
     events: list[LogEvent] = []
     for path in sorted(folder.glob("*.jsonl")):
--- a/rainpick/rules/timeline.py
+++ b/rainpick/rules/timeline.py
@@ -1,4 +1,4 @@
-"""What the rules are judged against: what directors knew of servers, sessions of proxies, runs of servers."""
+"""The timeline of a day: the server states that directors knew, sessions of proxies, runs of servers."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from rainpick.rules.logs import LogEvent
 from rainpick.rules.verdict import Limits
 
-KINDS = frozenset({"said", "joined", "left", "start", "stop"})  # of the events that a timeline is built of
-STILL_OPEN = 1 << 62  # the end of a session that has not ended
+EVENT_KINDS = frozenset({"said", "joined", "left", "start", "stop"})  # used for a timeline
+STILL_OPEN = 1 << 62  # ``Session.end`` of a session that has not ended
 
 
 class KnownState(NamedTuple):
-    """What a director knew of a server at a moment.
+    """The state of a server that a director knew at a time.
 
-    ``since`` is when it learnt that the server is usable, or that it is not: going from draining to gone
-    does not change it.
+    ``since`` is when the director learnt that the server became usable or unusable; a change from draining to
+    gone does not affect it.
     """
 
     state: str
@@ -27,20 +27,20 @@
 
 
 class KnownServers:
-    """What one director was told of each server, in order of time."""
+    """The states of each server that one director received, in order of time."""
 
     def __init__(self) -> None:
         self.times: dict[str, list[int]] = defaultdict(list)
         self.states: dict[str, list[str]] = defaultdict(list)
 
     def add(self, server: str, at: int, state: str) -> None:
-        """Insert what the director was told at a time."""
+        """Insert a state that the director received at a time."""
         index = bisect_right(self.times[server], at)
         self.times[server].insert(index, at)
         self.states[server].insert(index, state)
 
     def state(self, server: str, at: int) -> KnownState:
-        """Find what the director knew of a server at a time; the state is ``unknown`` before any news."""
+        """Return the state of a server as known at a time; ``unknown`` before the first one."""
         index = bisect_right(self.times[server], at) - 1
         if index < 0:
             return KnownState("unknown", 0)
@@ -51,12 +51,12 @@
         return KnownState(state, self.times[server][index])
 
     def unusable_times(self, server: str) -> list[int]:
-        """List when the director was told that a server is draining or gone."""
-        told = zip(self.times[server], self.states[server], strict=True)
-        return [at for at, state in told if state != "ready"]
+        """List the times at which the director was informed that a server is draining or gone."""
+        received = zip(self.times[server], self.states[server], strict=True)
+        return [at for at, state in received if state != "ready"]
 
-    def hears_within(self, server: str, begin: int, end: int) -> bool:
-        """Whether the director was told anything of a server after ``begin`` and until ``end``."""
+    def is_updated_within(self, server: str, begin: int, end: int) -> bool:
+        """Return whether the director received a state of a server after ``begin`` and until ``end``."""
         times = self.times[server]
         index = bisect_right(times, begin)
         return index < len(times) and times[index] <= end
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """A span of time in which a proxy was joined to a director."""
+    """A period in which a proxy was joined to a director."""
 
     director: int
     begin: int
@@ -73,24 +73,24 @@
 
 @dataclass(slots=True)
 class Timeline:
-    """The history of a day, as the logs of its peers show it."""
+    """The history of a day, taken from the logs of its peers."""
 
     known: dict[int, KnownServers] = field(default_factory=lambda: defaultdict(KnownServers))  # by director
     sessions: dict[str, list[Session]] = field(default_factory=lambda: defaultdict(list))  # by proxy
     runs: dict[str, list[LogEvent]] = field(default_factory=lambda: defaultdict(list))
-    """By server, its ``start`` events; ``end`` is added to those that a ``stop`` ended."""
+    """``start`` events by server; ``end`` is added to each run that a ``stop`` event ended."""
 
     def session_at(self, proxy: str, at: int) -> Session | None:
-        """Find the latest session of a proxy that was open at a time."""
+        """Return the latest session of a proxy that was open at a time; None if there is none."""
         sessions = reversed(self.sessions[proxy])
         return next((session for session in sessions if session.begin <= at < session.end), None)
 
     def run_at(self, server: str, at: int) -> LogEvent | None:
-        """Find the run of a server that was the latest to begin by a time."""
+        """Return the latest run of a server that began at a time or before; None if there is none."""
         return next((run for run in reversed(self.runs[server]) if run["t"] <= at), None)
 
     def add(self, event: LogEvent) -> None:
-        """Add an event of one of ``KINDS``, in order of time."""
+        """Add an event of one of ``EVENT_KINDS``; events must arrive in order of time."""
         match event["k"]:
             case "said":
                 self.known[event["d"]].add(event["s"], event["t"], event["what"])
@@ -106,10 +106,10 @@
 
 
 def build_timeline(events: list[LogEvent], limits: Limits) -> Timeline:
-    """Build the timeline of events that are in order of time."""
+    """Build the timeline from log events sorted by time."""
     timeline = Timeline()
     for event in events:
-        if event["k"] in KINDS:
+        if event["k"] in EVENT_KINDS:
             timeline.add(event)
     if limits.gone_binds:
         add_disconnections(timeline, events, limits.member_grace)
@@ -117,9 +117,9 @@
 
 
 def add_disconnections(timeline: Timeline, events: Iterable[LogEvent], grace_us: int) -> None:
-    """Count a server as gone when the grace after a broken stream has passed without news of it.
+    """Add the state gone when the grace after a broken stream has passed without a new state of the server.
 
-    A director that is down learns nothing of a stream that breaks with it.
+    A director that is down does not detect broken streams.
     """
     down: set[int] = set()
     for event in events:
@@ -129,5 +129,5 @@
             down.discard(event["d"])
         elif event["k"] == "lost" and event["d"] not in down:
             known, gone_at = timeline.known[event["d"]], event["t"] + grace_us
-            if not known.hears_within(event["s"], event["t"], gone_at):
+            if not known.is_updated_within(event["s"], event["t"], gone_at):
                 known.add(event["s"], gone_at, "gone")
--- a/rainpick/rules/verdict.py
+++ b/rainpick/rules/verdict.py
@@ -10,27 +10,27 @@
 class Limits:
     """The limits of the rules. Times are in microseconds. The names are the keys of ``limits.json``."""
 
-    bare: int  # how long a joined proxy may have an empty table
-    grace: int  # how long attempts may still go to a draining server
-    warm_after: int  # how long a server warms up
-    start_capacity: float  # fraction of its capacity that a server has as it starts
-    fall_multiple: float  # times its capacity that a server warming up withstands
-    fall: int  # the window in which that is measured
+    bare: int  # time for which a joined proxy may have an empty table
+    grace: int  # time for which attempts may still go to a draining server
+    warm_after: int  # duration of a server's slow start
+    start_capacity: float  # fraction of its capacity that a server has when it starts
+    fall_multiple: float  # multiple of its current capacity that a server warming up withstands
+    fall: int  # window over which the work sent to a server warming up is summed
     pending: int  # entries that may wait in a director
     lines_per_s: float
     head: int
-    messages_most: int  # messages to a proxy within the next field; 0 for no limit
+    messages_most: int  # messages to a proxy within ``messages_over``; 0 for no limit
     messages_over: int
-    member_grace: int  # after a broken stream, until its servers count as gone
-    gone_binds: bool  # whether the drain rule holds for servers that are gone without a drain
-    routes: dict[str, dict[str, Any]]  # importance, effect and window (of retries) by route
+    member_grace: int  # time from a broken stream until its servers count as gone
+    gone_binds: bool  # whether the drain rule also covers servers that are gone without a drain
+    routes: dict[str, dict[str, Any]]  # importance, effect and retry window, by route
 
 
 @dataclass
 class Breach:
-    """Where a rule was broken: when, by whom, and how.
+    """One breach of a rule: its time, the peer, and a description.
 
-    The names are keys of the JSON output, which is made from the attributes: hence no slots.
+    The attribute names are keys of the JSON output, which is built from the attributes; hence no slots.
     """
 
     at: int
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One rule: how often it was checked, where it was broken, how close the day came (1 is the limit)."""
+    """The result of one rule: number of checks, breaches, and highest measured ratio (1 is the limit)."""
 
     name: str
     checked: int = 0
@@ -58,12 +58,12 @@
 
 
 class RouteService(TypedDict):
-    """How a route's requests were served within the day."""
+    """The service of a route: counts and durations of its requests within the day."""
 
     asked: int
     good: int  # answered within the SLO time
     importance: float
-    took: list[int]  # microseconds of each request
+    took: list[int]  # duration of each request in microseconds
 
 
 @dataclass(slots=True)
@@ -72,16 +72,16 @@
 
     rules: list[Rule]
     service: dict[str, RouteService]  # by route
-    retries: dict[str, int]  # retries by where they were counted
+    retries: dict[str, int]  # number of retries by counter
     span: tuple[int, int]  # begin and end of the day
 
     @property
     def passed(self) -> bool:
-        """Whether no rule was broken."""
+        """Whether the day has no breach of any rule."""
         return not any(rule.breaches for rule in self.rules)
 
     def service_ratio(self) -> float:
-        """Give the importance answered within the SLO time over the importance requested."""
+        """Return the share of the requests answered within the SLO time, weighted by importance."""
         requested = sum(route["asked"] * route["importance"] for route in self.service.values())
         good = sum(route["good"] * route["importance"] for route in self.service.values())
         return good / requested if requested else 0.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The auditor on logs written by hand: it names each rule when it is broken, and only then."""
+"""The auditor on hand-written logs: it reports a breach of a rule exactly when the rule is broken."""
 
 import json
 from dataclasses import replace
@@ -50,7 +50,7 @@
     return {"k": kind, "t": int(t * SECOND_US), **fields}
 
 
-BASE = [
+BASE_EVENTS = [
     start_event("a"),
     start_event("b", pod=1),
     state_event("a", 0, "ready"),
@@ -60,22 +60,22 @@
 ]
 
 
-def audit_with(*more, limits=LIMITS):
-    verdict = audit(sorted([*BASE, *more], key=lambda entry: entry["t"]), limits)
+def audit_with(*extra_events, limits=LIMITS):
+    verdict = audit(sorted([*BASE_EVENTS, *extra_events], key=lambda entry: entry["t"]), limits)
     return {rule.name: len(rule.breaches) for rule in verdict.rules if rule.breaches}, verdict
 
 
-EMPTIED = event("weights", 5, p="e", m=[["a", 0, 0], ["b", 0, 0]])
+EMPTIED_TABLE = event("weights", 5, p="e", m=[["a", 0, 0], ["b", 0, 0]])
 
 
 @pytest.mark.parametrize(
-    "more, broken",
+    "extra_events, expected",
     [
-        ([EMPTIED, event("weights", 6.9, p="e", m=[["a", 1, 0]])], {}),
-        ([EMPTIED, event("weights", 7.1, p="e", m=[["a", 1, 0]])], {"a line to pick": 1}),
+        ([EMPTIED_TABLE, event("weights", 6.9, p="e", m=[["a", 1, 0]])], {}),
+        ([EMPTIED_TABLE, event("weights", 7.1, p="e", m=[["a", 1, 0]])], {"a line to pick": 1}),
         (
             [
-                EMPTIED,
+                EMPTIED_TABLE,
                 event("left", 6, p="e"),
                 event("joined", 9, p="e", d=0),
                 event("weights", 10, p="e", m=[["a", 1, 0]]),
@@ -84,18 +84,18 @@
         ),
         (
             [
-                EMPTIED,
+                EMPTIED_TABLE,
                 state_event("a", 4, "draining"),
                 state_event("b", 4, "draining"),
                 event("mark", 20, what="end"),
             ],
             {},
         ),
-        ([EMPTIED, event("mark", 20, what="end")], {"a line to pick": 1}),
+        ([EMPTIED_TABLE, event("mark", 20, what="end")], {"a line to pick": 1}),
     ],
 )
-def test_empty_tables(more, broken):
-    assert audit_with(*more)[0] == broken
+def test_a_table_may_be_empty_for_two_seconds_while_a_warm_server_is_ready(extra_events, expected):
+    assert audit_with(*extra_events)[0] == expected
 
 
 def retry(t, after, to, route="commit", first=3.0):
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, broken",
+    "extra_events, expected",
     [
         ([start_event("c", pod=0), retry(3.5, "a", "c")], {}),
         ([retry(3.5, "a", "b")], {"no effect twice": 1}),
@@ -121,8 +121,8 @@
         ),
     ],
 )
-def test_duplicate_effects(more, broken):
-    assert audit_with(*more)[0] == broken
+def test_a_retry_outside_its_pod_or_window_or_a_second_effect_is_a_breach(extra_events, expected):
+    assert audit_with(*extra_events)[0] == expected
 
 
 def attempt(t, server="a", proxy="e"):
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, broken",
+    "extra_events, expected",
     [
         ([state_event("a", 5, "draining"), attempt(6.9)], {}),
         ([state_event("a", 5, "draining"), attempt(7.1)], {"drains kept": 1}),
@@ -161,37 +161,37 @@
         ),
     ],
 )
-def test_attempts_after_a_drain(more, broken):
-    assert audit_with(*more)[0] == broken
+def test_an_attempt_later_than_the_grace_after_a_drain_is_a_breach(extra_events, expected):
+    assert audit_with(*extra_events)[0] == expected
 
 
-def test_gone_alone_does_not_bind_if_the_endpoint_list_may_be_wrong():
+def test_gone_without_a_drain_is_no_breach_if_the_endpoint_list_may_be_wrong():
     limits = replace(LIMITS, gone_binds=False)
     assert audit_with(state_event("a", 5, "gone"), attempt(9), limits=limits)[0] == {}
     assert audit_with(state_event("a", 5, "draining"), attempt(9), limits=limits)[0] == {"drains kept": 1}
 
 
-def calls(server, begin, end, every, work):
-    count = int((end - begin) / every)
+def received_attempts(server, begin, end, interval, work):
+    count = int((end - begin) / interval)
     return [
-        event("call", begin + step * every, s=server, id=f"w{step}", r="lookup", w=work)
+        event("call", begin + step * interval, s=server, id=f"w{step}", r="lookup", w=work)
         for step in range(count)
     ]
 
 
-@pytest.mark.parametrize("work, broken", [(50_000, False), (200_000, True)])
-def test_work_for_a_server_warming_up(work, broken):
-    """At its start it can do 0.4 of a second's work in a second; three times that is 1.2."""
-    breaches = audit_with(start_event("c", 20, 20), *calls("c", 20.01, 21, 0.05, work))[0]
-    assert bool(breaches) == broken
+@pytest.mark.parametrize("work, expected", [(50_000, False), (200_000, True)])
+def test_work_beyond_the_budget_of_a_server_warming_up_is_a_breach(work, expected):
+    """At its start the server does 0.4 s of work per second; the limit is three times that, 1.2 s."""
+    breaches = audit_with(start_event("c", 20, 20), *received_attempts("c", 20.01, 21, 0.05, work))[0]
+    assert bool(breaches) == expected
 
 
-def test_a_server_that_fell_over_is_a_breach_whatever_was_counted():
+def test_a_server_that_fell_over_is_a_breach_at_any_measured_load():
     assert audit_with(event("stop", 9, s="a", how="fell"))[0] == {"no cold server pushed over": 1}
 
 
 def test_work_for_a_warm_server_is_unlimited():
-    assert audit_with(*calls("a", 2, 4, 0.01, 900_000))[0] == {}
+    assert audit_with(*received_attempts("a", 2, 4, 0.01, 900_000))[0] == {}
 
 
 def weight_messages(*times):
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, broken",
+    "extra_events, expected",
     [
         (weight_messages(2, 3), {}),
         (weight_messages(2, 3, 4), {"a short queue": 1}),
@@ -217,8 +217,8 @@
         ),
     ],
 )
-def test_backlogs(more, broken):
-    assert audit_with(*more)[0] == broken
+def test_more_messages_or_waiting_entries_than_allowed_are_a_breach(extra_events, expected):
+    assert audit_with(*extra_events)[0] == expected
 
 
 def test_service_is_weighted_by_importance():
