--- a/rainpick/simulated_peers/__init__.py
+++ b/rainpick/simulated_peers/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated peers of a director on loopback: servers, proxies and clients, and scripted days with them."""
+"""Simulated peers of a director on loopback: servers, proxies, clients, and the scripted days they run in."""
--- a/rainpick/simulated_peers/__main__.py
+++ b/rainpick/simulated_peers/__main__.py
@@ -1,7 +1,7 @@
-"""A group of peers in a process of its own: ``python -m rainpick.simulated_peers fleet|edge LOG``.
+"""Runs a group of peers in its own process: ``python -m rainpick.simulated_peers fleet|edge LOG``.
 
-The first line of standard input is a ``PeerStart``, each further one an action; the process ends with the
-input. Once the peers run, it writes one line with the servers that it listens for, empty for proxies.
+The first line of standard input is a ``PeerStart``, each further line an action; the process ends at the end
+of the input. Once the peers run, it prints one line with the list of its servers, empty for proxies.
 """
 
 import os
@@ -15,7 +15,7 @@
 from rainpick.simulated_peers.peer_groups import LocalPeers, PeerRole
 from rainpick.simulated_peers.peer_settings import PeerStart
 
-THREAD_STACK_BYTES = 256 * 1024  # there are many threads
+THREAD_STACK_BYTES = 256 * 1024  # small, since a group runs many threads
 
 
 def main() -> None:
@@ -28,7 +28,7 @@
     for line in sys.stdin:
         peers.apply(msgspec.json.decode(line, type=Action))
     peers.close()
-    os._exit(0)  # threads that sleep in calls are not waited for
+    os._exit(0)  # does not wait for threads that are blocked in requests
 
 
 if __name__ == "__main__":
--- a/rainpick/simulated_peers/actions.py
+++ b/rainpick/simulated_peers/actions.py
@@ -1,4 +1,4 @@
-"""Actions on peers in the course of a day, as messages to the processes in which they run."""
+"""Actions on peers during a day, as messages to the processes that run the peers."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class SlowDown(msgspec.Struct, frozen=True, tag=True):
-    """Have servers take a multiple of their usual time."""
+    """Multiply the time that servers need for a request."""
 
     servers: list[int]
     factor: float
 
 
 class FailRequests(msgspec.Struct, frozen=True, tag=True):
-    """Have servers answer a share of the requests with status 500."""
+    """Fail a share of the requests at servers, with status 500."""
 
     servers: list[int]
     share: float
 
 
 class Hang(msgspec.Struct, frozen=True, tag=True):
-    """Have servers accept requests without an answer, or end that."""
+    """Make servers accept requests without answering them, or answer again."""
 
     servers: list[int]
     enabled: bool
@@ -49,13 +49,13 @@
 
 
 class DrainServers(msgspec.Struct, frozen=True, tag=True):
-    """Have servers tell the directors that they drain; they go on serving."""
+    """Make servers announce a drain to the directors; they still serve requests."""
 
     servers: list[int]
 
 
 class ReplaceServers(msgspec.Struct, frozen=True, tag=True):
-    """Drain servers, stop them after a notice, and start them again after a time."""
+    """Drain servers, stop them after the notice, and start them again after the downtime."""
 
     servers: list[int]
     notice_s: float
@@ -63,20 +63,20 @@
 
 
 class BreakStreams(msgspec.Struct, frozen=True, tag=True):
-    """Break the proxies' streams to their directors; they join again."""
+    """Break the proxies' streams to their directors; the proxies rejoin."""
 
     proxies: list[int]
 
 
 class PauseReading(msgspec.Struct, frozen=True, tag=True):
-    """Have proxies stop reading from their directors, or end that."""
+    """Make proxies stop reading from their directors, or resume."""
 
     proxies: list[int]
     enabled: bool
 
 
 class SetReportMode(msgspec.Struct, frozen=True, tag=True):
-    """Have proxies send load reports as usual, twice, or late."""
+    """Make proxies send load reports as usual, twice, or late."""
 
     proxies: list[int]
     mode: ReportMode
--- a/rainpick/simulated_peers/blocking_socket.py
+++ b/rainpick/simulated_peers/blocking_socket.py
@@ -1,4 +1,4 @@
-"""What the blocking clients of both protocols do with their socket."""
+"""Socket operations shared by the blocking SASP and MQTT clients."""
 
 import contextlib
 import socket
@@ -16,9 +16,9 @@
     decode: Callable[[bytes], list[Received]],
     malformed: type[Exception],
 ) -> list[Received]:
-    """Decode what comes within a time; nothing if it runs out.
+    """Receive and decode data; return an empty list if none arrives within ``timeout_s``.
 
-    ``OSError`` says that the director closed the connection, or sent what ``decode`` finds malformed.
+    ``OSError`` means that the director closed the connection, or sent data that ``decode`` rejects.
     """
     sock.settimeout(timeout_s)
     try:
@@ -34,7 +34,7 @@
 
 
 def close(sock: socket.socket) -> None:
-    """Close a socket; a thread that waits in it wakes up."""
+    """Close a socket, and wake up a thread that is blocked on it."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
--- a/rainpick/simulated_peers/day.py
+++ b/rainpick/simulated_peers/day.py
@@ -1,4 +1,4 @@
-"""Plays a scripted day on loopback: directors, servers, proxies, clients; then the auditor judges it."""
+"""Runs a scripted day on loopback, with directors, servers, proxies and clients, and audits it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 from rainpick.rules import Verdict, audit, read_logs
 from rainpick.settings import Settings
 from rainpick.simulated_peers import actions
-from rainpick.simulated_peers.derived_settings import FRONTS, audit_limits, director_settings, peer_settings
+from rainpick.simulated_peers.derived_settings import (
+    LISTENERS,
+    audit_limits,
+    director_settings,
+    peer_settings,
+)
 from rainpick.simulated_peers.errors import DayError
 from rainpick.simulated_peers.event_log import EventLog, now_us
 from rainpick.simulated_peers.peer_groups import LocalPeers, PeerGroup, PeerGroupStarter, PeerRole
@@ -26,35 +31,36 @@
 
 __all__ = ["Day", "DayError", "DirectorProcess", "LocalPeers"]
 
-START_TIMEOUT_S = 20.0  # a day that has not begun by then has failed
+START_TIMEOUT_S = 20.0  # limit for each condition that must hold before the day begins
 STATUS_INTERVAL_S = 0.5
 STATUS_TIMEOUT_S = 1.0
 POLL_INTERVAL_S = 0.05
 MIN_SLEEP_S = 0.001
 
 Status: TypeAlias = dict[str, Any]  # a director's ``/status``
-# Gets the second of the day, what happened (or nothing), and the status of each director that is up.
+# Arguments: seconds since the day began, text of an event (or empty), status of each director (or None).
 ProgressCallback: TypeAlias = Callable[[float, str, list[Status | None]], None]
 
 
 class RunningDirector(Protocol):
-    """A director of a day; ``kill`` and ``start`` are for days that kill one."""
+    """A director of a day. ``kill`` and ``start`` are needed only for scenarios that kill a director."""
 
     def kill(self) -> None:
-        """End without a chance to clean up."""
+        """Kill the director without a clean shutdown."""
 
     def start(self) -> None:
-        """Start again."""
+        """Start the director again."""
 
     def close(self) -> None:
-        """End in good order."""
+        """Shut down cleanly."""
 
 
 class Day:
-    """One day under way.
+    """A scripted day, with its directors and peers.
 
-    ``launch`` makes a director from its settings and a folder, ``start_peers`` a group of peers; tests hand
-    in doubles of the first, and peers within their process. Earlier logs in the folder are removed.
+    ``launch`` starts a director from its settings and the folder, ``start_peers`` starts a group of peers.
+    Tests pass a test double for ``launch``, and peers within the test's process. Logs that an earlier day
+    left in the folder are removed.
     """
 
     def __init__(
@@ -70,7 +76,7 @@
         self.scenario, self.folder, self.launch, self.start_peers = scenario, folder, launch, start_peers
         self.directors: list[RunningDirector] = []
         self.settings: list[Settings] = []  # by director
-        self.down: set[int] = set()  # directors that were killed
+        self.down: set[int] = set()  # numbers of killed directors
         self.fleet: PeerGroup | None = None
         self.proxy_groups: list[PeerGroup] = []
         self.log = EventLog(folder / "runner.jsonl")
@@ -78,7 +84,7 @@
     # Status of the directors
 
     def status(self, number: int) -> Status | None:
-        """Read a director's status; None if it does not answer."""
+        """Fetch a director's status; None if it does not answer."""
         host, port = self.settings[number].listen.status
         try:
             client = Client(host, port, timeout_s=STATUS_TIMEOUT_S)
@@ -90,7 +96,7 @@
         return status
 
     def poll_status(self) -> list[Status | None]:
-        """Read the status of all directors that are up, and log what the auditor judges."""
+        """Fetch the status of all directors that are up, and log the fields that the auditor uses."""
         numbers = range(self.scenario.directors)
         statuses = [None if number in self.down else self.status(number) for number in numbers]
         for number, status in enumerate(statuses):
@@ -104,17 +110,17 @@
         statuses = [self.status(number) or {} for number in range(self.scenario.directors)]
         return sum(proxy["table"] is not None for status in statuses for proxy in status.get("proxies", ()))
 
-    # Begin
+    # Start
 
     def begin(self) -> None:
-        """Start all, and wait until every proxy is bound to a table."""
+        """Start directors and peers, and wait until every proxy is bound to a table."""
         self.start_directors()
         (self.folder / "limits.json").write_text(
             json.dumps(asdict(audit_limits(self.scenario, self.settings[0])))
         )
         settings = peer_settings(self.scenario, self.settings)
         self.fleet = self.start_peers(PeerRole.FLEET, PeerStart(settings), self.folder / "fleet.jsonl")
-        self.wait_for_status("all servers listed", self.lists_all_servers)
+        self.wait_for_status("all servers as ready", self.lists_all_servers)
         processes = self.scenario.edge_processes
         for process in range(processes):
             numbers = list(range(process, self.scenario.proxies, processes))
@@ -124,43 +130,50 @@
         self.wait_for_proxies()
 
     def start_directors(self) -> None:
-        """Start the directors, and wait until each answers.
+        """Start the directors, and wait until each one answers.
 
-        The ports of all are drawn together: one that a director has not bound yet must not be another's.
+        The ports of all directors are drawn together, because a port that one director has not bound yet
+        looks free and could be drawn for another.
         """
-        ports = free_ports(len(FRONTS) * self.scenario.directors)
+        ports = free_ports(len(LISTENERS) * self.scenario.directors)
         for number in range(self.scenario.directors):
-            own_ports = ports[len(FRONTS) * number :][: len(FRONTS)]
+            own_ports = ports[len(LISTENERS) * number :][: len(LISTENERS)]
             settings = director_settings(self.scenario, number, own_ports, self.folder)
             self.settings.append(Settings.model_validate(settings))
             self.directors.append(self.launch(settings, self.folder))
-        self.wait_for_status("an answer", bool)
+        self.wait_for_status("its status", bool)
 
     def lists_all_servers(self, status: Status) -> bool:
-        """Say whether a director lists all servers as ready."""
+        """Return whether a director lists all servers as ready."""
         states = [server["state"] for server in status.get("servers", ())]
         return states == ["ready"] * self.scenario.servers
 
     def wait_for_status(self, condition: str, holds: Callable[[Status], bool]) -> None:
-        """Wait until a condition holds for the status of each director; ``DayError`` after a time."""
+        """Wait until ``holds`` is true for the status of each director; ``DayError`` on a timeout.
+
+        ``condition`` completes the error message "did not report ...".
+        """
         until = time.monotonic() + START_TIMEOUT_S
         for number in range(self.scenario.directors):
             while (status := self.status(number)) is None or not holds(status):
                 if time.monotonic() > until:
                     raise DayError(
-                        f"director {number}: {condition} did not come about within {START_TIMEOUT_S:.0f} s"
+                        f"director {number} did not report {condition} within {START_TIMEOUT_S:.0f} s"
                     )
                 time.sleep(POLL_INTERVAL_S)
 
     def wait_for_proxies(self) -> None:
-        """Wait until all proxies are bound; ``DayError`` after a time."""
+        """Wait until all proxies are bound to a table; ``DayError`` on a timeout."""
         until = time.monotonic() + START_TIMEOUT_S
         while self.bound_proxies() < self.scenario.proxies:
             if time.monotonic() > until:
-                raise DayError(f"{self.bound_proxies()} of {self.scenario.proxies} proxies are on a table")
+                raise DayError(
+                    f"{self.bound_proxies()} of {self.scenario.proxies} proxies are bound to a table "
+                    f"after {START_TIMEOUT_S:.0f} s"
+                )
             time.sleep(POLL_INTERVAL_S)
 
-    # What happens in the course of the day
+    # Actions on peers and directors
 
     def apply_to_servers(self, action: actions.ServerAction) -> None:
         """Apply an action to servers."""
@@ -184,14 +197,14 @@
         self.down.discard(number)
         self.log.write("revived", d=number)
 
-    # Play
+    # Run
 
     def play(self, report: ProgressCallback = lambda *_: None) -> Verdict:
-        """Play the whole day, and have the auditor judge it."""
+        """Run the whole day and audit it."""
         try:
             self.begin()
             self.run(build_schedule(self.scenario, self), report)
-            # Requests in progress end within their time limit.
+            # Wait for requests in progress, which end within their time limit.
             time.sleep(max(route.time_limit for route in self.scenario.routes) / 1e6)
             self.poll_status()
         finally:
@@ -199,7 +212,7 @@
         return audit(read_logs(self.folder), audit_limits(self.scenario, self.settings[0]))
 
     def run(self, schedule: list[Step], report: ProgressCallback) -> None:
-        """Run the schedule from now to the end of the day, and poll the directors' status meanwhile."""
+        """Run the schedule until the end of the day, and poll the directors' status at intervals."""
         heapify(schedule)
         begin_us = now_us()
         end_us = begin_us + self.scenario.length
--- a/rainpick/simulated_peers/derived_settings.py
+++ b/rainpick/simulated_peers/derived_settings.py
@@ -1,4 +1,4 @@
-"""The settings of directors, peers and auditor that follow from a scenario."""
+"""Derives the settings of the directors, the peers and the auditor from a scenario."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from rainpick.simulated_peers.peer_settings import MachineType, PeerSettings, RouteLoad, SlowStart
 from rainpick.simulated_peers.scenario import Route, Scenario
 
-FRONTS = ("sasp", "otlp", "status", "mqtt")
+LISTENERS = ("sasp", "otlp", "status", "mqtt")
 
 
 def director_settings(scenario: Scenario, number: int, ports: list[int], folder: Path) -> dict[str, Any]:
-    """Make the settings file of a director; the scenario's own settings take precedence.
+    """Build the content of a director's settings file; the scenario's own settings take precedence.
 
-    ``ports`` are those of ``FRONTS``.
+    ``ports`` has a port for each of ``LISTENERS``, in the same order.
     """
     settings: dict[str, Any] = {
         "director": {
@@ -27,7 +27,7 @@
             "list_cache": str(folder / f"list-{number}.json"),
             "settle": "500ms",
         },
-        "listen": {front: f"127.0.0.1:{port}" for front, port in zip(FRONTS, ports, strict=True)},
+        "listen": {listener: f"127.0.0.1:{port}" for listener, port in zip(LISTENERS, ports, strict=True)},
         "zones": list(scenario.zones),
         "machines": [machine.name for machine in scenario.machines],
         "routes": [route_settings(route) for route in scenario.routes],
@@ -45,7 +45,7 @@
 
 
 def route_settings(route: Route) -> dict[str, Any]:
-    """Make a route's part of a director's settings."""
+    """Build the settings of a route for a director."""
     return {
         "name": route.name,
         "slo_time": f"{route.slo_time}us",
@@ -57,7 +57,7 @@
 
 
 def audit_limits(scenario: Scenario, settings: Settings) -> Limits:
-    """Make the auditor's limits of the settings of a director."""
+    """Build the auditor's limits from the settings of a director."""
     rules, channel = settings.rules, settings.channel
     return Limits(
         bare=rules.bare,
@@ -85,11 +85,11 @@
 
 
 def peer_settings(scenario: Scenario, directors: Sequence[Settings]) -> PeerSettings:
-    """Make the settings of the peers of some directors."""
+    """Build the settings of the peers from the scenario and the settings of the directors."""
     settings = directors[0]
     rules = settings.rules
     listens = [director.listen for director in directors]
-    least_us, most_us = scenario.redial
+    min_us, max_us = scenario.redial
     return PeerSettings(
         seed=scenario.seed,
         zones=scenario.zones,
@@ -115,12 +115,12 @@
         client_retry_delay_s=scenario.client_wait / 1e6,
         attempt_limit_share=scenario.try_share,
         report_interval_s=scenario.report_every / 1e6,
-        reconnect_delay_s=(least_us / 1e6, most_us / 1e6),
+        reconnect_delay_s=(min_us / 1e6, max_us / 1e6),
     )
 
 
 def route_load(route: Route) -> RouteLoad:
-    """Make a route's part of the peers' settings."""
+    """Build the settings of a route for the peers."""
     return RouteLoad(
         name=route.name,
         share=route.share,
--- a/rainpick/simulated_peers/director_link.py
+++ b/rainpick/simulated_peers/director_link.py
@@ -1,4 +1,4 @@
-"""A simulated proxy's link to a director: it joins over SASP or MQTT and keeps its table up to date."""
+"""A simulated proxy's connection to a director, over SASP or MQTT, which keeps its table up to date."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DirectorLink:
-    """Holds a stream to one of the directors; when it breaks, the next director is tried."""
+    """Maintains a stream to one of the directors; when it breaks, connects to the next director."""
 
     def __init__(
         self,
@@ -35,26 +35,26 @@
         self.number, self.uid, self.settings, self.table = number, uid, settings, table
         self.group, self.random, self.log = Group(uid, settings.group), generator, log
         self.stream: SaspClient | MqttProxy | None = None
-        self.reading = threading.Event()  # cleared to stop reading
+        self.reading = threading.Event()  # cleared while reading is paused
         self.reading.set()
-        self.follower: TableFollower | None = None  # the table over MQTT, kept over reconnections
+        self.follower: TableFollower | None = None  # state of the MQTT table, kept across reconnections
 
     def run(self, ended: threading.Event) -> None:
-        """Keep joined until the proxy ends."""
+        """Stay joined to a director until the proxy ends."""
         settings = self.settings
         director = self.number % max(1, len(settings.sasp))
-        front = settings.fronts[self.number % len(settings.fronts)]
-        follow = self.follow_mqtt if front == "mqtt" else self.follow_sasp
+        protocol = settings.fronts[self.number % len(settings.fronts)]
+        stay_joined = self.follow_mqtt if protocol == "mqtt" else self.follow_sasp
         while not ended.is_set():
             try:
-                follow(director % len(settings.sasp))
+                stay_joined(director % len(settings.sasp))
             except OSError as error:
                 self.log.write("left", p=self.uid, why=str(error))
                 director += 1
                 ended.wait(self.random.uniform(*settings.reconnect_delay_s))
 
     def follow_sasp(self, director: int) -> None:
-        """Join a director over SASP and apply what it pushes, until the stream breaks."""
+        """Join a director over SASP and apply the weights that it pushes, until the stream breaks."""
         self.stream = stream = SaspClient(self.settings.sasp[director])
         self.require_success(stream.request(SetLbState(self.uid)))
         members = tuple(Member.at(*server) for server in self.table.copy())
@@ -71,20 +71,20 @@
                 stream.send(SetLbState(self.uid))
 
     def follow_mqtt(self, director: int) -> None:
-        """Join a director over MQTT and follow the table that it publishes, until the connection breaks."""
+        """Join a director over MQTT and apply the table that it publishes, until the connection breaks."""
         address = self.settings.mqtt[director]
-        assert address is not None  # a day's directors have this front
+        assert address is not None  # the directors of a day always listen for MQTT
         self.stream = stream = MqttProxy(address, self.uid)
         weights = {"%s:%d" % server: weight for server, weight in self.table.copy().items()}
         self.follower = stream.join(self.follower, weights)
         self.log.write("joined", p=self.uid, d=director)
         while True:
             if stream.read(READ_TIMEOUT_S):
-                self.hold(self.follower)
+                self.replace_table(self.follower)
             self.reading.wait()
 
-    def hold(self, follower: TableFollower) -> None:
-        """Take over the open entries of a checked table."""
+    def replace_table(self, follower: TableFollower) -> None:
+        """Replace the proxy's table with the available servers of a verified table."""
         weights: dict[SocketAddress, int] = {
             parse_address(server): weight for server, weight in follower.available_servers().items()
         }
@@ -92,11 +92,11 @@
 
     @staticmethod
     def require_success(reply: Reply) -> None:
-        """Raise ``ConnectionAbortedError`` if a director refused a request."""
+        """Raise ``ConnectionAbortedError`` if a director rejected a request."""
         if reply.code != ReturnCode.SUCCESS:
-            raise ConnectionAbortedError(f"refused: {reply.code:#04x}")
+            raise ConnectionAbortedError(f"request rejected with return code {reply.code:#04x}")
 
     def close(self) -> None:
-        """Break the stream; ``run`` joins again unless the proxy has ended."""
+        """Close the stream; ``run`` then rejoins unless the proxy has ended."""
         if self.stream is not None:
             self.stream.close()
--- a/rainpick/simulated_peers/errors.py
+++ b/rainpick/simulated_peers/errors.py
@@ -2,4 +2,4 @@
 
 
 class DayError(Exception):
-    """The day could not be played."""
+    """A scripted day could not be run."""
--- a/rainpick/simulated_peers/fleet.py
+++ b/rainpick/simulated_peers/fleet.py
@@ -1,4 +1,4 @@
-"""All simulated servers of a day."""
+"""The simulated servers of a day."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """Starts the servers, warm, and applies the actions on them."""
+    """Starts all servers as warm servers, and applies actions to them."""
 
     def __init__(self, settings: PeerSettings, log: EventLog):
         self.servers: list[SimulatedServer] = []
@@ -24,11 +24,11 @@
             server.start(cold=False)
 
     def listed(self) -> list[ListedServer]:
-        """List the servers as proxies know them."""
+        """List the servers with the attributes that proxies use."""
         return [ListedServer(*server.address, server.pod_number) for server in self.servers]
 
     def apply(self, action: actions.ServerAction) -> None:
-        """Apply an action to its servers, one after the other."""
+        """Apply an action to each of its servers in turn."""
         for number in action.servers:
             self.apply_to(self.servers[number], action)
 
@@ -55,7 +55,7 @@
 
     @staticmethod
     def replace(server: SimulatedServer, action: actions.ReplaceServers) -> None:
-        """Drain a server, stop it after its notice, and start it cold."""
+        """Drain a server, stop it after the notice, and start it cold after the downtime."""
         server.drain()
         time.sleep(action.notice_s)
         server.leave()
--- a/rainpick/simulated_peers/load_reporter.py
+++ b/rainpick/simulated_peers/load_reporter.py
@@ -15,28 +15,28 @@
 from rainpick.simulated_peers.peer_settings import SocketAddress
 
 REQUEST_TIMEOUT_S = 2.0
-LATE_REPORT_US = 10_000_000  # how much later a withheld report is sent
+LATE_REPORT_US = 10_000_000  # delay of a withheld report
 
 
 @dataclass(slots=True)
 class AttemptTotals:
-    """The attempts at a server that ended in one way."""
+    """Number and total duration of the attempts at a server with one outcome."""
 
     count: int = 0
     seconds: float = 0.0
 
 
 class WithheldReport(NamedTuple):
-    """A report that is to be late."""
+    """A report that is held back and sent late."""
 
     body: bytes
     due_us: int
 
 
 class LoadReporter:
-    """Counts what a proxy observes, and reports it at an interval.
+    """Counts a proxy's attempts and requests, and reports the counts at an interval.
 
-    ``lock`` is the proxy's; whoever records holds it.
+    ``lock`` is the proxy's and guards the counts: callers of the ``record_`` methods hold it.
     """
 
     def __init__(
@@ -51,23 +51,23 @@
         self.interval_begin_ns = time.time_ns()
 
     def record_attempt(self, server: SocketAddress, outcome: str, duration_us: int) -> None:
-        """Count an attempt. The lock is held."""
+        """Count an attempt. The caller holds the lock."""
         totals = self.attempts[server, outcome]
         totals.count += 1
         totals.seconds += duration_us / 1e6
 
     def record_request(self, route: str, outcome: str) -> None:
-        """Count a request, over all its attempts."""
+        """Count a request, with its outcome after all attempts. The caller holds the lock."""
         self.requests[route, outcome] += 1
 
     def run(self, ended: threading.Event) -> None:
-        """Report until the proxy ends."""
+        """Send reports until the proxy ends."""
         while not ended.wait(self.interval_s):
             for body in self.due_reports(self.next_report()):
                 self.send(body)
 
     def next_report(self) -> bytes:
-        """Encode what was counted since the last report."""
+        """Encode the counts since the last report, and reset them."""
         begin_ns, self.interval_begin_ns = self.interval_begin_ns, time.time_ns()
         with self.lock:
             attempts, self.attempts = self.attempts, defaultdict(AttemptTotals)
@@ -84,7 +84,10 @@
         )
 
     def due_reports(self, body: bytes) -> list[bytes]:
-        """Decide by the mode what is sent now. Of late reports the first is sent later, the others never."""
+        """Return the reports to send now.
+
+        In the mode ``late`` the first report is withheld and sent later; further ones are discarded.
+        """
         if self.mode == "late":
             self.withheld = self.withheld or WithheldReport(body, now_us() + LATE_REPORT_US)
             return []
@@ -95,7 +98,7 @@
         return bodies
 
     def send(self, body: bytes) -> None:
-        """Send a report; status 0 in the log says that there was no answer."""
+        """Send a report and log its HTTP status; status 0 means that there was no response."""
         try:
             headers = (("content-type", "application/x-protobuf"),)
             status, _, _ = self.client.call("POST", "/v1/metrics", body, headers)
--- a/rainpick/simulated_peers/membership.py
+++ b/rainpick/simulated_peers/membership.py
@@ -1,4 +1,4 @@
-"""A simulated server's membership: its streams to the directors, over which it registers and drains."""
+"""A simulated server's membership: the streams on which it registers with the directors and drains."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class Membership:
-    """Keeps a server registered with each director, over all its runs.
+    """Keeps a server registered with each director, across all its runs.
 
-    ``is_current`` says whether the run of a number still lasts. What a director was told is logged, for the
-    auditor judges by it.
+    ``is_current`` returns whether the run of a number still lasts. Each state sent to a director is logged,
+    because the auditor needs to know which states a director has received.
     """
 
     def __init__(
@@ -48,17 +48,17 @@
 
     @property
     def name(self) -> str:
-        """The server as logs name it."""
+        """The server's name in logs."""
         return "%s:%d" % self.address
 
     def begin(self, run: int, address: SocketAddress, started_us: int) -> None:
-        """Register the server's new run with all directors, each in a thread of its own."""
+        """Register the server's new run with all directors, in one thread for each."""
         self.address, self.started_us = address, started_us
         for director in range(len(self.directors)):
             threading.Thread(target=self.keep_registered, args=(director, run), daemon=True).start()
 
     def keep_registered(self, director: int, run: int) -> None:
-        """Keep registered with a director while a run of the server lasts."""
+        """Stay registered with a director while a run of the server lasts."""
         while self.is_current(run):
             try:
                 stream = SaspClient(self.directors[director])
@@ -72,31 +72,31 @@
                     time.sleep(RECONNECT_DELAY_S)
 
     def register(self, director: int, stream: SaspClient, run: int) -> None:
-        """Register over a new stream, and repeat there that the server drains if it does."""
+        """Register over a new stream, and send the drain again if the server is draining."""
         age_s = (now_us() - self.started_us) / 1e6
         member = Member.at(*self.address, f"{self.label};boot={run};age={age_s:.3f}")
         reply = stream.request(Registration((MemberGroup(self.group, (member,)),)))
         if reply.code != ReturnCode.SUCCESS:
-            raise ConnectionAbortedError(f"registration refused: {reply.code:#04x}")
+            raise ConnectionAbortedError(f"registration rejected with return code {reply.code:#04x}")
         self.log.write("said", s=self.name, d=director, what="ready")
         if self.draining:
             self.send_drain(director, stream)
 
     def send_drain(self, director: int, stream: SaspClient) -> None:
-        """Tell a director that the server drains."""
+        """Inform a director that the server drains."""
         state = MemberState(Member.at(*self.address), 0, True)
         stream.send(SetMemberState((StateGroup(self.group, (state,)),)))
         self.log.write("said", s=self.name, d=director, what="draining")
 
     def drain(self) -> None:
-        """Tell all directors that the server drains."""
+        """Inform all directors that the server drains."""
         self.draining = True
         for director, stream in list(self.streams.items()):
             with contextlib.suppress(OSError):
                 self.send_drain(director, stream)
 
     def deregister(self) -> None:
-        """Tell all directors that the server goes."""
+        """Deregister the server from all directors."""
         members = MemberGroup(self.group, (Member.at(*self.address),))
         for director, stream in list(self.streams.items()):
             with contextlib.suppress(OSError):
--- a/rainpick/simulated_peers/mqtt_client.py
+++ b/rainpick/simulated_peers/mqtt_client.py
@@ -1,4 +1,4 @@
-"""A proxy's end of the publish-subscribe front, on a blocking socket."""
+"""A simulated proxy's MQTT client, on a blocking socket."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 
 class MqttProxy:
-    """One connection; ``OSError`` says that it is broken.
+    """One connection to a director; its methods raise ``OSError`` if it is broken.
 
-    ``acknowledges`` False lets it read without an acknowledgement. ``published`` has all that it was sent.
+    If ``acknowledges`` is False, no PUBACK is sent for received messages. ``published`` has every PUBLISH
+    packet that was received.
     """
 
     def __init__(
         self, address: tuple[str, int], uid: str, timeout_s: float = 3.0, receive_maximum: int = 100
     ):
-        self.uid, self.end, self.timeout_s = uid, ClientConnection(), timeout_s
+        self.uid, self.connection, self.timeout_s = uid, ClientConnection(), timeout_s
         self.acknowledges = True
         self.published: list[codec.Publish] = []
-        self.codes: dict[int, int] = {}  # reason codes by packet identifier, until ``publish`` takes them
+        self.codes: dict[int, int] = {}  # PUBACK reason code by packet identifier; removed by ``publish``
         self.follower = TableFollower()
         self.sock = socket.create_connection(address, timeout_s)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -41,50 +42,59 @@
         self.sock.sendall(b"".join(codec.encode_packet(packet) for packet in packets))
 
     def packets(self, timeout_s: float) -> list[codec.Packet]:
-        """Receive the packets that come within a time, without handling them."""
-        return blocking_socket.receive(self.sock, timeout_s, self.end.receive, codec.MqttError)
+        """Receive packets without handling them; return an empty list after ``timeout_s``."""
+        return blocking_socket.receive(self.sock, timeout_s, self.connection.receive, codec.MqttError)
 
     def wait_for(self, kind: type[AnyPacket]) -> AnyPacket:
-        """Wait for a packet of a type; others are handled meanwhile."""
+        """Wait for a packet of a type, and handle all packets received meanwhile."""
         while True:
             packets = self.packets(self.timeout_s)
             if not packets:
-                raise TimeoutError(f"no {kind.__name__}")
+                raise TimeoutError(f"no {kind.__name__} within {self.timeout_s} s")
             self.handle(packets)
             for packet in packets:
                 if isinstance(packet, kind):
                     return packet
 
     def subscribe(self, *filters: str, qos: int = 1) -> tuple[int, ...]:
-        """Subscribe to topic filters; give the reason codes."""
-        self.write(codec.Subscribe(self.end.next_packet_id(), tuple((name, qos) for name in filters)))
+        """Subscribe to topic filters; return the reason codes."""
+        self.write(
+            codec.Subscribe(self.connection.next_packet_id(), tuple((topic, qos) for topic in filters))
+        )
         return self.wait_for(codec.Suback).reason_codes
 
-    def publish(self, what: str, payload: payloads.ProxyMessage | bytes) -> int:
-        """Publish to one of the proxy's topics; give the reason code of the acknowledgement."""
-        number = self.end.next_packet_id()
+    def publish(self, name: str, payload: payloads.ProxyMessage | bytes) -> int:
+        """Publish to one of the proxy's topics; return the reason code of the PUBACK."""
+        number = self.connection.next_packet_id()
         data = payload if isinstance(payload, bytes) else payloads.encode(payload)
-        self.write(codec.Publish(topics.proxy_topic(self.uid, what), data, 1, number))
+        self.write(codec.Publish(topics.proxy_topic(self.uid, name), data, 1, number))
         while number not in self.codes:
             packets = self.packets(self.timeout_s)
             if not packets:
-                raise TimeoutError("no PUBACK")
+                raise TimeoutError(f"no PUBACK for packet {number} within {self.timeout_s} s")
             self.handle(packets)
         return self.codes.pop(number)
 
-    def join(self, before: TableFollower | None, weights: dict[str, int]) -> TableFollower:
-        """Join with the table of an earlier connection, or with servers of a default table."""
-        self.follower = before or TableFollower(weights)
+    def join(self, previous: TableFollower | None, weights: dict[str, int]) -> TableFollower:
+        """Join with the table of an earlier connection, or with the weights of a default table."""
+        self.follower = previous or TableFollower(weights)
         self.subscribe(topics.assignment_topic(self.uid), f"{topics.TOPIC_ROOT}/table/+")
-        old = self.follower
-        presence = Presence("here", old.epoch, old.table, old.version, old.digest, tuple(old.weights))
+        follower = self.follower
+        presence = Presence(
+            "here",
+            follower.epoch,
+            follower.table,
+            follower.version,
+            follower.digest,
+            tuple(follower.weights),
+        )
         code = self.publish("presence", presence)
         if code != codec.ReasonCode.SUCCESS:
-            raise ConnectionAbortedError(f"presence refused: {code:#04x}")
+            raise ConnectionAbortedError(f"presence rejected with reason code {code:#04x}")
         return self.follower
 
     def handle(self, packets: list[codec.Packet]) -> bool:
-        """Handle packets; say whether anything was published."""
+        """Handle packets; return whether one of them was a PUBLISH."""
         published = False
         for packet in packets:
             if isinstance(packet, codec.Puback):
@@ -100,21 +110,21 @@
         return published
 
     def apply_payload(self, data: bytes) -> None:
-        """Apply a payload to the table, and report it if it does not fit or was damaged on its way."""
+        """Apply a payload to the table; request a snapshot if it does not fit the table or is damaged."""
         try:
-            trouble = self.follower.apply(payloads.decode_director_message(data))
+            fault = self.follower.apply(payloads.decode_director_message(data))
         except payloads.PayloadError:
-            trouble = self.follower.report_fault("digest")
-        if trouble is not None:
-            self.report_trouble(trouble)
+            fault = self.follower.report_fault("digest")
+        if fault is not None:
+            self.request_snapshot(fault)
 
-    def report_trouble(self, trouble: SyncFault) -> None:
-        """Ask for the complete table."""
+    def request_snapshot(self, fault: SyncFault) -> None:
+        """Request a snapshot of the table by publishing a fault."""
         topic = topics.proxy_topic(self.uid, "trouble")
-        self.write(codec.Publish(topic, payloads.encode(trouble), 0))
+        self.write(codec.Publish(topic, payloads.encode(fault), 0))
 
     def read(self, timeout_s: float) -> bool:
-        """Handle what comes within a time; say whether anything was published."""
+        """Handle packets that arrive within ``timeout_s``; return whether one of them was a PUBLISH."""
         return self.handle(self.packets(timeout_s))
 
     def close(self) -> None:
--- a/rainpick/simulated_peers/peer_groups.py
+++ b/rainpick/simulated_peers/peer_groups.py
@@ -14,33 +14,33 @@
 
 
 class PeerRole(StrEnum):
-    """What a group of peers is."""
+    """The kind of a group of peers."""
 
     FLEET = "fleet"
     PROXIES = "edge"
 
 
 class PeerGroup(Protocol):
-    """A running group, in whatever process."""
+    """A running group of peers, in this process or its own."""
 
     servers: list[ListedServer]  # empty for proxies
 
     def apply(self, action: Action) -> None:
-        """Have the group apply an action; it must be one for its role."""
+        """Apply an action, which must be one for the group's role."""
 
     def close(self) -> None:
         """End the group."""
 
 
 class PeerGroupStarter(Protocol):
-    """Starts a group, which logs its events to a file."""
+    """Starts a group of peers, which logs its events to a file."""
 
     def __call__(self, role: PeerRole, start: PeerStart, log_path: Path, /) -> PeerGroup:
-        """Give the running group."""
+        """Start the group and return it."""
 
 
 class LocalPeers:
-    """A group within this process."""
+    """A group of peers within this process."""
 
     def __init__(self, role: PeerRole, start: PeerStart, log_path: Path):
         self.log = EventLog(log_path)
@@ -60,6 +60,6 @@
             self.group.apply(cast(ProxyAction, action))
 
     def close(self) -> None:
-        """End the group and its log."""
+        """End the group and close its log."""
         self.group.close()
         self.log.close()
--- a/rainpick/simulated_peers/peer_settings.py
+++ b/rainpick/simulated_peers/peer_settings.py
@@ -1,4 +1,4 @@
-"""What peers have to know of a day, as it is sent to the processes in which they run."""
+"""The settings of the peers of a day, as sent to the processes that run the peers."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """What a type of servers is able to."""
+    """The capacity and the listed weight of a type of servers."""
 
     name: str
-    slots: int  # requests worked on at once
-    speed: float  # of a slot; 1 is usual
-    weight: float  # listed
+    slots: int  # number of requests processed at once
+    speed: float  # speed of a slot; 1 is the normal speed
+    weight: float  # listed weight
 
 
 class RouteLoad(msgspec.Struct, frozen=True):
-    """A route, and what its requests are like."""
+    """A route, and the load that its requests cause."""
 
     name: str
-    share: float  # of all requests, relative to the other routes
-    work_us: int  # mean
+    share: float  # share of all requests, relative to the other routes
+    work_us: int  # mean work of a request
     slo_us: int
     time_limit_us: int
     effect: Literal["repeatable", "keyed", "mutating"]
-    retry_window_us: int  # in which a pod drops a duplicate of an idempotent request
+    retry_window_us: int  # time in which a pod drops a duplicate of an idempotent request
 
 
 class SlowStart(msgspec.Struct, frozen=True):
-    """How servers warm up, and how much work one withstands meanwhile."""
+    """The slow start of servers, and the load that a server withstands during it."""
 
     warm_up_us: int
     start_capacity: float  # fraction of the capacity at the start
     overload_window_us: int
-    overload_multiple: float  # times the capacity within the window
+    overload_multiple: float  # multiple of the capacity that may be requested within the window
 
 
 class ListedServer(msgspec.Struct, frozen=True, array_like=True):
-    """A server as proxies know it."""
+    """The attributes of a server that proxies use."""
 
     host: str
     port: int
@@ -48,39 +48,39 @@
 
     @property
     def address(self) -> SocketAddress:
-        """Where it listens."""
+        """The socket address at which the server listens."""
         return self.host, self.port
 
 
 class PeerSettings(msgspec.Struct, frozen=True):
-    """The settings of a day's peers."""
+    """The settings of all peers of a day."""
 
     seed: int
     zones: tuple[str, ...]
     servers: int
-    uid: str  # of the SASP groups of members
+    uid: str  # LB UID of the members' SASP group
     group: str
     machines: tuple[MachineType, ...]
     routes: tuple[RouteLoad, ...]
     slow_start: SlowStart
-    sasp: tuple[SocketAddress, ...]  # by director, as the next two
+    sasp: tuple[SocketAddress, ...]  # addresses by director, as in the next two
     mqtt: tuple[SocketAddress | None, ...]
     otlp: tuple[SocketAddress, ...]
-    fronts: tuple[Literal["sasp", "mqtt"], ...]  # in turn over the proxies
+    fronts: tuple[Literal["sasp", "mqtt"], ...]  # protocols, assigned to the proxies in turn
     proxies: int
-    calls_per_s: float  # of all clients together
-    pick: Literal["lottery", "wheel", "pair"]  # by lot, round robin, or the less busy of two lots
-    default_servers: int  # that a starting proxy knows
-    retry: Literal["never", "same_pod", "anywhere"]  # by the proxy
+    calls_per_s: float  # request rate of all clients together
+    pick: Literal["lottery", "wheel", "pair"]  # random, round robin, or best of two random; all weighted
+    default_servers: int  # size of a proxy's default table
+    retry: Literal["never", "same_pod", "anywhere"]  # retries of proxies
     client_retries: int
     client_retry_delay_s: float
-    attempt_limit_share: float  # of the time limit
+    attempt_limit_share: float  # time limit of an attempt, as a share of the route's
     report_interval_s: float
-    reconnect_delay_s: tuple[float, float]  # least and most
+    reconnect_delay_s: tuple[float, float]  # minimum and maximum
 
 
 class PeerStart(msgspec.Struct, frozen=True):
-    """What a group of peers begins with; the last two are for proxies."""
+    """The start message of a group of peers; ``listed`` and ``proxies`` are for groups of proxies."""
 
     settings: PeerSettings
     listed: list[ListedServer] = []
--- a/rainpick/simulated_peers/ports.py
+++ b/rainpick/simulated_peers/ports.py
@@ -4,12 +4,12 @@
 import secrets
 import socket
 
-# Below those that the system deals out, which could go to any socket while a director restarts.
+# Below the ephemeral ports: the system could assign those to any socket while a director restarts.
 PORTS = range(20_000, 32_768)
 
 
 def free_ports(count: int) -> list[int]:
-    """Find so many different ports at which nobody listens."""
+    """Find ``count`` different ports that no socket listens on."""
     ports: list[int] = []
     while len(ports) < count:
         port = secrets.choice(PORTS)
--- a/rainpick/simulated_peers/proxies.py
+++ b/rainpick/simulated_peers/proxies.py
@@ -1,4 +1,4 @@
-"""Simulated proxies: they follow a director's weights, pick servers by them, and retry only if told to."""
+"""Simulated proxies: they pick servers by a director's weights, and retry only if configured to."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from rainpick.simulated_peers.peer_settings import PeerSettings, RouteLoad, SocketAddress
 from rainpick.simulated_peers.proxy_table import ProxyTable
 
-OUTCOMES = {200: "answered", 503: "throttled"}  # by status; else the attempt was dropped
+OUTCOMES = {200: "answered", 503: "throttled"}  # by HTTP status; any other counts as dropped
 MIN_ATTEMPT_LIMIT_S = 0.01
 
 
 class SimulatedProxy:
-    """One proxy: a link to a director, a table, attempts at servers, load reports."""
+    """One proxy: its link to a director, its table, its attempts at servers and its load reports."""
 
     def __init__(
         self,
@@ -37,20 +37,20 @@
         for run in (self.link.run, self.reporter.run):
             threading.Thread(target=run, args=(self.ended,), daemon=True).start()
 
-    def call(self, route: RouteLoad, request: str, until_us: int) -> str:
-        """Forward a request to a server, and on failure to another if the settings say so.
+    def forward_request(self, route: RouteLoad, request: str, deadline_us: int) -> str:
+        """Forward a request to a server, and retry a failure at another server if the settings allow it.
 
-        The outcome is ``answered``, ``dropped`` or ``throttled``; the last also if there is no server.
+        Return the outcome: ``answered``, ``dropped`` or ``throttled``; the last also if there is no server.
         """
-        excluded: list[SocketAddress] = []  # the servers tried, and those that a retry may not go to
+        excluded: list[SocketAddress] = []  # the attempted server, and servers that a retry may not use
         outcome, first_us = "throttled", now_us()
         while True:
             server = self.table.pick(excluded)
-            if server is None or now_us() >= until_us:
+            if server is None or now_us() >= deadline_us:
                 break
             if excluded:
                 self.log_retry(route, request, server, excluded[0], first_us)
-            outcome = self.attempt(route, request, server, until_us)
+            outcome = self.attempt(route, request, server, deadline_us)
             is_retry = bool(excluded)
             if outcome == "answered" or self.settings.retry == "never" or is_retry:
                 break
@@ -61,14 +61,14 @@
         return outcome
 
     def servers_outside_pod(self, server: SocketAddress) -> list[SocketAddress]:
-        """List the servers of other pods than a server's."""
+        """List the servers outside a server's pod."""
         pod = self.pods.get(server)
         return [other for other, other_pod in self.pods.items() if other_pod != pod]
 
     def log_retry(
         self, route: RouteLoad, request: str, server: SocketAddress, first: SocketAddress, first_us: int
     ) -> None:
-        """Log a retry, with the server and the time of the first attempt."""
+        """Log a retry, with the server and the start time of the first attempt."""
         self.log.write(
             "again",
             p=self.uid,
@@ -79,11 +79,11 @@
             first=first_us,
         )
 
-    def attempt(self, route: RouteLoad, request: str, server: SocketAddress, until_us: int) -> str:
-        """Send a request to a server; give the outcome."""
+    def attempt(self, route: RouteLoad, request: str, server: SocketAddress, deadline_us: int) -> str:
+        """Send a request to a server; return the outcome."""
         begin, name = now_us(), "%s:%d" % server
         self.log.write("try", at=begin, p=self.uid, id=request, r=route.name, s=name)
-        limit_us = min(until_us - begin, self.settings.attempt_limit_share * route.time_limit_us)
+        limit_us = min(deadline_us - begin, self.settings.attempt_limit_share * route.time_limit_us)
         limit_s = max(MIN_ATTEMPT_LIMIT_S, limit_us / 1e6)
         client, idle = self.table.acquire(server)
         try:
--- a/rainpick/simulated_peers/proxy_group.py
+++ b/rainpick/simulated_peers/proxy_group.py
@@ -1,4 +1,4 @@
-"""Some simulated proxies of a day, and the clients behind them."""
+"""A group of a day's simulated proxies, and the clients that send requests to them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from rainpick.simulated_peers.peer_settings import ListedServer, PeerSettings, RouteLoad
 from rainpick.simulated_peers.proxies import SimulatedProxy
 
-MAX_CONCURRENT_REQUESTS = 64  # of the clients of a proxy
-RATE_SHAPE = 2.5  # of the Pareto distribution of the proxies' request rates
+MAX_CONCURRENT_REQUESTS = 64  # of all clients of one proxy
+RATE_SHAPE = 2.5  # shape of the Pareto distribution of the proxies' request rates
 
 
 class ProxyGroup:
-    """Starts the proxies of some numbers with their clients, and applies the actions on them."""
+    """Starts the proxies with the given numbers and their clients, and applies actions to them."""
 
     def __init__(self, settings: PeerSettings, listed: list[ListedServer], numbers: list[int], log: EventLog):
         self.settings, self.log, self.ended = settings, log, threading.Event()
-        # Drawn for all proxies of the day, in any process: so a proxy has the same wherever it runs.
+        # Drawn for all proxies of the day, so that a proxy's values do not depend on the process it runs in.
         generator = random.Random(f"{settings.seed} standing")
         addresses = [server.address for server in listed]
         pods = {server.address: server.pod for server in listed}
@@ -37,7 +37,7 @@
             threading.Thread(target=self.run_clients, args=(proxy, calls_per_s), daemon=True).start()
 
     def run_clients(self, proxy: SimulatedProxy, calls_per_s: float) -> None:
-        """Let requests arrive in an open loop: when they arrive does not depend on answers."""
+        """Send requests in an open loop: their times do not depend on responses."""
         settings = self.settings
         generator = random.Random(f"{settings.seed} client {proxy.number}")
         pool = ThreadPoolExecutor(max_workers=MAX_CONCURRENT_REQUESTS)
@@ -50,19 +50,19 @@
             route = generator.choices(settings.routes, shares)[0]
             count += 1
             pool.submit(self.request, proxy, route, f"{proxy.uid}.{count}", due_us)
-        # Here and not in ``close``, which would shut down a pool that a thread is about to submit to.
+        # Not in ``close``, which could shut down the pool just before this thread submits to it.
         pool.shutdown(wait=False, cancel_futures=True)
 
     def request(self, proxy: SimulatedProxy, route: RouteLoad, request: str, due_us: int) -> None:
-        """Make a client's request with the client's own retries, until the time limit."""
-        until_us, outcome = due_us + route.time_limit_us, "dropped"
+        """Send a client's request, with the client's own retries, until the time limit."""
+        deadline_us, outcome = due_us + route.time_limit_us, "dropped"
         for attempt in range(1 + self.settings.client_retries):
-            if now_us() >= until_us or self.ended.is_set():
+            if now_us() >= deadline_us or self.ended.is_set():
                 break
             if attempt:
                 time.sleep(self.settings.client_retry_delay_s)
-            outcome = proxy.call(route, request, until_us)
-            # What may have taken effect is retried only where that is harmless.
+            outcome = proxy.forward_request(route, request, deadline_us)
+            # A request that may have taken effect is retried only if its route is repeatable.
             if outcome == "answered" or route.effect != "repeatable" and outcome != "throttled":
                 break
         self.log_request(proxy, route, request, due_us, outcome)
@@ -70,7 +70,7 @@
     def log_request(
         self, proxy: SimulatedProxy, route: RouteLoad, request: str, due_us: int, outcome: str
     ) -> None:
-        """Log how a request ended, as of the time at which it was due."""
+        """Log the outcome of a request, with the time at which it was due."""
         duration_us = now_us() - due_us
         good = outcome == "answered" and duration_us <= route.slo_us
         self.log.write(
@@ -85,7 +85,7 @@
         )
 
     def apply(self, action: actions.ProxyAction) -> None:
-        """Apply an action to those of its proxies that are in this group."""
+        """Apply an action to each of its proxies that belongs to this group."""
         for number in action.proxies:
             if number in self.proxies:
                 self.apply_to(self.proxies[number], action)
--- a/rainpick/simulated_peers/proxy_table.py
+++ b/rainpick/simulated_peers/proxy_table.py
@@ -1,4 +1,4 @@
-"""The table of a simulated proxy: the weights that it holds, by which it picks, and idle connections."""
+"""The table of a simulated proxy: its weights, the choice of servers, and idle connections."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 MAX_IDLE_CONNECTIONS = 8  # to each server
 
-Entry = list[Any]  # server, weight and SASP flags, as the log's events have them
+Entry = list[Any]  # server, weight and SASP flags, in the form of the log events
 
 
 class ProxyTable:
-    """Holds the last weights that the proxy has read. All methods are for any thread.
+    """Holds the weights that the proxy read last. Methods may be called from any thread.
 
-    ``lock`` is the proxy's: it also guards what the proxy observes at the servers.
+    ``lock`` is the proxy's; it also guards the counts for the load reports.
     """
 
     def __init__(
@@ -33,16 +33,16 @@
         self.policy, self.random, self.lock = pick, generator, lock
         self.weights: dict[SocketAddress, int] = dict.fromkeys(default_table, 1)
         self.in_flight: dict[SocketAddress, int] = defaultdict(int)
-        self.credits: dict[SocketAddress, float] = {}  # of the smooth weighted round robin
+        self.credits: dict[SocketAddress, float] = {}  # state of the smooth weighted round robin
         self.idle: dict[SocketAddress, list[Client]] = defaultdict(list)
 
     def copy(self) -> dict[SocketAddress, int]:
-        """Copy the weights."""
+        """Return a copy of the weights."""
         with self.lock:
             return dict(self.weights)
 
     def update(self, message: SendWeights) -> list[Entry]:
-        """Apply pushed weights; give their entries."""
+        """Apply pushed weights; return their entries."""
         entries = [entry for group in message.groups for entry in group.entries]
         with self.lock:
             for entry in entries:
@@ -55,7 +55,7 @@
         return [["%s:%d" % entry.member.key(), entry.weight, entry.flags] for entry in entries]
 
     def replace(self, weights: dict[SocketAddress, int]) -> list[Entry]:
-        """Replace the table by a checked one; give the entries that changed."""
+        """Replace the table with a verified one; return the entries that changed."""
         with self.lock:
             changed = [
                 ["%s:%d" % server, weight, 0]
@@ -69,12 +69,12 @@
         return changed + [["%s:%d" % server, 0, 0] for server in removed]
 
     def close_idle(self, server: SocketAddress) -> None:
-        """Close the idle connections to a server that is not to be used any more. The lock is held."""
+        """Close the idle connections to a server that was removed. The caller holds the lock."""
         for client in self.idle.pop(server, ()):
             client.close()
 
     def pick(self, excluded: Collection[SocketAddress]) -> SocketAddress | None:
-        """Pick a server that is not excluded; None if there is none."""
+        """Pick a server by weight that is not excluded; None if there is none."""
         with self.lock:
             weights = {server: weight for server, weight in self.weights.items() if server not in excluded}
             if not weights:
@@ -86,7 +86,7 @@
             return min(drawn, key=lambda server: self.in_flight[server])
 
     def pick_round_robin(self, weights: dict[SocketAddress, int]) -> SocketAddress:
-        """Pick by smooth weighted round robin. The lock is held."""
+        """Pick by smooth weighted round robin. The caller holds the lock."""
         for server, weight in weights.items():
             self.credits[server] = self.credits.get(server, 0) + weight
         best = max(weights, key=lambda server: self.credits[server])
@@ -94,14 +94,14 @@
         return best
 
     def acquire(self, server: SocketAddress) -> tuple[Client, list[Client]]:
-        """Take a connection to a server for an attempt, and the idle ones that it may go back to."""
+        """Get a connection for an attempt, and the list of idle ones to which ``release`` may return it."""
         idle = self.idle[server]
         with self.lock:
             self.in_flight[server] += 1
             return (idle.pop() if idle else Client(*server)), idle
 
     def release(self, server: SocketAddress, client: Client, idle: list[Client]) -> None:
-        """Give a connection back after an attempt. The lock is held."""
+        """Release a connection after an attempt. The caller holds the lock."""
         self.in_flight[server] -= 1
         if client.connected and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(client)
--- a/rainpick/simulated_peers/sasp_client.py
+++ b/rainpick/simulated_peers/sasp_client.py
@@ -1,4 +1,4 @@
-"""A blocking SASP client: sends a request, waits for its reply, and keeps weights pushed meanwhile."""
+"""A blocking SASP client: sends a request, waits for its reply, and stores weights pushed meanwhile."""
 
 from __future__ import annotations
 
@@ -20,30 +20,32 @@
 )
 from rainpick.simulated_peers import blocking_socket
 
-# The requests that are answered by a status alone.
+# Requests whose reply is only a return code.
 StatusRequest: TypeAlias = Registration | Deregistration | SetLbState | SetMemberState
 
 
 class SaspClient:
-    """One stream to a director; ``OSError`` says that it is broken.
+    """One stream to a director; its methods raise ``OSError`` if it is broken.
 
-    ``buffer`` is the size of the socket's receive buffer in bytes, where it is to be small.
+    ``receive_buffer_bytes`` is the size of the socket's receive buffer; None for the system's default.
     """
 
-    def __init__(self, address: tuple[str, int], timeout_s: float = 3.0, buffer: int | None = None):
+    def __init__(
+        self, address: tuple[str, int], timeout_s: float = 3.0, receive_buffer_bytes: int | None = None
+    ):
         self.sock = socket.socket()
         self.sock.settimeout(timeout_s)
-        if buffer is not None:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
+        if receive_buffer_bytes is not None:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.sock.connect(address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.end = ClientSession()
+        self.session = ClientSession()
         self.pushed: list[SendWeights] = []
         self.timeout_s = timeout_s
 
     def receive(self, timeout_s: float | None) -> list[ReceivedMessage]:
-        """Receive what comes within a time; nothing if it runs out."""
-        return blocking_socket.receive(self.sock, timeout_s, self.end.receive, SaspError)
+        """Receive messages; return an empty list if none arrives within ``timeout_s``."""
+        return blocking_socket.receive(self.sock, timeout_s, self.session.receive, SaspError)
 
     @overload
     def request(self, message: GetWeights) -> GetWeightsReply: ...
@@ -52,34 +54,34 @@
     def request(self, message: StatusRequest) -> Reply: ...
 
     def request(self, message: Message) -> Any:
-        """Send a request and wait for its reply; weights pushed before it are kept."""
+        """Send a request and wait for its reply; weights pushed before it are stored."""
         self.send(message)
         while True:
             received = self.receive(self.timeout_s)
             if not received:
-                raise TimeoutError("no reply")
+                raise TimeoutError(f"no reply to {type(message).__name__} within {self.timeout_s} s")
             replies = [reply for request, reply in received if request is not None]
-            self.keep_pushed(received)
+            self.store_pushed(received)
             if replies:
                 return replies[0]
 
     def send(self, message: Message) -> None:
         """Send a request without waiting for its reply."""
         self.sock.settimeout(self.timeout_s)
-        self.sock.sendall(self.end.encode_request(message))
+        self.sock.sendall(self.session.encode_request(message))
 
     def receive_weights(self, timeout_s: float) -> list[SendWeights]:
-        """Give the weights pushed so far, else those that come within a time."""
+        """Return the stored pushes; if there are none, those that arrive within ``timeout_s``."""
         if not self.pushed:
-            self.keep_pushed(self.receive(timeout_s))
+            self.store_pushed(self.receive(timeout_s))
         weights, self.pushed = self.pushed, []
         return weights
 
-    def keep_pushed(self, received: list[ReceivedMessage]) -> None:
-        """Keep the messages that answer no request."""
+    def store_pushed(self, received: list[ReceivedMessage]) -> None:
+        """Store the received messages that are not replies."""
         for request, message in received:
             if request is None:
-                assert isinstance(message, SendWeights)  # the session lets nothing else through
+                assert isinstance(message, SendWeights)  # the session accepts no other messages
                 self.pushed.append(message)
 
     def close(self) -> None:
--- a/rainpick/simulated_peers/scenario.py
+++ b/rainpick/simulated_peers/scenario.py
@@ -1,4 +1,4 @@
-"""The schema of scenario files (JSON5): the fleet of a scripted day, its clients, and what happens when."""
+"""The schema of scenario files (JSON5): the fleet of a scripted day, its clients and its events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Machine(Part):
-    """A type of servers; the servers take the types in turn."""
+    """A type of servers; the types are assigned to the servers in turn."""
 
     name: str
     slots: int = Field(4, ge=1, le=256, description="calls worked on at once")
@@ -40,7 +40,7 @@
 
 
 class Every(Part):
-    """Selects one of so many, from the first on."""
+    """Selects every ``every``-th number, beginning with ``first``."""
 
     every: int = Field(ge=1)
     first: int = Field(0, ge=0)
@@ -50,7 +50,7 @@
 
 
 class Event(Part):
-    """Something that happens at a time; ``for`` ends it after that long, where it can end."""
+    """An event at a time of the day; ``for`` is its duration, if it is one that can end."""
 
     at: Duration
     do: Literal[
@@ -81,7 +81,7 @@
 
     @property
     def end(self) -> int | None:
-        """When the event ends; None if it does not say."""
+        """The end time of the event; None if it has no duration."""
         return None if self.lasts is None else self.at + self.lasts
 
 
@@ -117,7 +117,7 @@
     events: tuple[Event, ...] = ()
 
     @model_validator(mode="after")
-    def names_are_known(self) -> Scenario:
+    def check_events(self) -> Scenario:
         """Check that the events fit the fleet."""
         for index, event in enumerate(self.events):
             error = self.event_error(event)
@@ -126,12 +126,12 @@
         return self
 
     def event_error(self, event: Event) -> str | None:
-        """Say why an event does not fit the fleet; None if it does."""
+        """Return the reason why an event does not fit the fleet; None if it fits."""
         zone = event.servers.zone if isinstance(event.servers, Zone) else event.zone
         if zone is not None and zone not in self.zones:
             return f"zone {zone!r} is not one of {list(self.zones)}"
         if event.do == "lose_zone" and event.zone is None:
-            return "lose_zone wants a zone"
+            return "lose_zone requires a zone"
         if event.at > self.length:
             return "at is after the end of the day"
         if event.director >= self.directors:
@@ -139,7 +139,7 @@
         return None
 
     def servers_of(self, event: Event) -> list[int]:
-        """List the servers that an event is about."""
+        """List the servers that an event selects."""
         zone = event.zone if event.do == "lose_zone" else None
         if isinstance(event.servers, Zone):
             zone = event.servers.zone
@@ -149,15 +149,15 @@
         return select(self.servers, event.servers)
 
     def proxies_of(self, event: Event) -> list[int]:
-        """List the proxies that an event is about."""
+        """List the proxies that an event selects."""
         return select(self.proxies, event.proxies)
 
 
 def select(count: int, selector: Selector) -> list[int]:
-    """List the selected numbers out of so many."""
+    """List the selected numbers below ``count``."""
     if isinstance(selector, Every):
         return list(range(count)[selector.first :: selector.every])
     if selector == "all":
         return list(range(count))
-    assert isinstance(selector, tuple)  # zones are for servers alone, and looked up before
+    assert isinstance(selector, tuple)  # ``servers_of`` has resolved zones already
     return list(selector)
--- a/rainpick/simulated_peers/schedule.py
+++ b/rainpick/simulated_peers/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a day: what happens when, by the events of its scenario."""
+"""The schedule of a day: the steps of the events of its scenario."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from rainpick.simulated_peers import actions
 from rainpick.simulated_peers.scenario import Event, Scenario
 
-DIRECTOR_DOWN_US = 1_000_000  # how long a killed director stays down if its event does not say
+DIRECTOR_DOWN_US = 1_000_000  # downtime of a killed director whose event has no end
 
 
-class Stage(Protocol):
-    """Where the events of a day take place."""
+class StepTarget(Protocol):
+    """Applies the steps of a schedule to the peers and directors."""
 
     def apply_to_servers(self, action: actions.ServerAction) -> None:
         """Apply an action to servers."""
@@ -28,27 +28,27 @@
 
 
 class Step(NamedTuple):
-    """One step of a schedule; steps of the same time run by ``order``."""
+    """One step of a schedule; steps at the same time run in the order of ``order``."""
 
     at_us: int  # from the beginning of the day
     order: int
-    text: str  # what happens, for people; empty if nothing is to be said
+    text: str  # description for the log and the progress output; empty to print nothing
     run: Callable[[], None]
 
 
-def build_schedule(scenario: Scenario, stage: Stage) -> list[Step]:
-    """Build the steps of all events, in the order of the scenario."""
-    builder = ScheduleBuilder(scenario, stage)
+def build_schedule(scenario: Scenario, target: StepTarget) -> list[Step]:
+    """Build the steps of all events, in the order of the scenario's events."""
+    builder = ScheduleBuilder(scenario, target)
     for event in scenario.events:
         builder.add_event(event)
     return builder.steps
 
 
 class ScheduleBuilder:
-    """Collects steps; an event that lasts has a second step, which ends it."""
+    """Collects the steps of events; an event with a duration has a second step, which ends it."""
 
-    def __init__(self, scenario: Scenario, stage: Stage):
-        self.scenario, self.stage = scenario, stage
+    def __init__(self, scenario: Scenario, target: StepTarget):
+        self.scenario, self.target = scenario, target
         self.steps: list[Step] = []
 
     def add(self, at_us: int, text: str, run: Callable[[], None]) -> None:
@@ -57,11 +57,11 @@
 
     def add_server_step(self, at_us: int, text: str, action: actions.ServerAction) -> None:
         """Add an action on servers."""
-        self.add(at_us, text, lambda: self.stage.apply_to_servers(action))
+        self.add(at_us, text, lambda: self.target.apply_to_servers(action))
 
     def add_proxy_step(self, at_us: int, text: str, action: actions.ProxyAction) -> None:
         """Add an action on proxies."""
-        self.add(at_us, text, lambda: self.stage.apply_to_proxies(action))
+        self.add(at_us, text, lambda: self.target.apply_to_proxies(action))
 
     def add_event(self, event: Event) -> None:
         """Add the steps of an event."""
@@ -82,7 +82,7 @@
                 self.add_report_event(event)
 
     def add_fault(self, event: Event) -> None:
-        """Have servers slow down, fail requests or hang."""
+        """Add the steps that make servers slow down, fail requests or hang."""
         servers, end_us = self.scenario.servers_of(event), event.end
         begin: actions.ServerAction
         end: actions.ServerAction
@@ -97,7 +97,7 @@
             self.add_server_step(end_us, f"{event.do} is over", end)
 
     def add_outage(self, event: Event) -> None:
-        """Have servers die, or all servers of a zone."""
+        """Add the steps that stop servers, or all servers of a zone, without notice."""
         servers, end_us = self.scenario.servers_of(event), event.end
         cause = f"zone {event.zone} is lost" if event.zone else "sudden death"
         self.add_server_step(event.at, f"{cause}: {len(servers)} servers", actions.StopServers(servers))
@@ -106,13 +106,13 @@
             self.add_server_step(end_us, text, actions.StartServers(servers))
 
     def add_member_event(self, event: Event) -> None:
-        """Have servers drain, or their streams to the directors break."""
+        """Add the step that drains servers, or breaks their streams to the directors."""
         servers = self.scenario.servers_of(event)
         kind = actions.DrainServers if event.do == "drain" else actions.BreakMemberStreams
         self.add_server_step(event.at, f"{event.do}: {len(servers)} servers", kind(servers))
 
     def add_deploy(self, event: Event) -> None:
-        """Have servers replaced, one after the other."""
+        """Add the steps that replace servers one after the other."""
         servers = self.scenario.servers_of(event)
         for index, number in enumerate(servers):
             text = f"deploy: {len(servers)} servers" if index == 0 else ""
@@ -120,13 +120,13 @@
             self.add_server_step(event.at + index * event.stagger, text, action)
 
     def add_director_outage(self, event: Event) -> None:
-        """Have a director killed and started again."""
+        """Add the steps that kill a director and start it again."""
         number, restart_us = event.director, event.end or event.at + DIRECTOR_DOWN_US
-        self.add(event.at, f"director {number} is killed", lambda: self.stage.kill_director(number))
-        self.add(restart_us, f"director {number} starts again", lambda: self.stage.restart_director(number))
+        self.add(event.at, f"director {number} is killed", lambda: self.target.kill_director(number))
+        self.add(restart_us, f"director {number} starts again", lambda: self.target.restart_director(number))
 
     def add_stream_event(self, event: Event) -> None:
-        """Have the streams of proxies break, or proxies stop reading."""
+        """Add the steps that break the streams of proxies, or make proxies stop reading."""
         proxies, end_us = self.scenario.proxies_of(event), event.end
         if event.do == "break_streams":
             text = f"streams of {len(proxies)} proxies break"
@@ -138,7 +138,7 @@
             self.add_proxy_step(end_us, "they read again", actions.PauseReading(proxies, False))
 
     def add_report_event(self, event: Event) -> None:
-        """Have proxies send their load reports twice or late."""
+        """Add the steps that make proxies send their load reports twice or late."""
         proxies, end_us = self.scenario.proxies_of(event), event.end
         mode = cast(actions.ReportMode, event.do.removesuffix("_reports"))
         text = f"{mode} reports of {len(proxies)} proxies"
--- a/rainpick/simulated_peers/servers.py
+++ b/rainpick/simulated_peers/servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers: they serve requests over HTTP, warm up, show faults, and are members of directors."""
+"""Simulated servers: HTTP servers with a slow start and injected faults, registered with the directors."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from rainpick.simulated_peers.server_capacity import ServerCapacity
 
 MAX_CONNECTIONS = 512
-MAX_KNOWN_REQUESTS = 4096  # in a pod, before outdated ones are forgotten
-HUNG_CHECK_S = 0.02
-DEREGISTRATION_S = 0.05  # for the last messages to leave before the streams are closed
+MAX_KNOWN_REQUESTS = 4096  # size at which a pod removes expired idempotency keys
+HANG_CHECK_INTERVAL_S = 0.02  # interval at which a hanging request checks whether it may continue
+DEREGISTRATION_WAIT_S = 0.05  # time for the last messages to be sent before the streams are closed
 
 
 class Pod:
-    """What the servers of a pod share: recent idempotency keys, so that duplicates are dropped."""
+    """State that the servers of a pod share: recent idempotency keys, used to drop duplicate requests."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.known_until_us: dict[str, int] = {}
 
     def is_duplicate(self, request: str, window_us: int) -> bool:
-        """Say whether a request came within the window before; if not, remember it."""
+        """Return whether the request was received within the window before now; if not, store its key."""
         now = now_us()
         with self.lock:
             if len(self.known_until_us) > MAX_KNOWN_REQUESTS:
@@ -41,12 +41,12 @@
 
 
 def pod_number(server: int, zones: int) -> int:
-    """Give a server's pod: two servers of a zone that are next to each other."""
+    """Return the pod of a server; a pod is a pair of consecutive servers of a zone."""
     return server // (zones * 2) * zones + server % zones
 
 
 class SimulatedServer:
-    """One server on loopback; its faults are attributes that the fleet sets."""
+    """One server on loopback; the fleet sets attributes to inject faults."""
 
     def __init__(self, number: int, settings: PeerSettings, pod: Pod, log: EventLog):
         machine = settings.machines[number % len(settings.machines)]
@@ -60,36 +60,36 @@
         label = f"weight={machine.weight};zone={zone};machine={machine.name};pod={self.pod_number}"
         group = Group(settings.uid, settings.group)
         self.membership = Membership(settings.sasp, group, label, log, self.is_current)
-        self.run = 0  # counts its starts
+        self.run = 0  # number of starts
         self.running = threading.Event()
-        self.address: SocketAddress = ("127.0.0.1", 0)  # the port is kept from the first start on
-        self.front: Server | None = None
+        self.address: SocketAddress = ("127.0.0.1", 0)  # later starts reuse the port of the first
+        self.http_server: Server | None = None
         self.slowdown, self.failure_share, self.hung = 1.0, 0.0, False
 
     @property
     def name(self) -> str:
-        """The server as logs name it."""
+        """The server's name in logs."""
         return "%s:%d" % self.address
 
     def is_current(self, run: int) -> bool:
-        """Say whether the run of a number still lasts."""
+        """Return whether the run of a number still lasts."""
         return self.running.is_set() and self.run == run
 
     # Requests
 
-    def serve(self, asked: Request) -> Response:
-        """Handle a request: the route is its path, its identity the header ``call``.
+    def serve(self, http_request: Request) -> Response:
+        """Handle a request: its path is the route, and its header ``call`` identifies it.
 
-        ``ConnectionResetError`` ends the connection without an answer.
+        ``ConnectionResetError`` closes the connection without a response.
         """
-        now, request = now_us(), asked.headers.get("call", "?")
-        route = self.routes[asked.path.strip("/")]
+        now, request = now_us(), http_request.headers.get("call", "?")
+        route = self.routes[http_request.path.strip("/")]
         self.log.write("call", s=self.name, id=request, r=route.name, w=route.work_us)
         while self.hung and self.running.is_set():
-            time.sleep(HUNG_CHECK_S)
+            time.sleep(HANG_CHECK_INTERVAL_S)
         if not self.running.is_set():
             raise ConnectionResetError
-        if self.capacity.is_overwhelmed(now, route.work_us):
+        if self.capacity.is_overloaded(now, route.work_us):
             self.stop("fell")
             raise ConnectionResetError
         if self.random.random() < self.failure_share:
@@ -113,16 +113,16 @@
             self.log.write("effect", s=self.name, id=request, r=route.name)
         return Response(200, b"ok", "text/plain")
 
-    # Life
+    # Lifecycle
 
     def start(self, cold: bool) -> None:
-        """Start a run of the server, which warms up if it is cold."""
+        """Start a new run of the server; a cold server warms up."""
         self.run += 1
         started_us = now_us() - (0 if cold else self.warm_up_us)
         self.capacity.reset(started_us)
         self.hung, self.membership.draining = False, False
-        self.front = Server("server", self.address, self.serve, max_connections=MAX_CONNECTIONS)
-        self.address = self.front.address
+        self.http_server = Server("server", self.address, self.serve, max_connections=MAX_CONNECTIONS)
+        self.address = self.http_server.address
         self.running.set()
         self.log.write(
             "start",
@@ -135,20 +135,20 @@
         self.membership.begin(self.run, self.address, started_us)
 
     def drain(self) -> None:
-        """Begin a graceful shutdown: the directors are told, and requests are still served."""
+        """Begin a graceful shutdown: announce the drain to the directors, and still serve requests."""
         self.membership.drain()
 
     def leave(self) -> None:
         """End a graceful shutdown: deregister and stop."""
         self.membership.deregister()
-        time.sleep(DEREGISTRATION_S)
+        time.sleep(DEREGISTRATION_WAIT_S)
         self.stop("left")
 
     def stop(self, reason: str) -> None:
-        """Stop at once: requests in progress get no answer. Does nothing if it has stopped."""
+        """Stop at once, without answering requests in progress. Does nothing on a stopped server."""
         if self.running.is_set():
             self.running.clear()
             self.log.write("stop", s=self.name, how=reason)
-            if self.front is not None:
-                self.front.close()
+            if self.http_server is not None:
+                self.http_server.close()
             self.membership.end()
--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -4,7 +4,7 @@
 from tempfile import TemporaryDirectory
 
 from rainpick.http1.client import Client
-from tests.loopback.help import MemberEnd, ProxyEnd, running
+from tests.loopback.harness import MemberEnd, ProxyEnd, running
 from tests.waiting import until
 
 BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # maps under these names have keys that are no words of ours
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Logs of directors within the test's process go where pytest shows them; known failures are passed over."""
+"""Sends the logs of in-process directors to standard error, and marks known failures as expected."""
 
 import sys
 
@@ -11,15 +11,15 @@
 
 
 def pytest_collection_modifyitems(items):
-    """A listed test is expected to fail, and fails the suite if it passes."""
-    for failure in known_red.listed():
+    """Mark the listed tests as expected failures; one that passes fails the suite."""
+    for failure in known_red.load():
         for item in items:
-            if failure.names(item.nodeid):
+            if failure.matches(item.nodeid):
                 reason = f"{failure.cause} (issue {failure.issue})"
                 item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter):
     """Print the known failures after each run."""
-    for failure in known_red.listed():
+    for failure in known_red.load():
         terminalreporter.write_line(f"KNOWN RED: {failure.test}: {failure.cause} (issue {failure.issue})")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The list of known failures, ``KNOWN-RED.txt``: tests that fail for a real fault that is not mended yet.
+"""Reads the list of known failures, ``KNOWN-RED.txt``: tests that fail because of a fault not fixed yet.
 
-A line is ``TEST; CAUSE; ISSUE``. A listed test has to fail: one that passes fails the suite, so that the line
-is taken off with the mend. The suite prints the lines whenever it runs.
+A line is ``TEST; CAUSE; ISSUE``. A listed test must fail: one that passes fails the suite, so that the line
+is removed together with the fix. The suite prints the lines whenever it runs.
 """
 
 from __future__ import annotations
@@ -10,42 +10,43 @@
 from typing import NamedTuple
 
 PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_LINES = 3
 
 
 class KnownFailure(NamedTuple):
     """One line of the list."""
 
-    test: str  # its pytest id; all of its parameters, if the id has none
+    test: str  # pytest id; without parameters it covers all of them
     cause: str
     issue: str
 
-    def names(self, test_id: str) -> bool:
+    def matches(self, test_id: str) -> bool:
+        """Return whether the line covers a test."""
         return test_id == self.test or test_id.startswith(self.test + "[")
 
 
-def read(text: str) -> list[KnownFailure]:
-    """The lines of the list; ``ValueError`` if one can't be read or there are too many.
+def parse(text: str) -> list[KnownFailure]:
+    """Parse the lines of the list; ``ValueError`` if one is malformed or there are too many.
 
-    >>> read("# comment\\n\\ntests/a.py::test_b; the queue is too long; 26")
+    >>> parse("# comment\\n\\ntests/a.py::test_b; the queue is too long; 26")
     [KnownFailure(test='tests/a.py::test_b', cause='the queue is too long', issue='26')]
-    >>> read("tests/a.py::test_b; no issue")
+    >>> parse("tests/a.py::test_b; no issue")
     Traceback (most recent call last):
     ValueError: KNOWN-RED.txt: 'tests/a.py::test_b; no issue' is not TEST; CAUSE; ISSUE
     """
-    found = []
+    failures = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
         parts = [part.strip() for part in line.split(";")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
             raise ValueError(f"KNOWN-RED.txt: {line!r} is not TEST; CAUSE; ISSUE")
-        found.append(KnownFailure(*parts))
-    if len(found) > MOST:
-        raise ValueError(f"KNOWN-RED.txt: {len(found)} lines, {MOST} at most")
-    return found
+        failures.append(KnownFailure(*parts))
+    if len(failures) > MAX_LINES:
+        raise ValueError(f"KNOWN-RED.txt: {len(failures)} lines, {MAX_LINES} at most")
+    return failures
 
 
-def listed() -> list[KnownFailure]:
-    """The list as it stands."""
-    return read(PATH.read_text()) if PATH.exists() else []
+def load() -> list[KnownFailure]:
+    """Read the list; it is empty if the file does not exist."""
+    return parse(PATH.read_text()) if PATH.exists() else []
--- a/tests/loopback/help.py
+++ b/tests/loopback/harness.py
@@ -1,4 +1,4 @@
-"""A director on loopback within the test's process, and plain SASP clients of it."""
+"""A director on loopback within the test's process, and SASP clients of it for servers and proxies."""
 
 import contextlib
 import json
@@ -23,33 +23,38 @@
 from rainpick.simulated_peers.sasp_client import SaspClient
 from tests.waiting import WAIT_S
 
-TEXT = """{
+SETTINGS = """{
   director: {settle: "100ms"%(director)s},
   listen: {sasp: "127.0.0.1:0", otlp: "127.0.0.1:0", status: "127.0.0.1:0"%(mqtt)s},
   zones: ["a", "b"],
   routes: [{name: "lookup", slo_time: "500ms", time_limit: "2s"}],
   proxies: {count: 1}, // one table for all
-  %(more)s
+  %(sections)s
 }"""
 FLEET = Group("rainpick", "servers")
-KEPT = []  # streams that nobody holds must not close before the test ends
+KEPT_STREAMS = []  # keeps streams without another reference open until the test ends
 
 
 @contextlib.contextmanager
-def running(more="", director="", mqtt=False, **words):
-    front = ', mqtt: "127.0.0.1:0"' if mqtt else ""
-    daemon = Daemon(parse(TEXT % {"more": more, "director": director, "mqtt": front}), **words)
+def running(sections="", director="", mqtt=False, **daemon_options):
+    """Run a director with the given sections of its settings; fail if its event loop raised an error."""
+    mqtt_listener = ', mqtt: "127.0.0.1:0"' if mqtt else ""
+    daemon = Daemon(
+        parse(SETTINGS % {"sections": sections, "director": director, "mqtt": mqtt_listener}),
+        **daemon_options,
+    )
     daemon.start()
     try:
         yield daemon
     finally:
         daemon.stop()
-        while KEPT:
-            KEPT.pop().close()
+        while KEPT_STREAMS:
+            KEPT_STREAMS.pop().close()
     assert daemon.core.failure is None, daemon.core.failure
 
 
 def status(daemon):
+    """Fetch a director's status, with empty lists of servers and proxies before its decisions begin."""
     client = Client(*daemon.status)
     code, _, body = client.call("GET", "/status")
     client.close()
@@ -58,15 +63,16 @@
 
 
 def members(*ports, label=""):
+    """Build the SASP members for servers at some ports."""
     return tuple(Member.at("127.0.0.1", port, label) for port in ports)
 
 
 class MemberEnd(SaspClient):
-    """Servers' stream."""
+    """A SASP stream that registers the servers at some ports as members."""
 
     def __init__(self, daemon, *ports, label=""):
         super().__init__(daemon.sasp)
-        KEPT.append(self)
+        KEPT_STREAMS.append(self)
         if ports:
             assert self.register(*ports, label=label) == ReturnCode.SUCCESS
 
@@ -74,7 +80,7 @@
         return self.request(Registration((MemberGroup(FLEET, members(*ports, label=label)),))).code
 
     def quiesce(self, *ports, on=True):
-        states = tuple(MemberState(one, 0, on) for one in members(*ports))
+        states = tuple(MemberState(member, 0, on) for member in members(*ports))
         return self.request(SetMemberState((StateGroup(FLEET, states),))).code
 
     def deregister(self, *ports):
@@ -82,41 +88,54 @@
 
 
 class ProxyEnd(SaspClient):
-    """A proxy's stream and what it holds."""
-
-    def __init__(self, daemon, uid, *standing, flags=PUSH | TRUST | NO_CHANGE, held=None, buffer=None):
-        super().__init__(daemon.sasp, buffer=buffer)
-        KEPT.append(self)
+    """A proxy's SASP stream, and the weights by port that it has received."""
+
+    def __init__(
+        self,
+        daemon,
+        uid,
+        *default_ports,
+        flags=PUSH | TRUST | NO_CHANGE,
+        weights=None,
+        receive_buffer_bytes=None,
+    ):
+        super().__init__(daemon.sasp, receive_buffer_bytes=receive_buffer_bytes)
+        KEPT_STREAMS.append(self)
         self.uid, self.group = uid, Group(uid, "servers")
-        self.held = dict.fromkeys(standing, 1) if held is None else held
+        self.weights = dict.fromkeys(default_ports, 1) if weights is None else weights
         self.messages = []
         assert self.request(SetLbState(uid, 0x7F, flags)).code == ReturnCode.SUCCESS
-        there = members(*self.held)
-        assert self.request(Registration((MemberGroup(self.group, there),), True)).code == ReturnCode.SUCCESS
+        default_table = members(*self.weights)
+        assert (
+            self.request(Registration((MemberGroup(self.group, default_table),), True)).code
+            == ReturnCode.SUCCESS
+        )
 
     def read(self, timeout_s=WAIT_S):
         for message in self.receive_weights(timeout_s):
             self.messages.append(message)
-            self.take(message.groups)
-        return self.held
+            self.apply(message.groups)
+        return self.weights
 
-    def take(self, groups):
+    def apply(self, groups):
         for group in groups:
             assert group.group == self.group
             for entry in group.entries:
                 if entry.weight:
-                    self.held[entry.member.port] = entry.weight
+                    self.weights[entry.member.port] = entry.weight
                 else:
-                    self.held.pop(entry.member.port, None)
+                    self.weights.pop(entry.member.port, None)
 
-    def until(self, ready, what="the weights"):
+    def until(self, condition, description="expected weights"):
         end = time.monotonic() + WAIT_S
-        while not ready(self.held):
-            assert time.monotonic() < end, f"{self.uid}: {what} did not come, it holds {self.held}"
+        while not condition(self.weights):
+            assert time.monotonic() < end, (
+                f"{self.uid}: timed out waiting for {description}, holds {self.weights}"
+            )
             self.read(0.05)
-        return self.held
+        return self.weights
 
-    def ask_weights(self):
+    def get_weights(self):
         reply = self.request(GetWeights((self.group,)))
-        self.take(reply.groups)
+        self.apply(reply.groups)
         return reply
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -1,4 +1,4 @@
-"""Whole days on loopback: the rules are kept, and a director broken on purpose is found out."""
+"""Whole days on loopback: the rules are kept, and the audit detects directors with injected faults."""
 
 import contextlib
 import itertools
@@ -14,7 +14,7 @@
 from rainpick.simulated_peers.day import Day, LocalPeers
 from rainpick.simulated_peers.scenario import Scenario
 
-SMALL = """{
+SMALL_DAY = """{
   name: "test", length: "6s", servers: 6, proxies: 4, calls_per_s: 60, zones: ["a", "b"],
   routes: [
     {name: "lookup", share: 0.7, work: "20ms", slo_time: "400ms", time_limit: "1s"},
@@ -27,7 +27,7 @@
 
 
 class InProcessDirector:
-    """A director in the test's process, so that a double can stand in for its module."""
+    """A director in the test's process, which can run a substitute for its decision module."""
 
     def __init__(self, module, settings, folder):
         self.settings, self.module = Settings.model_validate(settings), module
@@ -43,8 +43,9 @@
         assert self.daemon.core.failure is None
 
 
-def play(tmp_path, settings="", rest="", module=Director):
-    scenario = parse(SMALL % (settings, rest), "day", Scenario)
+def play(tmp_path, settings="", fields="", module=Director):
+    """Run a small day; return the verdict, up to two breaches of each broken rule, and the log events."""
+    scenario = parse(SMALL_DAY % (settings, fields), "day", Scenario)
     day = Day(
         scenario,
         tmp_path / "day",
@@ -71,12 +72,14 @@
 
 
 def test_a_deploy_keeps_all_five_rules(tmp_path):
-    verdict, broken, _ = play(tmp_path, rest=DEPLOY)
+    verdict, broken, _ = play(tmp_path, fields=DEPLOY)
     assert not broken and verdict.service_ratio() > 0.95
     assert all(rule.checked for rule in verdict.rules if rule.name != "drains kept")
 
 
 class NoWithdrawals(Director):
+    """Sends no withdrawals and no weights of 0."""
+
     def step(self, now, events):
         return [
             command
@@ -87,70 +90,74 @@
         ]
 
 
-def test_a_director_that_withdraws_nothing_breaks_the_rule_on_drains(tmp_path):
-    assert set(play(tmp_path, rest=LATE_DRAIN, module=NoWithdrawals)[1]) == {"drains kept"}
+def test_a_director_without_withdrawals_breaks_the_rule_on_drains(tmp_path):
+    assert set(play(tmp_path, fields=LATE_DRAIN, module=NoWithdrawals)[1]) == {"drains kept"}
 
 
 class WithdrawsAll(Director):
+    """Withdraws all servers in each step after its first two seconds."""
+
     def step(self, now, events):
         commands = super().step(now, events)
-        if now - self.since(now) > 2_000_000:
+        if now - self.first_step_us(now) > 2_000_000:
             commands += [model.SetWithdrawn(server, True) for server in self.fleet.servers]
         return commands
 
-    def since(self, now):
-        self.began = getattr(self, "began", now)
-        return self.began
+    def first_step_us(self, now):
+        self.started_us = getattr(self, "started_us", now)
+        return self.started_us
 
 
-def test_a_director_that_withdraws_all_breaks_the_rule_on_empty_tables(tmp_path):
+def test_a_director_that_withdraws_all_servers_breaks_the_rule_on_empty_tables(tmp_path):
     assert "a line to pick" in play(tmp_path, module=WithdrawsAll)[1]
 
 
 class SkipsSlowStart(Director):
+    """Treats every ready server as warm, and raises the weight of servers that are warming up."""
+
     def start(self, now, event):
         commands = super().start(now, event)
-        self.right_weight = self.assignment.weight
+        self.original_weight = self.assignment.weight
         self.assignment.weight = self.weight
         self.fleet.is_warm = lambda server: server.status == model.EndpointState.READY
         return commands
 
     def weight(self, server, table):
-        young = server.endpoint.started_us > self.now - 3_000_000
-        return self.right_weight(server, table) * (50 if young else 1)
+        is_cold = server.endpoint.started_us > self.now - 3_000_000
+        return self.original_weight(server, table) * (50 if is_cold else 1)
 
 
 def test_a_director_that_skips_slow_starts_breaks_the_rule_on_cold_servers(tmp_path):
-    rest = (
+    fields = (
         DEPLOY.replace("{every: 3}", "[0]")
         + ', machines: [{name: "one", slots: 1, speed: 0.6, weight: 1}], pick: "lottery"'
     )
-    broken = play(tmp_path, "fleet: {weight_most: 64}", rest, SkipsSlowStart)[1]
+    broken = play(tmp_path, "fleet: {weight_most: 64}", fields, SkipsSlowStart)[1]
     assert "no cold server pushed over" in broken
 
 
 class Floods(Director):
-    """Orders a change for everybody in each step."""
+    """Sends 40 weight updates in each step."""
 
     def step(self, now, events):
-        self.turns = getattr(self, "turns", 0) + 1
-        server = next(iter(self.fleet.servers), None) if self.turns > 1 else None
-        flood = [model.SetWeight(0, server, 1 + self.turns % 5)] * 40 if server else []
+        self.steps = getattr(self, "steps", 0) + 1
+        server = next(iter(self.fleet.servers), None) if self.steps > 1 else None
+        flood = [model.SetWeight(0, server, 1 + self.steps % 5)] * 40 if server else []
         return super().step(now, events) + flood
 
 
-def test_a_director_that_floods_breaks_the_rule_on_backlogs(tmp_path):
+def test_a_director_that_floods_its_proxies_breaks_the_rule_on_backlogs(tmp_path):
     settings = 'channel: {lines_per_s: 100, pending_lines: 250, messages_most: 6, messages_over: "10s"}'
     assert set(play(tmp_path, settings, module=Floods)[1]) == {"a short queue"}
 
 
-def test_commits_retried_in_their_pod_are_dropped_there_and_counted(tmp_path):
-    """Slow servers make proxies retry in the same pod while the first attempt still runs."""
-    rest = (
+def test_commits_retried_in_their_pod_take_effect_once(tmp_path):
+    """Slow servers make proxies retry in the same pod while the first attempt is still in progress."""
+    fields = (
         'repeat: "same_pod", client_repeats: 0, try_share: 0.25, '
         'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
     )
-    verdict, broken, events = play(tmp_path, rest=rest)
+    verdict, broken, events = play(tmp_path, fields=fields)
     assert not broken and verdict.retries["dropped by servers"] > 0
     retried = {event["id"] for event in events if event["k"] == "again" and event["r"] == "commit"}
     effects = [event["id"] for event in events if event["k"] == "effect"]
@@ -158,15 +165,15 @@
 
 
 def test_commits_retried_anywhere_break_the_rule_on_duplicate_effects(tmp_path):
-    rest = (
+    fields = (
         'repeat: "anywhere", client_repeats: 0, try_share: 0.25, '
         'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
     )
-    assert set(play(tmp_path, rest=rest)[1]) == {"no effect twice"}
+    assert set(play(tmp_path, fields=fields)[1]) == {"no effect twice"}
 
 
 def weights_read(events, server):
-    """The weights that proxies read for a server, with the second from the day's beginning."""
+    """Return the weights that proxies read for a server, with the seconds since the day began."""
     begin = next(event["t"] for event in events if event["k"] == "mark")
     return [
         ((event["t"] - begin) / 1e6, weight)
@@ -177,13 +184,13 @@
     ]
 
 
-def test_weight_advice_end_to_end(tmp_path):
-    """A server slows down before a deadline: its weight falls in what SASP clients read, and rises again."""
-    rest = (
+def test_the_weight_of_a_slow_server_falls_and_rises_again(tmp_path):
+    """A server slows down for some seconds; SASP clients must read a lower weight, then a higher one."""
+    fields = (
         'length: "34s", repeat: "same_pod", try_share: 0.4, events: '
         '[{at: "2s", do: "slow", servers: [1], factor: 14, for: "7s"}]'
     )
-    text = (SMALL % ("proxies: {ejects_after: 0}", rest)).replace('length: "6s",', "")
+    text = (SMALL_DAY % ("proxies: {ejects_after: 0}", fields)).replace('length: "6s",', "")
     scenario = parse(text, "day", Scenario)
     day = Day(
         scenario,
@@ -198,16 +205,16 @@
         for line in path.read_text().splitlines()
     ]
     slow = next(event["s"] for event in events if event["k"] == "start" and event["n"] == 1)
-    seen = weights_read(events, slow)
-    full = max(weight for second, weight in seen if second < 2)
-    least = min(weight for second, weight in seen if 2 < second < 14)
-    assert least < 0.8 * full, seen
-    assert seen[-1][1] > least, seen
+    samples = weights_read(events, slow)
+    highest = max(weight for second, weight in samples if second < 2)
+    lowest = min(weight for second, weight in samples if 2 < second < 14)
+    assert lowest < 0.8 * highest, samples
+    assert samples[-1][1] > lowest, samples
     assert verdict.passed and verdict.service_ratio() > scenario.goal, verdict.service_ratio()
 
 
-def test_a_deploy_over_both_fronts_keeps_all_five_rules(tmp_path):
-    verdict, broken, events = play(tmp_path, rest=DEPLOY + ', fronts: ["mqtt", "sasp"]')
+def test_a_deploy_over_sasp_and_mqtt_keeps_all_five_rules(tmp_path):
+    verdict, broken, events = play(tmp_path, fields=DEPLOY + ', fronts: ["mqtt", "sasp"]')
     assert not broken and verdict.service_ratio() > 0.95
     assert {event["p"] for event in events if event["k"] == "weights"} == {
         f"edge-{number}" for number in range(4)
@@ -215,12 +222,12 @@
 
 
 def test_broken_streams_and_late_or_duplicate_reports_break_no_rule(tmp_path):
-    rest = (
+    fields = (
         'events: [{at: "1s", do: "break_streams"}, {at: "1s", do: "double_reports", for: "3s"}, '
         '{at: "2s", do: "break_member_streams", servers: "all"}, '
         '{at: "3500ms", do: "break_streams", proxies: [0, 1]}]'
     )
-    verdict, broken, events = play(tmp_path, rest=rest)
+    verdict, broken, events = play(tmp_path, fields=fields)
     assert not broken and verdict.service_ratio() > 0.95
     assert sum(event["k"] == "joined" for event in events) == 4 + 4 + 2
 
@@ -229,7 +236,7 @@
     "text, expected",
     [
         ('events: [{at: "9s", do: "drain"}]', "after the end"),
-        ('events: [{at: "1s", do: "lose_zone"}]', "wants a zone"),
+        ('events: [{at: "1s", do: "lose_zone"}]', "requires a zone"),
         ('events: [{at: "1s", do: "lose_zone", zone: "q"}]', "'q' is not one of"),
         ('events: [{at: "1s", do: "dance"}]', "Input should be 'slow'"),
         ('events: [{at: "1s", do: "kill_director", director: 3}]', "no director 3"),
@@ -237,15 +244,15 @@
 )
 def test_an_inconsistent_scenario_is_rejected(text, expected):
     with pytest.raises(Exception, match=expected):
-        parse(SMALL % ("", text), "day", Scenario)
+        parse(SMALL_DAY % ("", text), "day", Scenario)
 
 
-def test_directors_are_never_given_the_same_port(tmp_path, monkeypatch):
-    """A port that one of them has not bound yet looks free: two started with the same, and one ended."""
+def test_directors_never_get_the_same_port(tmp_path, monkeypatch):
+    """A port that a director has not bound yet looks free: two directors once got the same, and one ended."""
     draws = itertools.chain(range(20_100, 20_104), range(20_100, 20_104), itertools.count(20_104))
     monkeypatch.setattr(secrets, "choice", lambda ports: next(draws))
     launched = []
-    scenario = parse(SMALL % ("", "directors: 2"), "day", Scenario)
+    scenario = parse(SMALL_DAY % ("", "directors: 2"), "day", Scenario)
     day = Day(scenario, tmp_path, launch=lambda settings, folder: launched.append(settings["listen"]))
     monkeypatch.setattr(day, "wait_for_status", lambda condition, holds: None)
     day.start_directors()
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -1,4 +1,4 @@
-"""The publish-subscribe front on loopback: proxies, observers, an unmodified client, and what goes wrong."""
+"""The MQTT frontend on loopback: proxies, observers, an unmodified client, and faults of each."""
 
 import json
 import socket
@@ -24,244 +24,254 @@
     decode_director_message,
 )
 from rainpick.simulated_peers.mqtt_client import MqttProxy
-from tests.loopback.help import KEPT, MemberEnd, ProxyEnd, status
-from tests.loopback.help import running as plainly
+from tests.loopback.harness import KEPT_STREAMS, MemberEnd, ProxyEnd, running, status
 from tests.waiting import until
 
 FULL = 4096
-S = 1_000_000_000
+SECOND_NS = 1_000_000_000
 
 
 @pytest.fixture
 def daemon(request):
-    more, words = getattr(request, "param", ("", {}))
-    with started(more, **words) as daemon:
+    sections, daemon_options = getattr(request, "param", ("", {}))
+    with running_with_mqtt(sections, **daemon_options) as daemon:
         yield daemon
 
 
-def started(more="", **words):
-    return plainly(more, mqtt=True, **words)
+def running_with_mqtt(sections="", **daemon_options):
+    return running(sections, mqtt=True, **daemon_options)
 
 
 class Proxy(MqttProxy):
-    def __init__(self, daemon, uid, *holds, before=None, **words):
-        super().__init__(daemon.mqtt, uid, **words)
-        KEPT.append(self)
-        self.join(before, {f"127.0.0.1:{port}": 1 for port in holds})
+    """A proxy that joins with a default table, or with the table of an earlier connection."""
 
-    def until(self, ready):
+    def __init__(self, daemon, uid, *default_ports, previous=None, **client_options):
+        super().__init__(daemon.mqtt, uid, **client_options)
+        KEPT_STREAMS.append(self)
+        self.join(previous, {f"127.0.0.1:{port}": 1 for port in default_ports})
+
+    def until(self, condition):
         end = time.monotonic() + 10
-        while not ready(self.ports()):
-            assert time.monotonic() < end, f"{self.uid} holds {self.ports()}"
+        while not condition(self.weights_by_port()):
+            assert time.monotonic() < end, f"{self.uid}: timed out, holds {self.weights_by_port()}"
             self.read(0.05)
         return self
 
-    def ports(self):
-        lines = self.follower.available_servers()
-        return {int(server.rpartition(":")[2]): weight for server, weight in lines.items()}
+    def weights_by_port(self):
+        servers = self.follower.available_servers()
+        return {int(server.rpartition(":")[2]): weight for server, weight in servers.items()}
 
-    def heard(self):
-        return [decode_director_message(one.payload) for one in self.published]
+    def received_messages(self):
+        return [decode_director_message(packet.payload) for packet in self.published]
 
 
-def exact(daemon, *proxies):
-    """Every proxy holds its table's newest version, by digest."""
+def wait_for_exact_tables(daemon, *proxies):
+    """Wait until every proxy holds the newest version of its table, compared by digest."""
 
-    def check():
+    def digests_match():
         rows = {row["table"]: row for row in status(daemon)["tables"]}
         for proxy in proxies:
             proxy.read(0.01)
         return all(rows[proxy.follower.table]["digest"] == proxy.follower.digest for proxy in proxies)
 
-    until(check, "the exact table")
+    until(digests_match, "the exact table")
 
 
-def test_snapshot_then_changes_and_acknowledgements_are_applied(daemon):
+def test_a_proxy_applies_a_snapshot_and_deltas_and_acknowledges_them(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9009))
-    whole = dict.fromkeys(range(9001, 9009), FULL)
-    proxy = Proxy(daemon, "edge-1", 9001, 7777).until(lambda held: held == whole)
-    first = proxy.heard()[-1]
+    full_table = dict.fromkeys(range(9001, 9009), FULL)
+    proxy = Proxy(daemon, "edge-1", 9001, 7777).until(lambda weights: weights == full_table)
+    first = proxy.received_messages()[-1]
     assert (
         isinstance(first, ProxyAssignment)
         and isinstance(first.table_update, TableSnapshot)
         and first.admissions[0].retry_policy == "never"
     )
     fleet.quiesce(9002)
-    proxy.until(lambda held: 9002 not in held)
-    last = proxy.heard()[-1]
+    proxy.until(lambda weights: 9002 not in weights)
+    last = proxy.received_messages()[-1]
     assert isinstance(last, TableDelta) and last.updated[0].weight == 0
     assert proxy.published[-1].topic == topics.table_topic(0)
-    exact(daemon, proxy)
-    until(lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "every mark answered")
+    wait_for_exact_tables(daemon, proxy)
+    until(lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "all acknowledgements")
 
 
-def test_both_fronts_serve_the_same_table_at_once(daemon):
+def test_both_frontends_serve_the_same_table_at_once(daemon):
     fleet = MemberEnd(daemon, 9001, 9002, 9003)
-    over = {"mqtt": Proxy(daemon, "edge-1"), "sasp": ProxyEnd(daemon, "edge-2")}
-    for proxy in over.values():
-        proxy.until(lambda held: len(held) == 3)
+    proxies = {"mqtt": Proxy(daemon, "edge-1"), "sasp": ProxyEnd(daemon, "edge-2")}
+    for proxy in proxies.values():
+        proxy.until(lambda weights: len(weights) == 3)
     fleet.quiesce(9001)
-    for proxy in over.values():
-        proxy.until(lambda held: set(held) == {9002, 9003})
+    for proxy in proxies.values():
+        proxy.until(lambda weights: set(weights) == {9002, 9003})
     assert {proxy["uid"]: proxy["table"] for proxy in status(daemon)["proxies"]} == {"edge-1": 0, "edge-2": 0}
-    newer = ProxyEnd(daemon, "edge-1")  # the same proxy, over the other front: the newer connection counts
-    newer.until(lambda held: set(held) == {9002, 9003})
+    newer = ProxyEnd(daemon, "edge-1")  # replaces the proxy's connection over MQTT
+    newer.until(lambda weights: set(weights) == {9002, 9003})
     with pytest.raises(OSError):
         while True:
-            over["mqtt"].read(5)
+            proxies["mqtt"].read(5)
 
 
-def test_a_proxy_that_was_away_goes_on_from_the_version_it_holds(daemon):
+def test_a_reconnecting_proxy_gets_only_the_deltas_since_its_version(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9011))
-    proxy = Proxy(daemon, "edge-1").until(lambda held: len(held) == 10)
-    held = proxy.follower
+    proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 10)
+    previous = proxy.follower
     proxy.close()
     until(lambda: not status(daemon)["proxies"])
     fleet.quiesce(9001)
-    fleet.quiesce(9002)  # two changes missed
-    again = Proxy(daemon, "edge-1", before=held).until(lambda held: len(held) == 8)
-    assert all(not isinstance(getattr(one, "table_update", one), TableSnapshot) for one in again.heard())
-    exact(daemon, again)
+    fleet.quiesce(9002)  # the proxy has missed two changes
+    rejoined = Proxy(daemon, "edge-1", previous=previous).until(lambda weights: len(weights) == 8)
+    assert all(
+        not isinstance(getattr(message, "table_update", message), TableSnapshot)
+        for message in rejoined.received_messages()
+    )
+    wait_for_exact_tables(daemon, rejoined)
 
 
-def test_who_shows_a_wrong_digest_or_an_old_epoch_gets_the_whole(daemon):
+def test_a_proxy_with_a_wrong_digest_or_an_old_epoch_gets_a_snapshot(daemon):
     MemberEnd(daemon, *range(9001, 9011))
-    proxy = Proxy(daemon, "edge-1").until(lambda held: len(held) == 10)
+    proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 10)
     for change in ({"digest": "0" * 16}, {"epoch": "another"}):
-        old = TableFollower(proxy.follower.weights)
-        vars(old).update({**vars(proxy.follower), "weights": {"127.0.0.1:9001": 5}, **change})
+        outdated = TableFollower(proxy.follower.weights)
+        vars(outdated).update({**vars(proxy.follower), "weights": {"127.0.0.1:9001": 5}, **change})
         proxy.close()
         until(lambda: not status(daemon)["proxies"])
-        proxy = Proxy(daemon, "edge-1", before=old).until(lambda held: len(held) == 10)
-        assert any(isinstance(getattr(one, "table_update", one), TableSnapshot) for one in proxy.heard())
-        exact(daemon, proxy)
+        proxy = Proxy(daemon, "edge-1", previous=outdated).until(lambda weights: len(weights) == 10)
+        assert any(
+            isinstance(getattr(message, "table_update", message), TableSnapshot)
+            for message in proxy.received_messages()
+        )
+        wait_for_exact_tables(daemon, proxy)
 
 
-def test_a_damaged_change_is_noticed_said_and_healed(daemon):
+def test_a_proxy_reports_a_damaged_delta_and_gets_the_exact_table(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9011))
-    proxy = Proxy(daemon, "edge-1").until(lambda held: len(held) == 10)
-    take, damaged = proxy.apply_payload, []
+    proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 10)
+    apply_payload, damaged = proxy.apply_payload, []
 
     def damage(data):
         if isinstance(decode_director_message(data), TableDelta) and not damaged:
             damaged.append(data)
             data = data.replace(b'"weight"', b'"weihgt"').replace(b",0]", b",9]")
-        take(data)
+        apply_payload(data)
 
     proxy.apply_payload = damage
     fleet.quiesce(9003)
-    proxy.until(lambda held: damaged and 9003 not in held and len(held) == 9)
+    proxy.until(lambda weights: damaged and 9003 not in weights and len(weights) == 9)
     assert status(daemon)["subscribers"]["healed"] == 1
-    exact(daemon, proxy)
+    wait_for_exact_tables(daemon, proxy)
 
 
-def test_a_director_killed_between_snapshot_and_change_numbers_afresh_and_is_told_by_its_epoch():
-    with started() as first:
+def test_a_restarted_director_has_a_new_epoch_and_replaces_the_tables_of_the_earlier_one():
+    with running_with_mqtt() as first:
         MemberEnd(first, *range(9001, 9006))
-        proxy = Proxy(first, "edge-1").until(lambda held: len(held) == 5)
-        held = proxy.follower
-        assert held.version > 0
-    with started() as second:
+        proxy = Proxy(first, "edge-1").until(lambda weights: len(weights) == 5)
+        previous = proxy.follower
+        assert previous.version > 0
+    with running_with_mqtt() as second:
         MemberEnd(second, *range(9001, 9005))
-        again = Proxy(second, "edge-1", before=held).until(lambda held: len(held) == 4)
-        assert again.follower.epoch == status(second)["epoch"] != ""
-        exact(second, again)
+        rejoined = Proxy(second, "edge-1", previous=previous).until(lambda weights: len(weights) == 4)
+        assert rejoined.follower.epoch == status(second)["epoch"] != ""
+        wait_for_exact_tables(second, rejoined)
 
 
 @pytest.mark.parametrize("daemon", [('mqtt: {ack_within: "400ms"}', {})], indirect=True)
-def test_a_subscriber_that_acknowledges_nothing_holds_up_nobody_and_is_let_go(daemon):
+def test_a_subscriber_without_acknowledgements_delays_no_other_and_is_disconnected(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9011))
-    good, mute = Proxy(daemon, "edge-1"), Proxy(daemon, "edge-2")
-    for proxy in (good, mute):
-        proxy.until(lambda held: len(held) == 10)
-    mute.acknowledges = False
+    healthy, silent = Proxy(daemon, "edge-1"), Proxy(daemon, "edge-2")
+    for proxy in (healthy, silent):
+        proxy.until(lambda weights: len(weights) == 10)
+    silent.acknowledges = False
     for port in range(9001, 9006):
         begin = time.monotonic()
         fleet.quiesce(port)
-        good.until(lambda held, port=port: port not in held)
+        healthy.until(lambda weights, port=port: port not in weights)
         assert time.monotonic() - begin < 1
     until(lambda: status(daemon)["streams"]["let_go"] == 1)
     assert [proxy["uid"] for proxy in status(daemon)["proxies"]] == ["edge-1"]
 
 
 @pytest.mark.parametrize("daemon", [('mqtt: {ack_within: "300ms"}', {})], indirect=True)
-def test_a_subscriber_that_stops_reading_in_a_deploy_of_a_third_comes_back_to_the_exact_table(daemon):
+def test_a_subscriber_that_stops_reading_during_a_deploy_gets_the_exact_table_on_reconnection(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9031))
-    proxies = [Proxy(daemon, f"edge-{number}").until(lambda held: len(held) == 30) for number in range(2)]
-    for port in range(9001, 9011):  # edge-1 reads nothing of it
+    proxies = [
+        Proxy(daemon, f"edge-{number}").until(lambda weights: len(weights) == 30) for number in range(2)
+    ]
+    for port in range(9001, 9011):  # edge-1 reads none of these changes
         fleet.quiesce(port)
         fleet.deregister(port)
-        proxies[0].until(lambda held, port=port: port not in held)
+        proxies[0].until(lambda weights, port=port: port not in weights)
     MemberEnd(daemon, *range(9001, 9011), label="boot=2;age=900")
     until(lambda: status(daemon)["streams"]["let_go"] == 1)
-    held = proxies[1].follower
+    previous = proxies[1].follower
     with pytest.raises(OSError):
         while True:
             proxies[1].read(0.5)
-    again = Proxy(daemon, "edge-1", before=held).until(lambda held: len(held) == 30)
-    proxies[0].until(lambda held: len(held) == 30)
-    exact(daemon, proxies[0], again)
+    rejoined = Proxy(daemon, "edge-1", previous=previous).until(lambda weights: len(weights) == 30)
+    proxies[0].until(lambda weights: len(weights) == 30)
+    wait_for_exact_tables(daemon, proxies[0], rejoined)
 
 
-def test_a_rollback_to_a_version_whose_servers_half_drained_while_others_are_lost(daemon):
+def test_a_rollback_does_not_restore_draining_or_lost_servers_and_ends_without_an_available_one(daemon):
     fleet, lost = MemberEnd(daemon, *range(9001, 9007)), MemberEnd(daemon, *range(9011, 9014))
-    proxy = Proxy(daemon, "edge-1").until(lambda held: len(held) == 9)
+    proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 9)
     first = status(daemon)["tables"][0]["version"]
     for port in (9001, 9002, 9003):
         fleet.quiesce(port)
     MemberEnd(daemon, 9021, label="age=900")
-    proxy.until(lambda held: 9021 in held and 9003 not in held)
-    assert tables(daemon, "rollback", "0", "--to", str(first), "--who", "staff", "--why", "x")[0] == 0
-    lost.deregister(9011, 9012, 9013)  # their zone goes while the table is pinned
-    proxy.until(lambda held: set(held) == {9004, 9005, 9006})
+    proxy.until(lambda weights: 9021 in weights and 9003 not in weights)
+    assert run_tables(daemon, "rollback", "0", "--to", str(first), "--who", "staff", "--why", "x")[0] == 0
+    lost.deregister(9011, 9012, 9013)  # lost while the table is pinned
+    proxy.until(lambda weights: set(weights) == {9004, 9005, 9006})
     for port in (9004, 9005, 9006):
         fleet.quiesce(port)
-    proxy.until(lambda held: set(held) == {9021})  # nothing open is left of the pin: the ordinary table
-    assert json.loads(tables(daemon, "list", "--json")[1])[0]["pinned"]["idle"]
-    exact(daemon, proxy)
+    # The pinned version has no available server left, so the ordinary table applies.
+    proxy.until(lambda weights: set(weights) == {9021})
+    assert json.loads(run_tables(daemon, "list", "--json")[1])[0]["pinned"]["idle"]
+    wait_for_exact_tables(daemon, proxy)
 
 
-def test_receive_maximum_is_kept_and_what_waits_is_one_message(daemon):
+def test_receive_maximum_is_respected_and_waiting_changes_are_sent_as_one_message(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1", receive_maximum=1)
-    proxy.until(lambda held: len(held) == 10)
+    proxy.until(lambda weights: len(weights) == 10)
     proxy.acknowledges = False
     fleet.quiesce(9001)
-    proxy.until(lambda held: 9001 not in held)
-    number, many = proxy.published[-1].packet_id, len(proxy.published)
+    proxy.until(lambda weights: 9001 not in weights)
+    packet_id, count = proxy.published[-1].packet_id, len(proxy.published)
     for port in (9002, 9003, 9004):
         fleet.quiesce(port)
     until(lambda: status(daemon)["channel"]["blocked"] == 1)
     proxy.read(0.2)
-    assert len(proxy.published) == many
+    assert len(proxy.published) == count
     proxy.acknowledges = True
-    proxy.write(codec.Puback(number))
-    proxy.until(lambda held: len(held) == 6)
-    assert len(proxy.published) == many + 1, "one message with the newest state"
+    proxy.write(codec.Puback(packet_id))
+    proxy.until(lambda weights: len(weights) == 6)
+    assert len(proxy.published) == count + 1, "one message with the newest state"
 
 
 @pytest.mark.parametrize("daemon", [("mqtt: {says_per_s: 5}", {})], indirect=True)
-def test_a_publisher_that_floods_is_ended_and_nobody_else(daemon):
+def test_a_client_that_exceeds_the_publish_rate_is_disconnected_and_no_other(daemon):
     MemberEnd(daemon, 9001)
-    quiet, loud = Proxy(daemon, "edge-1").until(lambda held: held), Proxy(daemon, "edge-2")
+    quiet, flooding = Proxy(daemon, "edge-1").until(lambda weights: weights), Proxy(daemon, "edge-2")
     now = time.time_ns()
     with pytest.raises(OSError):
         for step in range(1000):
-            loud.publish("report", LoadReport(now + step, now + step + 1))
+            flooding.publish("report", LoadReport(now + step, now + step + 1))
     assert status(daemon)["subscribers"]["floods"] == 1
-    quiet.until(lambda held: held)
+    quiet.until(lambda weights: weights)
 
 
-def test_reports_over_this_front_are_evidence_and_late_ones_are_not(daemon):
+def test_fresh_reports_over_mqtt_count_and_doubled_or_late_ones_do_not(daemon):
     MemberEnd(daemon, 9001)
     proxy, now = Proxy(daemon, "edge-1"), time.time_ns()
     until(lambda: status(daemon)["phase"] == "deciding")
-    rows = {
+    counts = {
         "attempts": (payloads.ServerAttempts("127.0.0.1:9001", "answered", 3, 0.2),),
         "requests": (payloads.RouteRequests("lookup", "answered", 3),),
     }
-    for end, verdict in ((now, "fresh"), (now, "doubled"), (now - 20 * S, "late")):
-        assert proxy.publish("report", LoadReport(end - S, end, **rows)) == codec.ReasonCode.SUCCESS
+    for end, verdict in ((now, "fresh"), (now, "doubled"), (now - 20 * SECOND_NS, "late")):
+        assert proxy.publish("report", LoadReport(end - SECOND_NS, end, **counts)) == codec.ReasonCode.SUCCESS
         assert status(daemon)["reports"][verdict] == 2
     assert (
         proxy.publish(
@@ -273,7 +283,7 @@
 
 
 @pytest.mark.parametrize(
-    "what, data, code",
+    "name, data, code",
     [
         ("report", b"{", codec.ReasonCode.PAYLOAD_FORMAT_INVALID),
         ("trouble", payloads.encode(LoadReport(1, 2)), codec.ReasonCode.PAYLOAD_FORMAT_INVALID),
@@ -281,14 +291,14 @@
         ("../edge-2/report", b"", codec.ReasonCode.NOT_AUTHORIZED),
     ],
 )
-def test_what_a_client_may_not_say_is_refused_and_the_connection_goes_on(daemon, what, data, code):
+def test_a_forbidden_or_malformed_message_is_rejected_and_the_connection_stays_open(daemon, name, data, code):
     MemberEnd(daemon, 9001)
     proxy = Proxy(daemon, "edge-1")
-    assert proxy.publish(what, data) == code
-    proxy.until(lambda held: held == {9001: FULL})
+    assert proxy.publish(name, data) == code
+    proxy.until(lambda weights: weights == {9001: FULL})
 
 
-def test_presence_needs_orders_of_qos_1(daemon):
+def test_presence_requires_a_subscription_to_the_assignment_topic_with_qos_1(daemon):
     client = MqttProxy(daemon.mqtt, "edge-1")
     client.subscribe(topics.assignment_topic("edge-1"), qos=0)
     assert client.publish("presence", Presence("here")) == codec.ReasonCode.NOT_AUTHORIZED
@@ -309,42 +319,42 @@
         codec.encode_packet(codec.Connect("bad/name")),
     ],
 )
-def test_what_is_not_mqtt_ends_that_connection_alone(daemon, data):
+def test_invalid_mqtt_data_closes_only_its_connection(daemon, data):
     MemberEnd(daemon, 9001)
     with socket.create_connection(daemon.mqtt) as sock:
         sock.settimeout(5)
         sock.sendall(data)
         while sock.recv(4096):
             pass
-    Proxy(daemon, "edge-1").until(lambda held: held == {9001: FULL})
+    Proxy(daemon, "edge-1").until(lambda weights: weights == {9001: FULL})
 
 
-def test_an_unmodified_client_reads_a_table_follows_it_and_acknowledges(daemon):
+def test_an_unmodified_client_follows_a_table_and_acknowledges_it(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9009))
-    Proxy(daemon, "edge-1").until(lambda held: len(held) == 8)
-    follower, news = TableFollower(), threading.Condition()
-    seen = []
-
-    def heard(client, _, message):
-        with news:
-            one = decode_director_message(message.payload)
-            follower.epoch, follower.table = one.epoch, one.table
-            assert follower.apply(one) is None
-            seen.append((type(one).__name__, message.qos, message.retain))
-            news.notify_all()
+    Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 8)
+    follower, updated = TableFollower(), threading.Condition()
+    received = []
+
+    def apply(client, _, packet):
+        with updated:
+            message = decode_director_message(packet.payload)
+            follower.epoch, follower.table = message.epoch, message.table
+            assert follower.apply(message) is None
+            received.append((type(message).__name__, packet.qos, packet.retain))
+            updated.notify_all()
 
     client = paho.Client(CallbackAPIVersion.VERSION2, "observer", protocol=paho.MQTTv5)
-    client.on_message = heard
+    client.on_message = apply
     client.on_connect = lambda client, *_: client.subscribe("rainpick/v1/table/+", 1)
     client.connect(*daemon.mqtt)
     client.loop_start()
     try:
-        with news:
-            assert news.wait_for(lambda: len(follower.weights) == 8, 10)
+        with updated:
+            assert updated.wait_for(lambda: len(follower.weights) == 8, 10)
         fleet.quiesce(9004)
-        with news:
-            assert news.wait_for(lambda: len(follower.available_servers()) == 7, 10)
-        assert seen[0] == ("TableSnapshot", 1, True) and seen[1][:2] == ("TableDelta", 1)
+        with updated:
+            assert updated.wait_for(lambda: len(follower.available_servers()) == 7, 10)
+        assert received[0] == ("TableSnapshot", 1, True) and received[1][:2] == ("TableDelta", 1)
         table = status(daemon)["tables"][0]
         until(lambda: follower.digest == status(daemon)["tables"][0]["digest"])
         assert status(daemon)["subscribers"]["observers"] == 1 and table["proxies"] == 1
@@ -353,47 +363,51 @@
         client.loop_stop()
 
 
-def test_the_same_client_twice_the_newer_counts(daemon):
+def test_a_newer_connection_of_the_same_client_replaces_the_older(daemon):
     MemberEnd(daemon, 9001)
-    old = Proxy(daemon, "edge-1").until(lambda held: held)
-    new = Proxy(daemon, "edge-1").until(lambda held: held)
+    old = Proxy(daemon, "edge-1").until(lambda weights: weights)
+    new = Proxy(daemon, "edge-1").until(lambda weights: weights)
     with pytest.raises(OSError, match="0x8e|closed"):
         while True:
             old.read(5)
-    exact(daemon, new)
+    wait_for_exact_tables(daemon, new)
 
 
-def tables(daemon, *words):
-    found = CliRunner().invoke(main, ["tables", *words, "--at", "%s:%d" % daemon.status])
-    return found.exit_code, found.stdout
+def run_tables(daemon, *arguments):
+    """Run ``rainpick tables`` against a director; return the exit code and the output."""
+    result = CliRunner().invoke(main, ["tables", *arguments, "--at", "%s:%d" % daemon.status])
+    return result.exit_code, result.stdout
 
 
-def test_staff_roll_back_pin_and_release_and_say_who_and_why(daemon):
+def test_operators_roll_back_and_release_a_table_with_their_name_and_reason(daemon):
     fleet = MemberEnd(daemon, *range(9001, 9007))
     proxy, sasp = Proxy(daemon, "edge-1"), ProxyEnd(daemon, "edge-2")
-    proxy.until(lambda held: len(held) == 6)
+    proxy.until(lambda weights: len(weights) == 6)
     first = status(daemon)["tables"][0]["version"]
     fleet.quiesce(9001)
     MemberEnd(daemon, 9009, label="age=500")
-    proxy.until(lambda held: 9001 not in held and 9009 in held)
-    code, text = tables(daemon, "list", "--json")
+    proxy.until(lambda weights: 9001 not in weights and 9009 in weights)
+    code, text = run_tables(daemon, "list", "--json")
     assert code == 0 and json.loads(text)[0]["pinned"] is None
-    code, text = tables(daemon, "rollback", "0", "--to", str(first), "--who", "staff", "--why", "9009 is odd")
+    code, text = run_tables(
+        daemon, "rollback", "0", "--to", str(first), "--who", "staff", "--why", "9009 is odd"
+    )
     assert code == 0
-    for one in (proxy, sasp):
-        one.until(lambda held: set(held) == {9002, 9003, 9004, 9005, 9006})  # less what drained since
-    fleet.quiesce(9002)  # it drains while the table is pinned
-    for one in (proxy, sasp):
-        one.until(lambda held: set(held) == {9003, 9004, 9005, 9006})
-    row = json.loads(tables(daemon, "list", "--json")[1])[0]
+    for client in (proxy, sasp):
+        # Without 9001, which has drained since that version.
+        client.until(lambda weights: set(weights) == {9002, 9003, 9004, 9005, 9006})
+    fleet.quiesce(9002)  # drains while the table is pinned
+    for client in (proxy, sasp):
+        client.until(lambda weights: set(weights) == {9003, 9004, 9005, 9006})
+    row = json.loads(run_tables(daemon, "list", "--json")[1])[0]
     assert row["pinned"]["who"] == "staff" and row["version"] > first
-    assert tables(daemon, "release", "0", "--who", "staff", "--why", "it is well")[0] == 0
-    proxy.until(lambda held: 9009 in held)
-    assert tables(daemon, "release", "0", "--who", "staff", "--why", "again")[0] == 1
-    assert tables(daemon, "rollback", "0", "--to", "999", "--who", "staff", "--why", "x")[0] == 1
-    assert tables(daemon, "pin", "7", "--who", "staff", "--why", "x")[0] == 1
-    code, text = tables(daemon, "diff", "0", str(first), str(row["version"]))
+    assert run_tables(daemon, "release", "0", "--who", "staff", "--why", "it is well")[0] == 0
+    proxy.until(lambda weights: 9009 in weights)
+    assert run_tables(daemon, "release", "0", "--who", "staff", "--why", "again")[0] == 1
+    assert run_tables(daemon, "rollback", "0", "--to", "999", "--who", "staff", "--why", "x")[0] == 1
+    assert run_tables(daemon, "pin", "7", "--who", "staff", "--why", "x")[0] == 1
+    code, text = run_tables(daemon, "diff", "0", str(first), str(row["version"]))
     assert code == 0 and "9001" in text
-    code, text = tables(daemon, "show", "0", "--json")
+    code, text = run_tables(daemon, "show", "0", "--json")
     assert "127.0.0.1:9009" in json.loads(text)["lines"]
-    exact(daemon, proxy)
+    wait_for_exact_tables(daemon, proxy)
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -1,4 +1,4 @@
-"""Load reports over OTLP/HTTP: which are accepted, which are rejected, and that none is counted twice."""
+"""Load reports over OTLP/HTTP: which are accepted or rejected, and that none is counted twice."""
 
 import gzip
 import itertools
@@ -17,23 +17,26 @@
 from rainpick.http1.bodies import BodyError, decompress
 from rainpick.http1.client import Client
 from rainpick.otlp.encoding import RouteOutcome, ServerOutcome, encode_report
-from tests.loopback.help import MemberEnd, ProxyEnd, running, status
+from tests.loopback.harness import MemberEnd, ProxyEnd, running, status
 from tests.waiting import until
 
 CONTENT_TYPE = ("content-type", "application/x-protobuf")
-S = 1_000_000_000
+SECOND_NS = 1_000_000_000
 UIDS = itertools.cycle(range(1, 41))
 
 
-def body(end_s=0.0, uid=None, port=9001):
-    """Four attempts at a server, one dropped, and three calls; by a proxy of its own unless one is named."""
-    end = time.time_ns() + int(end_s * S)
+def encode_body(end_s=0.0, uid=None, port=9001):
+    """Encode a report of four attempts, one of them dropped, and three requests.
+
+    Without ``uid`` it is from the next proxy in turn, so that the reports' periods do not overlap.
+    """
+    end = time.time_ns() + int(end_s * SECOND_NS)
     servers = [
         ServerOutcome("127.0.0.1", port, "answered", 3, 0.3),
         ServerOutcome("127.0.0.1", port, "dropped", 1, 1.0),
     ]
     routes = [RouteOutcome("lookup", "answered", 3)]
-    return encode_report(uid or f"edge-{next(UIDS)}", end - S, end, servers, routes)
+    return encode_report(uid or f"edge-{next(UIDS)}", end - SECOND_NS, end, servers, routes)
 
 
 @pytest.fixture(scope="module")
@@ -54,7 +57,7 @@
 
 
 def partial_success(data):
-    """Number of rejected points and the error message of a response."""
+    """Return the number of rejected points and the error message of a response."""
     response = ExportMetricsServiceResponse()
     response.ParseFromString(data)
     return response.partial_success.rejected_data_points, response.partial_success.error_message
@@ -64,17 +67,17 @@
     return status(daemon)["reports"]
 
 
-def test_a_report_becomes_evidence_with_and_without_gzip(daemon):
+def test_a_report_is_counted_with_and_without_gzip(daemon):
     before = counts(daemon)["fresh"]
-    assert post(daemon, body())[0] == 200
-    code, headers, data = post(daemon, gzip.compress(body()), ("content-encoding", "gzip"))
+    assert post(daemon, encode_body())[0] == 200
+    code, headers, data = post(daemon, gzip.compress(encode_body()), ("content-encoding", "gzip"))
     assert (code, headers["content-type"], partial_success(data)) == (200, CONTENT_TYPE[1], (0, ""))
     assert counts(daemon)["fresh"] == before + 6
     until(lambda: counts(daemon)["told"] > 0)
 
 
 def test_a_duplicate_period_is_accepted_and_counted_once(daemon):
-    report, before = body(), counts(daemon)
+    report, before = encode_body(), counts(daemon)
     for _ in range(3):
         code, _, data = post(daemon, report)
         assert code == 200 and partial_success(data) == (0, "")
@@ -84,63 +87,72 @@
 
 def test_a_report_of_ten_seconds_ago_is_rejected_as_late(daemon):
     before = counts(daemon)
-    code, _, data = post(daemon, body(-10))
+    code, _, data = post(daemon, encode_body(-10))
     assert code == 200 and partial_success(data) == (3, "3 late")
     assert counts(daemon)["late"] == before["late"] + 3 and counts(daemon)["fresh"] == before["fresh"]
 
 
 def cumulative():
     request = ExportMetricsServiceRequest()
-    request.ParseFromString(body())
+    request.ParseFromString(encode_body())
     for metric in request.resource_metrics[0].scope_metrics[0].metrics:
         getattr(metric, metric.WhichOneof("data")).aggregation_temporality = 2
     return request.SerializeToString()
 
 
-def changed(change):
+def modified(modify):
     request = ExportMetricsServiceRequest()
-    request.ParseFromString(body())
-    change(request.resource_metrics[0])
+    request.ParseFromString(encode_body())
+    modify(request.resource_metrics[0])
     return request.SerializeToString()
 
 
-def rename(resource):
+def rename_metric(resource):
     resource.scope_metrics[0].metrics[0].name = "http.server.duration"
 
 
-def unnamed(resource):
+def remove_instance_id(resource):
     del resource.resource.attributes[:]
 
 
-def endless(resource):
+def set_infinite_sum(resource):
     resource.scope_metrics[0].metrics[0].histogram.data_points[0].sum = float("inf")
 
 
-def portless(resource):
+def remove_server_port(resource):
     del resource.scope_metrics[0].metrics[0].histogram.data_points[0].attributes[1]
 
 
-def timeless(resource):
+def remove_start_time(resource):
     resource.scope_metrics[0].metrics[1].sum.data_points[0].start_time_unix_nano = 0
 
 
 @pytest.mark.parametrize(
-    "data, rejected, why",
+    "data, rejected, reason",
     [
         (cumulative, 3, "delta"),
-        (lambda: changed(rename), 2, "not known"),
-        (lambda: changed(unnamed), 3, "service.instance.id"),
-        (lambda: changed(endless), 1, "out of range"),
-        (lambda: changed(portless), 1, "server.port"),
-        (lambda: changed(timeless), 1, "start_time"),
-        (lambda: body(uid="stranger"), 3, "unknown"),
-        (lambda: body(port=1), 2, "unknown"),
+        (lambda: modified(rename_metric), 2, "not known"),
+        (lambda: modified(remove_instance_id), 3, "service.instance.id"),
+        (lambda: modified(set_infinite_sum), 1, "out of range"),
+        (lambda: modified(remove_server_port), 1, "server.port"),
+        (lambda: modified(remove_start_time), 1, "start_time"),
+        (lambda: encode_body(uid="stranger"), 3, "unknown"),
+        (lambda: encode_body(port=1), 2, "unknown"),
+    ],
+    ids=[
+        "cumulative",
+        "metric name",
+        "no instance id",
+        "infinite sum",
+        "no server port",
+        "no start time",
+        "unknown proxy",
+        "unknown server",
     ],
-    ids=["cumulative", "metric", "unnamed", "endless", "portless", "timeless", "stranger", "server"],
 )
-def test_unusable_points_are_a_partial_success_with_a_reason(daemon, data, rejected, why):
+def test_unusable_points_are_a_partial_success_with_a_reason(daemon, data, rejected, reason):
     code, _, answer = post(daemon, data())
-    assert code == 200 and partial_success(answer)[0] == rejected and why in partial_success(answer)[1]
+    assert code == 200 and partial_success(answer)[0] == rejected and reason in partial_success(answer)[1]
 
 
 @pytest.mark.parametrize(
@@ -169,28 +181,28 @@
         assert error.message
 
 
-def test_a_peer_that_does_not_speak_http_loses_only_its_connection(daemon):
+def test_data_that_is_not_http_closes_only_its_connection(daemon):
     with socket.create_connection(daemon.otlp) as sock:
         sock.settimeout(5)
         sock.sendall(b"\x16\x03\x01 hello\r\n\r\n")
         assert sock.recv(4096).startswith(b"HTTP/1.1 400")
         assert sock.recv(4096) == b""
-    assert post(daemon, body())[0] == 200
+    assert post(daemon, encode_body())[0] == 200
 
 
-class Hold:
-    """A message that keeps the event loop from the next ones."""
+class BlockEventLoop:
+    """A message whose handler blocks the event loop."""
 
 
-def test_a_busy_director_answers_429_with_retry_after():
+def test_a_director_with_a_full_inbox_answers_429_with_retry_after():
     with running(director=", inbox: 100") as daemon:
         released = threading.Event()
-        daemon.core.handlers[Hold] = lambda message: released.wait(10)
-        daemon.core.inbox.post(Hold())
-        while daemon.core.inbox.post(Hold(), wait=False):
+        daemon.core.handlers[BlockEventLoop] = lambda message: released.wait(10)
+        daemon.core.inbox.post(BlockEventLoop())
+        while daemon.core.inbox.post(BlockEventLoop(), wait=False):
             pass
         try:
-            code, headers, _ = post(daemon, body())
+            code, headers, _ = post(daemon, encode_body())
         finally:
             released.set()
         assert (code, headers["retry-after"]) == (429, "1")
--- a/tests/record/test_recorder.py
+++ b/tests/record/test_recorder.py
@@ -8,7 +8,7 @@
 from rainpick.record.recorder import Recorder
 from rainpick.record.steps import Step
 from rainpick.store import Record, read
-from tests.loopback.help import MemberEnd, ProxyEnd, running, status
+from tests.loopback.harness import MemberEnd, ProxyEnd, running, status
 from tests.record.recorded_day import INCARNATION, replay_all
 from tests.waiting import until
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 from rainpick import decisions
 from rainpick.cli import main
 from rainpick.simulated_peers.ports import free_ports
-from tests.loopback.help import MemberEnd, ProxyEnd, running
+from tests.loopback.harness import MemberEnd, ProxyEnd, running
 
 RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # of two segments
 FRONTS = "sasp", "otlp", "status"
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file names what the operators read and start."""
+"""The deploy file lists the modules that operators treat as policy."""
 
 import tomllib
 from pathlib import Path
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names tests that exist, and no more than it may."""
+"""The list of known failures: its format, its limit, and that a listed test must fail."""
 
 from pathlib import Path
 
@@ -10,37 +10,37 @@
 
 
 def test_each_line_names_a_test_of_this_repository():
-    for failure in known_red.listed():
+    for failure in known_red.load():
         path, _, name = failure.test.partition("::")
         assert f"def {name.partition('[')[0]}(" in (ROOT / path).read_text(), failure.test
 
 
 def test_more_lines_than_allowed_are_an_error():
     line = "tests/test_known_red.py::test_x; a cause; 1\n"
-    assert len(known_red.read(line * known_red.MOST)) == known_red.MOST
+    assert len(known_red.parse(line * known_red.MAX_LINES)) == known_red.MAX_LINES
     with pytest.raises(ValueError, match="at most"):
-        known_red.read(line * (known_red.MOST + 1))
+        known_red.parse(line * (known_red.MAX_LINES + 1))
 
 
-def test_a_line_names_all_parameters_of_its_test_and_no_other_test():
-    failure = known_red.read("tests/a.py::test_b; cause; 1")[0]
-    assert failure.names("tests/a.py::test_b") and failure.names("tests/a.py::test_b[2]")
-    assert not failure.names("tests/a.py::test_bc")
+def test_a_line_covers_all_parameters_of_its_test_and_no_other_test():
+    failure = known_red.parse("tests/a.py::test_b; cause; 1")[0]
+    assert failure.matches("tests/a.py::test_b") and failure.matches("tests/a.py::test_b[2]")
+    assert not failure.matches("tests/a.py::test_bc")
 
 
 PROBE = """
 def test_listed():
-    assert {holds}
+    assert {passes}
 """
 
 
-@pytest.mark.parametrize(("holds", "code"), [(False, 0), (True, 1)])
-def test_a_listed_test_must_fail(pytester, monkeypatch, holds, code):
-    """One that passes is to be taken off the list."""
+@pytest.mark.parametrize(("passes", "exit_code"), [(False, 0), (True, 1)])
+def test_a_listed_test_must_fail(pytester, monkeypatch, passes, exit_code):
+    """A listed test that passes fails the run, so that its line is removed."""
     pytester.makeconftest("from tests.conftest import pytest_collection_modifyitems, pytest_terminal_summary")
-    pytester.makepyfile(test_probe=PROBE.format(holds=holds))
+    pytester.makepyfile(test_probe=PROBE.format(passes=passes))
     monkeypatch.setattr(known_red, "PATH", pytester.path / "KNOWN-RED.txt")
     known_red.PATH.write_text("test_probe.py::test_listed; a cause; 26")
-    found = pytester.runpytest_inprocess("-p", "no:xdist")
-    assert found.ret == code
-    found.stdout.fnmatch_lines(["KNOWN RED: test_probe.py::test_listed: a cause (issue 26)"])
+    result = pytester.runpytest_inprocess("-p", "no:xdist")
+    assert result.ret == exit_code
+    result.stdout.fnmatch_lines(["KNOWN RED: test_probe.py::test_listed: a cause (issue 26)"])
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,14 +1,14 @@
-"""Waiting for events in tests, never for a time."""
+"""Waits in tests for a condition, never for a fixed time."""
 
 import time
 
 WAIT_S = 10.0
 
 
-def until(ready, what="it", most_s=WAIT_S):
-    """Wait for something that is sure to come."""
-    end = time.monotonic() + most_s
-    while not (found := ready()):
-        assert time.monotonic() < end, f"{what} did not come within {most_s} s"
+def until(condition, description="condition", timeout_s=WAIT_S):
+    """Poll a condition until it is true, and return its value; fail after ``timeout_s``."""
+    end = time.monotonic() + timeout_s
+    while not (value := condition()):
+        assert time.monotonic() < end, f"{description}: timed out after {timeout_s} s"
         time.sleep(0.005)
-    return found
+    return value
