--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -1,6 +1,7 @@
-"""The publish-subscribe front: a deploy of a third of 100 servers before 300 proxies, changes beside wholes.
+"""Cost of the publish-subscribe frontend: table deltas compared with snapshots, by number of proxies.
 
-Then one drain until every proxy holds the right digest, beside the floor; and the cost as proxies grow.
+The load is a rolling deploy of a third of 100 servers. Then, for 300 proxies, single drains are timed until
+every proxy has the new digest, compared with the baseline; and the deploy is repeated over SASP.
 """
 
 import json
@@ -12,8 +13,17 @@
 import sys
 import time
 
-from benchmarks.fleet import usage
-from benchmarks.peers import Floor, Proxies, folder, launch, member_stream, row, start_director, wait_for
+from benchmarks.fleet import process_usage
+from benchmarks.peers import (
+    Baseline,
+    Proxies,
+    format_row,
+    launch_director,
+    register_servers,
+    start_director,
+    temporary_folder,
+    wait_for_listener,
+)
 from rainpick.http1.client import Client
 from rainpick.mqtt import codec as mqtt
 from rainpick.publish import payloads, topics
@@ -28,20 +38,20 @@
     SetMemberState,
     StateGroup,
 )
-from rainpick.simulated_peers.day import free_ports
+from rainpick.simulated_peers.ports import free_ports
 
 SERVERS, FLEET = 100, Group("rainpick", "servers")
 DIGEST = re.compile(rb'"digest":"([0-9a-f]{16})"')
 
 
 class MqttProxies:
-    """Proxies in one thread that acknowledge what they read and remember the newest digest."""
+    """MQTT proxies in one thread that acknowledge each message and store the newest digest."""
 
-    def __init__(self, place: tuple[str, int], many: int):
+    def __init__(self, address: tuple[str, int], count: int):
         self.selector, self.framers, self.digests, self.messages = selectors.DefaultSelector(), {}, {}, 0
-        for number in range(many):
+        for number in range(count):
             uid = f"edge-{number}"
-            sock = socket.create_connection(place, 10)
+            sock = socket.create_connection(address, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             filters = (topics.assignment_topic(uid), 1), (f"{topics.TOPIC_ROOT}/table/+", 1)
             sock.sendall(
@@ -54,36 +64,42 @@
             self.framers[sock] = mqtt.PacketFramer(1 << 24)
             self.selector.register(sock, selectors.EVENT_READ)
 
-    def turn(self, timeout_s: float, mute: frozenset = frozenset()) -> None:
+    def poll(self, timeout_s: float, ignored: frozenset = frozenset()) -> None:
+        """Read and acknowledge what has arrived, except on the ignored sockets."""
         for key, _ in self.selector.select(timeout_s):
             sock = key.fileobj
-            if sock in mute:
+            if sock in ignored:
                 continue
             data = sock.recv(1 << 18)
             if not data:
                 raise ConnectionResetError("the director closed a connection")
-            framer, answers = self.framers[sock], b""
+            framer, acknowledgements = self.framers[sock], b""
             framer.feed(data)
-            while (one := framer.next()) is not None:
-                if isinstance(one, mqtt.Publish):
+            while (packet := framer.next()) is not None:
+                if isinstance(packet, mqtt.Publish):
                     self.messages += 1
-                    answers += mqtt.encode_packet(mqtt.Puback(one.packet_id))
-                    found = DIGEST.findall(one.payload)
-                    if found:
-                        self.digests[sock] = found[-1].decode(), time.monotonic_ns()
-            if answers:
-                sock.sendall(answers)
-
-    def until(self, digest, limit_s: float = 60.0) -> int:
-        """Until all hold the digest that ``digest()`` gives; the moment of the last (ns)."""
-        end = time.monotonic() + limit_s
+                    acknowledgements += mqtt.encode_packet(mqtt.Puback(packet.packet_id))
+                    digests = DIGEST.findall(packet.payload)
+                    if digests:
+                        self.digests[sock] = digests[-1].decode(), time.monotonic_ns()
+            if acknowledgements:
+                sock.sendall(acknowledgements)
+
+    def wait_for_digest(self, current_digest, timeout_s: float = 60.0) -> int:
+        """Wait until all proxies have the digest that ``current_digest()`` returns.
+
+        Return the time (ns) at which the last proxy received it.
+        """
+        end = time.monotonic() + timeout_s
         while True:
-            self.turn(0.05)
-            wanted, all_told = digest(), len(self.digests) == len(self.framers)
-            if all_told and all(one == wanted for one, _ in self.digests.values()):
-                return max(moment for _, moment in self.digests.values())
+            self.poll(0.05)
+            expected, all_received = current_digest(), len(self.digests) == len(self.framers)
+            if all_received and all(digest == expected for digest, _ in self.digests.values()):
+                return max(received_ns for _, received_ns in self.digests.values())
             if time.monotonic() > end:
-                raise TimeoutError("not all hold the newest version")
+                raise TimeoutError(
+                    f"not all proxies received the table with digest {expected} within {timeout_s:.0f} s"
+                )
 
     def close(self) -> None:
         for sock in self.framers:
@@ -91,77 +107,90 @@
         self.selector.close()
 
 
-def status(place) -> dict:
-    client = Client(*place)
-    found = json.loads(client.call("GET", "/status")[2])
+def read_status(address) -> dict:
+    client = Client(*address)
+    status = json.loads(client.call("GET", "/status")[2])
     client.close()
-    return found
+    return status
 
 
-def deploy(fleet, turn) -> None:
-    """A third of the servers, three at a time: drained, gone, back with a new start."""
+def deploy(servers, poll_for) -> None:
+    """Restart a third of the servers, three at a time: drain, deregister, register with a new start time.
+
+    ``poll_for`` is called to read from the proxies for a number of seconds.
+    """
     for first in range(0, SERVERS // 3, 3):
-        group = [Member.at("127.0.0.1", 9000 + port) for port in range(first, first + 3)]
-        fleet.request(SetMemberState((StateGroup(FLEET, tuple(MemberState(one, 0, True) for one in group)),)))
-        turn(0.3)
-        fleet.request(Deregistration((MemberGroup(FLEET, tuple(group)),)))
-        fresh = tuple(one._replace(label="boot=2;age=0") for one in group)
-        fleet.request(Registration((MemberGroup(FLEET, fresh),)))
-        turn(0.1)
+        batch = [Member.at("127.0.0.1", 9000 + port) for port in range(first, first + 3)]
+        servers.request(
+            SetMemberState((StateGroup(FLEET, tuple(MemberState(member, 0, True) for member in batch)),))
+        )
+        poll_for(0.3)
+        servers.request(Deregistration((MemberGroup(FLEET, tuple(batch)),)))
+        restarted = tuple(member._replace(label="boot=2;age=0") for member in batch)
+        servers.request(Registration((MemberGroup(FLEET, restarted),)))
+        poll_for(0.1)
 
 
-def begin(**parts):
+def start_mqtt_director(**parts):
+    """Start a director with an MQTT listener, and register the servers.
+
+    Return the process, its listen addresses, and the client that keeps the servers' stream open.
+    """
     (port,) = free_ports(1)
-    director, places, config = start_director(
-        folder(),
+    director, addresses, settings_file = start_director(
+        temporary_folder(),
         proxies={"count": 1},
         rules={"warm_after": "4s"},
         channel={"lines_per_s": 1e9, "pending_lines": 10_000_000},
     )
     director.kill()
     director.wait()
-    plain = json.loads(config.read_text())
-    plain["listen"]["mqtt"] = f"127.0.0.1:{port}"
-    config.write_text(json.dumps(plain | parts))
-    director = launch(config)
-    for place in (places["sasp"], ("127.0.0.1", port)):
-        wait_for(place)
-    return director, places | {"mqtt": ("127.0.0.1", port)}, member_stream(places["sasp"], range(9000, 9100))
+    settings = json.loads(settings_file.read_text())
+    settings["listen"]["mqtt"] = f"127.0.0.1:{port}"
+    settings_file.write_text(json.dumps(settings | parts))
+    director = launch_director(settings_file)
+    for address in (addresses["sasp"], ("127.0.0.1", port)):
+        wait_for_listener(address)
+    return (
+        director,
+        addresses | {"mqtt": ("127.0.0.1", port)},
+        register_servers(addresses["sasp"], range(9000, 9100)),
+    )
 
 
-def newest(places):
-    """The digest of the table as it is now; None before there is one."""
+def current_digest_reader(addresses):
+    """Return a function that queries the digest of the current table; None while there is no table."""
 
-    def ask():
-        tables = status(places["status"]).get("tables")
+    def query():
+        tables = read_status(addresses["status"]).get("tables")
         return tables[0]["digest"] if tables else None
 
-    return ask
+    return query
 
 
-def over_mqtt(many: int, silent: int = 0) -> dict:
-    """A deploy before so many proxies, some of which read nothing of it."""
-    director, places, fleet = begin()
+def measure_mqtt(count: int, unresponsive: int = 0) -> dict:
+    """Measure a deploy with ``count`` proxies, of which ``unresponsive`` read nothing during the deploy."""
+    director, addresses, servers = start_mqtt_director()
     try:
-        proxies = MqttProxies(places["mqtt"], many)
-        proxies.until(newest(places))
-        mute = frozenset(list(proxies.framers)[:silent])
-        before, cpu = status(places["status"])["subscribers"], usage(director.pid)[0]
+        proxies = MqttProxies(addresses["mqtt"], count)
+        proxies.wait_for_digest(current_digest_reader(addresses))
+        ignored = frozenset(list(proxies.framers)[:unresponsive])
+        before, cpu_s = read_status(addresses["status"])["subscribers"], process_usage(director.pid)[0]
         proxies.messages = 0
 
-        def turn(seconds):
+        def poll_for(seconds):
             end = time.monotonic() + seconds
             while time.monotonic() < end:
-                proxies.turn(0.02, mute)
+                proxies.poll(0.02, ignored)
 
-        deploy(fleet, turn)
-        turn(7.0)
-        for sock in mute:
+        deploy(servers, poll_for)
+        poll_for(7.0)
+        for sock in ignored:
             proxies.selector.unregister(sock)
             del proxies.framers[sock], proxies.digests[sock]
-        proxies.until(newest(places))
-        after = status(places["status"])["subscribers"]
-        whole = len(
+        proxies.wait_for_digest(current_digest_reader(addresses))
+        after = read_status(addresses["status"])["subscribers"]
+        snapshot_bytes = len(
             payloads.encode(
                 payloads.TableSnapshot(
                     "0-0000000000000",
@@ -172,97 +201,104 @@
                 )
             )
         )
-        found = {
+        result = {
             "messages": proxies.messages,
             "bytes": after["bytes"] - before["bytes"],
-            "as_wholes": proxies.messages * whole,
-            "cpu_s": usage(director.pid)[0] - cpu,
-            "memory_mb": usage(director.pid)[1],
+            "as_snapshots": proxies.messages * snapshot_bytes,
+            "cpu_s": process_usage(director.pid)[0] - cpu_s,
+            "memory_mb": process_usage(director.pid)[1],
             "wholes": after["wholes"] - before["wholes"],
         }
-        found["let_go"] = status(places["status"])["streams"]["let_go"]
-        found["drains"], found["floor"] = (
-            drains(places, fleet, proxies, many) if many == 300 and not silent else ([], [])
+        result["let_go"] = read_status(addresses["status"])["streams"]["let_go"]
+        result["drains"], result["baseline"] = (
+            measure_drains(addresses, servers, proxies, count)
+            if count == 300 and not unresponsive
+            else ([], [])
         )
         proxies.close()
-        return found
+        return result
     finally:
         director.terminate()
         director.wait(10)
 
 
-def drains(places, fleet, proxies, many):
-    """One server drained at a time, until the last proxy has read it; the same bytes from the floor."""
-    change = payloads.encode(
+def measure_drains(addresses, servers, proxies, count):
+    """Drain one server at a time; return the times (ms) until the last proxy has received the change.
+
+    The second list has the times of the baseline, which writes the same bytes.
+    """
+    delta = payloads.encode(
         TableDelta("0-0000000000000", 0, 98, 99, "0" * 16, (ServerWeight("127.0.0.1:9040", 0),))
     )
     topic = topics.table_topic(0)
     frames = [
-        mqtt.encode_publish_header(topic, 1, False, len(change)) + b"\0\1\0" + change for _ in range(many)
+        mqtt.encode_publish_header(topic, 1, False, len(delta)) + b"\0\1\0" + delta for _ in range(count)
     ]
-    floor = Floor(frames)
-    side = Raw(floor.place, many)
-    ours, theirs = [], []
+    baseline = Baseline(frames)
+    baseline_proxies = BaselineMqttProxies(baseline.address, count)
+    times_ms, baseline_times_ms = [], []
     for port in range(9040, 9070):
-        stop = time.monotonic() + 0.05
-        while time.monotonic() < stop:
-            proxies.turn(0.01)
-        held = {sock: digest for sock, (digest, _) in proxies.digests.items()}
-        start = time.monotonic_ns()
-        fleet.send(
+        end = time.monotonic() + 0.05
+        while time.monotonic() < end:
+            proxies.poll(0.01)
+        old_digests = {sock: digest for sock, (digest, _) in proxies.digests.items()}
+        begin_ns = time.monotonic_ns()
+        servers.send(
             SetMemberState((StateGroup(FLEET, (MemberState(Member.at("127.0.0.1", port), 0, True),)),))
         )
-        while any(proxies.digests[sock][0] == digest for sock, digest in held.items()):
-            proxies.turn(1.0)
-        ours.append((max(moment for _, moment in proxies.digests.values()) - start) / 1e6)
-        start = time.monotonic_ns()
-        floor.tell()
-        theirs.append((side.all_read() - start) / 1e6)
-    floor.close()
-    return ours, theirs
+        while any(proxies.digests[sock][0] == digest for sock, digest in old_digests.items()):
+            proxies.poll(1.0)
+        times_ms.append((max(received_ns for _, received_ns in proxies.digests.values()) - begin_ns) / 1e6)
+        begin_ns = time.monotonic_ns()
+        baseline.trigger()
+        baseline_times_ms.append((baseline_proxies.wait_for_all() - begin_ns) / 1e6)
+    baseline.close()
+    return times_ms, baseline_times_ms
 
 
-class Raw(MqttProxies):
-    """The same reader and the same acknowledgements, on sockets that were told nothing before."""
+class BaselineMqttProxies(MqttProxies):
+    """Connections to the baseline: the same reads and acknowledgements, without any packets before them."""
 
-    def __init__(self, place, many):
+    def __init__(self, address, count):
         self.selector, self.framers, self.digests, self.messages = selectors.DefaultSelector(), {}, {}, 0
-        for _ in range(many):
-            sock = socket.create_connection(place, 10)
+        for _ in range(count):
+            sock = socket.create_connection(address, 10)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.framers[sock] = mqtt.PacketFramer(1 << 24)
             self.selector.register(sock, selectors.EVENT_READ)
 
-    def all_read(self) -> int:
+    def wait_for_all(self) -> int:
+        """Wait until every proxy has received a digest; return the time (ns) of the last one."""
         self.digests.clear()
         while len(self.digests) < len(self.framers):
-            self.turn(1.0)
-        return max(moment for _, moment in self.digests.values())
+            self.poll(1.0)
+        return max(received_ns for _, received_ns in self.digests.values())
 
 
-def over_sasp(many: int) -> dict:
-    director, places, fleet = begin()
+def measure_sasp(count: int) -> dict:
+    """Measure the same deploy with ``count`` SASP proxies."""
+    director, addresses, servers = start_mqtt_director()
     try:
-        proxies = Proxies(places["sasp"], many)
-        proxies.dial()
-        proxies.pushed()
-        proxies.drain_quiet()
-        cpu, before = usage(director.pid)[0], status(places["status"])["engine"]
+        proxies = Proxies(addresses["sasp"], count)
+        proxies.connect()
+        proxies.wait_for_weights()
+        proxies.discard_until_idle()
+        cpu_s, before = process_usage(director.pid)[0], read_status(addresses["status"])["engine"]
 
-        def turn(seconds):
+        def poll_for(seconds):
             end = time.monotonic() + seconds
             while time.monotonic() < end:
                 for key, _ in proxies.selector.select(0.02):
-                    proxies.has_push(proxies.streams[key.fileobj], key.fileobj.recv(1 << 18))
+                    proxies.consume_messages(proxies.streams[key.fileobj], key.fileobj.recv(1 << 18))
 
-        deploy(fleet, turn)
-        turn(7.0)
-        after = status(places["status"])["engine"]
+        deploy(servers, poll_for)
+        poll_for(7.0)
+        after = read_status(addresses["status"])["engine"]
         return {
             "messages": after["messages"] - before["messages"],
-            "cpu_s": usage(director.pid)[0] - cpu,
+            "cpu_s": process_usage(director.pid)[0] - cpu_s,
             "lines": after["lines"] - before["lines"],
-            "memory_mb": usage(director.pid)[1],
+            "memory_mb": process_usage(director.pid)[1],
         }
     finally:
         director.terminate()
@@ -271,28 +307,29 @@
 
 def main() -> None:
     resource.setrlimit(resource.RLIMIT_NOFILE, (20_000, 20_000))
-    rows = {many: over_mqtt(many) for many in (100, 300, 1000)}
-    for many, found in rows.items():
+    results = {count: measure_mqtt(count) for count in (100, 300, 1000)}
+    for count, result in results.items():
         print(
-            f"{many} proxies: {found['messages']} messages, {found['bytes'] / 1e6:.2f} MB "
-            f"({found['wholes']} wholes), wholes alone would be {found['as_wholes'] / 1e6:.2f} MB: "
-            f"{found['bytes'] / found['as_wholes']:.3f}; CPU {found['cpu_s']:.2f} s, "
-            f"{found['cpu_s'] / many * 1e3:.2f} ms a proxy; {found['memory_mb']:.0f} MB resident"
+            f"{count} proxies: {result['messages']} messages, {result['bytes'] / 1e6:.2f} MB "
+            f"({result['wholes']} wholes), wholes alone would be {result['as_snapshots'] / 1e6:.2f} MB: "
+            f"{result['bytes'] / result['as_snapshots']:.3f}; CPU {result['cpu_s']:.2f} s, "
+            f"{result['cpu_s'] / count * 1e3:.2f} ms a proxy; {result['memory_mb']:.0f} MB resident"
         )
-    silent = over_mqtt(300, 30)
+    unresponsive = measure_mqtt(300, 30)
     print(
-        f"300 proxies, 30 read nothing: {silent['memory_mb']:.0f} MB resident, {silent['let_go']} let go; "
-        f"with all reading {rows[300]['memory_mb']:.0f} MB"
+        f"300 proxies, 30 read nothing: {unresponsive['memory_mb']:.0f} MB resident, "
+        f"{unresponsive['let_go']} let go; "
+        f"with all reading {results[300]['memory_mb']:.0f} MB"
     )
-    sasp = over_sasp(300)
+    sasp = measure_sasp(300)
     print(
         f"the same day over SASP, 300 proxies: {sasp['messages']} messages, CPU {sasp['cpu_s']:.2f} s, "
-        f"MQTT {rows[300]['cpu_s'] / sasp['cpu_s']:.2f} times; {sasp['memory_mb']:.0f} MB resident"
+        f"MQTT {results[300]['cpu_s'] / sasp['cpu_s']:.2f} times; {sasp['memory_mb']:.0f} MB resident"
     )
-    print(row("a drain until the last of 300 has the change", rows[300]["drains"], "ms"))
-    print(row("floor: the same bytes", rows[300]["floor"], "ms"))
-    ours, theirs = (statistics.median(rows[300][which]) for which in ("drains", "floor"))
-    print(f"ratio of medians {ours / theirs:.2f}")
+    print(format_row("a drain until the last of 300 has the change", results[300]["drains"], "ms"))
+    print(format_row("floor: the same bytes", results[300]["baseline"], "ms"))
+    director_ms, baseline_ms = (statistics.median(results[300][key]) for key in ("drains", "baseline"))
+    print(f"ratio of medians {director_ms / baseline_ms:.2f}")
 
 
 if __name__ == "__main__":
