--- a/rainpick/director/addresses.py
+++ b/rainpick/director/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of servers. The decision module treats them as opaque values; here they are always ``Key``."""
+"""Addresses of servers. ``Director`` treats them as opaque values; in this package they are ``Key``."""
 
 from __future__ import annotations
 
--- a/rainpick/director/admission_rates.py
+++ b/rainpick/director/admission_rates.py
@@ -1,4 +1,4 @@
-"""Admission rates and retry policies by table and route, as set by the decision module. Does no I/O."""
+"""Admission rates and retry policies by table and route, from ``SetAdmission`` commands. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Admission(NamedTuple):
-    """The fraction of a route's requests that a proxy admits, and its policy for retrying elsewhere."""
+    """A route's admission rate, in the unit that ``proxies.admit`` selects, and its retry policy."""
 
     rate: float
     retry_policy: int
 
 
 class RouteAdmission(NamedTuple):
-    """An admission with the index of its route."""
+    """The admission rate and the retry policy of the route with this index."""
 
     route: int
     rate: float
@@ -23,13 +23,16 @@
 
 
 class AdmissionRates:
-    """The admissions set for single tables and for all tables."""
+    """The admissions of single tables and those of all tables, which have the key ``ALL_TABLES``."""
 
     def __init__(self) -> None:
-        self.by_table: dict[int, dict[int, Admission]] = {}  # then by route
+        self.by_table: dict[int, dict[int, Admission]] = {}  # by table, then by route index
 
     def set(self, command: model.SetAdmission, route_count: int) -> int:
-        """Apply a command; return the number of affected routes. Its ``routes`` is a bit set, 0 for all."""
+        """Apply a command; return the number of routes that it affects.
+
+        The bit mask ``command.routes`` selects the routes; 0 stands for all of them.
+        """
         admissions = self.by_table.setdefault(command.table, {})
         affected = [
             route for route in range(route_count) if not command.routes or command.routes >> route & 1
@@ -39,18 +42,19 @@
         return len(affected)
 
     def get(self, table: int | None, route: int) -> Admission | None:
-        """Return the admission of a route in a table: the lower rate, and the table's own retry policy.
+        """Return the admission that applies to a route in a table; None if no command has set one.
 
-        None if no command has set one.
+        If one is set for the table and one for all tables, the lower of their rates applies, with the retry
+        policy of the one for the table.
         """
-        own = self.by_table.get(table, {}).get(route) if table is not None else None
+        specific = self.by_table.get(table, {}).get(route) if table is not None else None
         common = self.by_table.get(model.ALL_TABLES, {}).get(route)
-        if own is None or common is None:
-            return own or common
-        return Admission(min(own.rate, common.rate), own.retry_policy)
+        if specific is None or common is None:
+            return specific or common
+        return Admission(min(specific.rate, common.rate), specific.retry_policy)
 
     def of_table(self, table: int | None) -> tuple[RouteAdmission, ...]:
-        """Return the admissions that apply to a table, sorted by route."""
+        """Return the admissions that apply to a table (None: to unbound proxies), sorted by route."""
         routes = sorted({route for admissions in self.by_table.values() for route in admissions})
         admissions = [(route, self.get(table, route)) for route in routes]
         return tuple([RouteAdmission(route, *found) for route, found in admissions if found is not None])
--- a/rainpick/director/context.py
+++ b/rainpick/director/context.py
@@ -28,7 +28,7 @@
 
     settings: Settings
     clock: Callable[[], int] = monotonic_us
-    engine: Engine | None = None  # None until the decision module has started
+    engine: Engine | None = None  # None until ``ListFollower`` has created it
     epoch: str = field(init=False)  # identifies this incarnation of the director in payloads and records
     log: structlog.stdlib.BoundLogger = field(init=False)
 
@@ -39,7 +39,7 @@
 
     @property
     def started_engine(self) -> Engine:
-        """The engine; ``RuntimeError`` if the decision module has not started yet."""
+        """The engine; ``RuntimeError`` if it has not been created yet."""
         if self.engine is None:
-            raise RuntimeError("the decision module has not started yet")
+            raise RuntimeError("the engine has not been created yet")
         return self.engine
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -37,7 +37,7 @@
 Address = tuple[str, int]
 
 THREAD_STACK_BYTES = 256 * 1024  # each stream has a reading thread
-SWITCH_INTERVAL_S = 0.001  # a busy event loop must not delay the reader of a drain request longer
+SWITCH_INTERVAL_S = 0.001  # a busy event loop must not delay the thread that reads a drain longer
 LIST_FILE_POLL_S = 1.0
 JOIN_TIMEOUT_S = 5.0
 MAX_BACKLOG = 4096  # most connections waiting to be accepted
@@ -48,8 +48,9 @@
 class Daemon:
     """One director; ``start`` opens its frontends.
 
-    After that, ``sasp``, ``otlp``, ``status`` and ``mqtt`` are the addresses they listen on. ``mqtt`` is None
-    if the settings have no MQTT frontend.
+    After that, ``sasp``, ``otlp``, ``status`` and ``mqtt`` are the addresses on which the frontends listen.
+    ``mqtt`` is None if the settings have no MQTT frontend. ``module`` creates the ``Director``; tests
+    replace it.
     """
 
     sasp: Address
@@ -65,7 +66,7 @@
         self.core = EventLoop(settings, seed, module)
         self.ended = threading.Event()
         self.core.on_failure = self.ended.set
-        self.list_file_mtime_ns: int | None = None  # when it was last read
+        self.list_file_mtime_ns: int | None = None  # modification time of the list file when last read
         self.stream_numbers = count(1)
 
     # Start
@@ -131,7 +132,8 @@
         inbox = self.core.inbox
 
         def on_event(stream: Stream, event: object) -> None:
-            inbox.post(StreamReceived(stream, cast(StreamEvent, event)))  # events of both parsers
+            # The two parsers return no other events than ``StreamEvent``.
+            inbox.post(StreamReceived(stream, cast(StreamEvent, event)))
 
         def on_accept(sock: socket.socket, peer: str) -> None:
             inbox.post(StreamOpened(Stream(next(self.stream_numbers), sock, peer, make_parser(), on_event)))
@@ -152,8 +154,8 @@
     def read_list_file(self, at_start: bool = False) -> None:
         """Read the list file and pass its entries to the event loop.
 
-        An invalid file is rejected as a whole, and the entries read before stay in use. At the start it is an
-        error.
+        At the start, an invalid file raises ``SettingsError``. Later, an invalid file is logged and rejected
+        as a whole, and the entries read before stay in use.
         """
         path = self.settings.fleet.list_file
         if path is None:
@@ -177,7 +179,10 @@
     # Run and stop
 
     def run(self) -> int:
-        """Serve until a signal or a failure; return the exit code."""
+        """Serve until SIGTERM, SIGINT or a failure of the event loop; return the exit code.
+
+        The list file is read again on SIGHUP and when it was modified.
+        """
         signal.signal(signal.SIGTERM, lambda *_: self.ended.set())
         signal.signal(signal.SIGINT, lambda *_: self.ended.set())
         reload = threading.Event()
--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -1,7 +1,8 @@
-"""Writes to proxies without blocking, and tracks what was delivered to their hosts.
+"""Non-blocking writes to proxies, and tracking of the messages that were delivered to their hosts.
 
 A message over SASP counts as delivered once the proxy's host has acknowledged its bytes (TCP). MQTT has its
-own acknowledgements and uses this module only while a socket is *stalled*, that is, accepts no data.
+own acknowledgements, so its messages are not tracked here. Over both protocols, this module retries the
+writes to *stalled* sockets, which accept no data.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
     def __init__(self, context: Context, sessions: Sessions):
         self.context = context
         self.sessions = sessions
-        self.undelivered: set[int] = set()  # stream numbers
-        self.stalled: set[int] = set()  # stream numbers
-        # Whether a proxy whose socket accepts data again may be sent further messages.
+        self.undelivered: set[int] = set()  # numbers of the streams with undelivered messages
+        self.stalled: set[int] = set()  # numbers of the streams with stalled sockets
+        # Returns whether the MQTT receive maximum of a stream allows further messages; set by ``MqttSender``.
         self.has_send_quota: Callable[[Stream], bool] = lambda _: True
         sessions.closing_listeners.append(self.forget)
 
@@ -33,13 +34,13 @@
         self.stalled.discard(stream.number)
 
     def poll_interval_us(self) -> int | None:
-        """Return how soon ``poll`` must be called again; None if nothing is undelivered."""
+        """Return the time until ``poll`` is due, in microseconds; None if no stream needs it."""
         return POLL_US if self.undelivered or self.stalled else None
 
-    def send(self, session: ProxySession, data: bytes, message: int) -> None:
-        """Write a numbered message; disconnect the proxy if too much unsent data is queued for it."""
+    def send(self, session: ProxySession, data: bytes, message_number: int) -> None:
+        """Write a message of the engine; disconnect the proxy if too much unsent data is queued for it."""
         stream = session.stream
-        if not stream.write(data, message):
+        if not stream.write(data, message_number):
             self.sessions.disconnect(session, "too much unsent data")
             return
         if stream.unsent:
@@ -47,26 +48,29 @@
         self.undelivered.add(stream.number)
 
     def mark_stalled(self, session: ProxySession) -> None:
-        """Hold back further messages to a proxy whose socket has not accepted all data."""
+        """Hold back further messages to a proxy until its socket has accepted all data."""
         self.stalled.add(session.stream.number)
         self.set_blocked(session, True)
 
     def set_blocked(self, session: ProxySession, blocked: bool) -> None:
-        """Let the engine hold back a proxy's messages or resume them; for a polling proxy it always does."""
+        """Make the engine hold back or release the messages to a proxy.
+
+        The messages to a polling proxy always stay held back.
+        """
         session.blocked_since_us = (session.blocked_since_us or self.context.clock()) if blocked else None
         self.context.started_engine.set_blocked(session.number, blocked or not session.accepts_push)
 
     def poll(self, now: int) -> None:
-        """Retry stalled sockets, then check which messages were delivered."""
+        """Retry the writes to stalled sockets, then check which messages were delivered."""
         for number in [*self.stalled]:
             self.retry_write(number, now)
         for number in [*self.undelivered]:
             self.confirm_delivery(number)
 
     def retry_write(self, number: int, now: int) -> None:
-        """Write the unsent data of a stalled socket; disconnect the proxy after ``sasp.write_stall``."""
+        """Write the unsent data of a stalled socket; disconnect its proxy after ``sasp.write_stall``."""
         stream, session = self.sessions.streams[number], self.sessions.by_stream.get(number)
-        if session is None:  # the proxy has announced its end; its frontend watches the stream
+        if session is None:  # the proxy has announced its end; the MQTT frontend retries its writes
             self.stalled.discard(number)
             return
         stream.flush()
@@ -81,7 +85,7 @@
             self.sessions.disconnect(session, "its socket accepts no data")
 
     def confirm_delivery(self, number: int) -> None:
-        """Report the messages that a proxy's host has acknowledged to the engine as delivered."""
+        """Confirm the delivery of the messages that a proxy's host has acknowledged over TCP."""
         stream = self.sessions.streams.get(number)
         if stream is None:
             self.undelivered.discard(number)
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -1,8 +1,8 @@
 """The engine: one ``Director`` with its timers, its tables and its channel, driven by the caller's clock.
 
-It does no I/O, so the daemon, the emulator and the replay run the same code. All pending events are passed to
-the decision module in one step; its commands become one message for each affected proxy, which ``advance``
-returns as a ``OutgoingMessage`` when the channel allows it to be sent.
+``Director`` contains the decision logic of ``rainpick.decisions``. The engine does no I/O, so the daemon and
+the emulator run the same code. All pending events are passed to ``Director`` in one step. Its commands become
+one message for each affected proxy; ``advance`` yields a message once the channel allows it to be sent.
 """
 
 from __future__ import annotations
@@ -21,26 +21,29 @@
 from rainpick.settings import Settings, decision_settings
 
 ACKNOWLEDGEMENT_DELAY_US = 5_000  # longest delay of ``Acknowledged`` events, which are batched
-MAX_LOG_MESSAGES = 100  # newest log messages of the decision module that are retained
+MAX_LOG_MESSAGES = 100  # number of retained log messages of ``Director``
 LoadReport = model.ServerLoadReport | model.RouteLoadReport
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to send now. ``number`` counts a proxy's messages and is passed to ``confirm_delivery``."""
+    """A message to send to a proxy now.
+
+    ``number`` is its position among the messages to the proxy, from 1, and is passed to ``confirm_delivery``.
+    """
 
     proxy: int
     number: int
     delta: Delta  # the lines of the message
-    before: Snapshot  # the proxy's state before this message
-    after: Snapshot  # the proxy's state after it
-    commands: ProxyCommands | None = None  # None if unchanged, or if the proxy does not use commands
+    before: Snapshot  # the lines that the proxy holds before this message
+    after: Snapshot  # the lines that the proxy holds after it
+    commands: ProxyCommands | None = None  # None if unchanged, or if the proxy takes no commands
 
 
 class SentMessage(NamedTuple):
     """A message that was sent and whose delivery is not confirmed yet."""
 
     number: int
-    nonces: list[int]  # to be acknowledged once it is delivered
+    nonces: list[int]  # acknowledged to ``Director`` once the message is delivered
     sent_us: int
 
 
@@ -64,12 +67,12 @@
     """Counters of the engine; the status document shows them under the names of the attributes."""
 
     def __init__(self) -> None:
-        self.messages = 0
-        self.lines = 0
-        self.notes = 0  # log messages of the decision module
-        self.withdrawn = 0
-        self.readmitted = 0
-        self.bound = 0
+        self.messages = 0  # messages sent to proxies
+        self.lines = 0  # lines in these messages, head lines excluded
+        self.notes = 0  # log messages of ``Director``
+        self.withdrawn = 0  # withdrawals of servers
+        self.readmitted = 0  # readmissions of servers
+        self.bound = 0  # bindings of proxies
 
     def add_command(self, command: Command) -> None:
         """Count a withdrawal, a readmission or a binding."""
@@ -83,14 +86,14 @@
 
 
 def is_withdrawal(command: Command) -> bool:
-    """Return whether a command stops proxies from using a server, which makes its messages urgent."""
+    """Return whether a command stops proxies from using a server, which makes messages with it urgent."""
     if isinstance(command, model.SetWeight):
         return command.weight <= 0
     return isinstance(command, model.SetWithdrawn) and command.withdrawn
 
 
 class Engine:
-    """Turns events into messages to proxies. ``module`` creates the decision module; tests replace it."""
+    """Turns events into messages to proxies. ``module`` creates the ``Director``; tests replace it."""
 
     def __init__(self, settings: Settings, seed: int, now: int, module: Callable[[], Director] = Director):
         self.settings = settings
@@ -99,10 +102,10 @@
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
         )
-        self.listed: dict[Key, model.Endpoint] = {}  # servers that are gone stay listed with that state
+        self.listed: dict[Key, model.Endpoint] = {}  # endpoint list; removed servers stay in it as GONE
         self.tables = Tables(Scale(settings.fleet.weight_most), self.listed_weight)
-        self.acknowledgements: list[model.Acknowledged] = []  # for the next step
-        self.acknowledgements_since_us = now  # when the oldest pending one was added
+        self.acknowledgements: list[model.Acknowledged] = []  # passed to ``Director`` in the next step
+        self.acknowledgements_since_us = now  # when the oldest of them was queued
         self.sent: dict[int, SentMessages] = {}  # by joined proxy
         self.counts = Counts()
         self.notes: deque[str] = deque(maxlen=MAX_LOG_MESSAGES)
@@ -116,7 +119,7 @@
     # Events
 
     def update_endpoints(self, update: model.EndpointUpdate) -> None:
-        """Apply a change of the endpoint list."""
+        """Apply a change of the endpoint list and queue it for the next step."""
         for entry in update.endpoints:
             self.listed[cast(Key, entry.address)] = entry
         self.stepper.pending_events.append(update)
@@ -131,10 +134,11 @@
         takes_commands: bool = False,
         resumed: Snapshot | None = None,
     ) -> None:
-        """Add a proxy.
+        """Add a proxy and queue its ``ProxyJoined`` event.
 
-        ``newly_started``: it holds no table that the decision module knows of. ``rate``: its requests a
-        second. ``resumed``: the version of a table that it has proved to hold, by its digest.
+        ``newly_started``: ``Director`` knows of no table that the proxy holds. ``rate``: the usual
+        requests a second of the proxy. ``takes_commands``: whether its binding and its admissions are sent to
+        it (MQTT only). ``resumed``: the version of a table that the proxy has proved to hold, by its digest.
         """
         self.tables.join(proxy, initial_servers, takes_commands, resumed)
         self.channel.join(proxy)
@@ -142,7 +146,7 @@
         self.stepper.pending_events.append(model.ProxyJoined(proxy, newly_started, rate, zone))
 
     def leave(self, proxy: int) -> None:
-        """Remove a proxy; does nothing for one that is not joined."""
+        """Remove a proxy and queue its ``ProxyLeft`` event; does nothing if the proxy is not joined."""
         if proxy not in self.sent:
             return
         self.tables.leave(proxy)
@@ -158,32 +162,36 @@
         self.stepper.pending_events += reports
 
     def confirm_delivery(self, proxy: int, number: int) -> None:
-        """Record that message ``number`` of a proxy and all earlier ones were delivered."""
+        """Record that message ``number`` to a proxy and all earlier ones were delivered."""
         sent = self.sent.get(proxy)
         while sent and sent.undelivered and sent.undelivered[0].number <= number:
             message = sent.undelivered.popleft()
             self.acknowledge(proxy, message.nonces, self.now - message.sent_us)
 
     def acknowledge(self, proxy: int, nonces: list[int], delay_us: int) -> None:
-        """Queue ``Acknowledged`` events for these nonces, for one of the next steps."""
+        """Queue ``Acknowledged`` events for these nonces; ``delay_us``: time from sending to delivery."""
         if nonces and not self.acknowledgements:
             self.acknowledgements_since_us = self.now
         self.acknowledgements += [model.Acknowledged(proxy, nonce, delay_us) for nonce in nonces]
 
     def poll(self, proxy: int) -> tuple[int, Delta]:
-        """Return the number of the reply to a proxy's poll and the lines that changed since its last one."""
+        """Return the number of the reply to a proxy's poll, and the lines that the reply must contain.
+
+        These are the lines that changed since the last message to the proxy. The reply replaces the proxy's
+        pending message, whose nonces are acknowledged with it.
+        """
         delta = self.tables.advance(proxy)
         number = self.sent[proxy].add(self.channel.remove(proxy), self.now)
         return number, delta
 
     def add_initial_servers(self, proxy: int, servers: Iterable[Key]) -> None:
-        """Add servers that a joined proxy reports to hold from before it joined."""
+        """Add servers that a joined proxy held before it joined, and enqueue an urgent message about them."""
         lines = self.tables.extend(proxy, servers)
         if lines:
             self.channel.enqueue(proxy, lines, True, None, self.now)
 
     def invalidate_snapshot(self, proxy: int) -> None:
-        """Send a proxy its whole table, at the channel's pace, because it can't follow the updates."""
+        """Enqueue the whole table for a proxy that can't apply the updates of it."""
         self.channel.enqueue(proxy, self.tables.invalidate_snapshot(proxy), False, None, self.now)
 
     def table_changed(self, table: int) -> None:
@@ -193,7 +201,7 @@
             self.channel.enqueue(proxy, 1, False, None, self.now)
 
     def set_blocked(self, proxy: int, blocked: bool) -> None:
-        """Hold back the messages of a proxy whose socket accepts no data, or send them again."""
+        """Hold back the messages to a proxy that polls or can't receive them now, or release them."""
         self.channel.set_blocked(proxy, blocked)
 
     # The clock
@@ -208,7 +216,7 @@
         return min((time_us for time_us in times if time_us is not None), default=None)
 
     def advance(self, now: int) -> Iterator[OutgoingMessage]:
-        """Run the decision module on all pending events in one step, then yield the messages to send now."""
+        """Pass all pending events to ``Director`` in one step, then yield the messages to send now."""
         self.now = max(self.now, now)
         self.stepper.fire_timers(self.now)
         overdue = self.now >= self.acknowledgements_since_us + ACKNOWLEDGEMENT_DELAY_US
@@ -251,7 +259,10 @@
         return self.tables.apply(command)
 
     def build_message(self, pending: PendingMessage) -> OutgoingMessage | None:
-        """Return the newest state for a proxy; None if an earlier message has already sent it."""
+        """Build the message that brings a proxy up to date, and record it as sent.
+
+        None if an earlier message has already brought it up to date.
+        """
         proxy = self.tables.proxies[pending.proxy]
         sent = self.sent[pending.proxy]
         before = proxy.snapshot
@@ -259,20 +270,20 @@
         commands = self.new_commands(pending.proxy)
         lines = len(delta.withdrawn) + len(delta.others) + (commands is not None)
         if not lines:
-            # These nonces are acknowledged with the last undelivered message, or at once if there is none.
+            # The nonces are acknowledged with the last undelivered message, or at once if there is none.
             if sent.undelivered:
                 sent.undelivered[-1].nonces.extend(pending.nonces)
             else:
                 self.acknowledge(pending.proxy, pending.nonces, 0)
             return None
         number = sent.add(pending.nonces, self.now)
-        self.channel.sent(pending.proxy, lines, self.now)
+        self.channel.record_sent(pending.proxy, lines, self.now)
         self.counts.messages += 1
         self.counts.lines += lines
         return OutgoingMessage(pending.proxy, number, delta, before, proxy.snapshot, commands)
 
     def new_commands(self, number: int) -> ProxyCommands | None:
-        """Return the commands of a proxy and record them as sent; None if unchanged or not used by it."""
+        """Return the commands for a proxy and record them as sent; None if unchanged or if it takes none."""
         proxy = self.tables.proxies[number]
         if proxy.commands is None:
             return None
--- a/rainpick/director/event_loop.py
+++ b/rainpick/director/event_loop.py
@@ -1,7 +1,7 @@
-"""The event loop of a director: the single thread that owns the engine, the endpoint list and all writes.
+"""The event loop of a director: one thread, which owns the engine and the endpoint list and writes to peers.
 
 Other threads post messages to its inbox. Each iteration dispatches the queued messages, runs the engine once
-and sends the resulting writes without blocking on a socket.
+and sends the resulting messages to proxies without blocking on a socket.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 from rainpick.settings import Settings
 
 CHECK_INTERVAL_US = 250_000  # between checks for unresponsive peers
-MAX_IDLE_US = 1_000_000  # longest wait for a message
+MAX_IDLE_US = 1_000_000  # longest wait for a message in the inbox
 SASP_REQUESTS = (AcceptedRequest, RejectedRequest)
 SASP_EVENTS = (AcceptedRequest, RejectedRequest, StreamEnded)
 
@@ -58,7 +58,10 @@
 
 
 class EventLoop:
-    """Creates the parts of a director, connects them and runs them in one thread."""
+    """Creates the parts of a director, connects them and runs them in one thread.
+
+    ``module`` creates the ``Director``; tests replace it.
+    """
 
     def __init__(
         self,
@@ -101,13 +104,13 @@
 
     @property
     def engine(self) -> Engine | None:
-        """The engine; None until the decision module has started."""
+        """The engine; None until ``ListFollower`` has created it."""
         return self.context.engine
 
     def receive_report(self, batch: Batch) -> dict[str, int] | None:
-        """Return the number of points of an OTLP report by verdict; None if the event loop is too busy.
+        """Pass an OTLP report to the event loop; return the number of its points by verdict.
 
-        Called by the OTLP frontend.
+        None if the event loop is too busy to answer in time. Called in the threads of the OTLP frontend.
         """
         return self.inbox.query(LoadReportReceived(batch, time.time_ns()))
 
@@ -141,7 +144,7 @@
         return max(0.0, (min(times) - now) / 1e6)
 
     def run_iteration(self, idle_s: float) -> None:
-        """Dispatch all queued messages, let the engine take one step and send its writes."""
+        """Dispatch all queued messages, run the engine once and send its messages."""
         message = self.inbox.receive(idle_s)
         while message is not None:
             self.handlers[type(message)](message)
@@ -168,7 +171,7 @@
             self.sasp.push(session, message, now)
 
     def check_peers(self, now: int) -> None:
-        """Close the streams of peers that are silent, stalled or still unidentified after the timeout."""
+        """Close the streams of peers that are silent, stalled or unidentified for too long."""
         self.mqtt.check_connections(now)
         self.sessions.close_unidentified(now)
         self.sasp.disconnect_silent(now)
@@ -176,7 +179,7 @@
     # Messages
 
     def open_stream(self, message: StreamOpened) -> None:
-        """Register a newly accepted stream and start reading from it."""
+        """Register a newly accepted stream and start reading from it, unless there are too many streams."""
         stream = message.stream
         if not self.sessions.open(stream):
             return
@@ -188,7 +191,7 @@
         """Pass an event of a stream's reader to the frontend that owns the stream."""
         stream, event = message
         if not self.sessions.is_open(stream):
-            return  # the director closed it; events that were read before that are dropped
+            return  # the director has closed the stream; events that were already read are dropped
         if stream.number in self.mqtt.connections:
             self.sessions.mark_identified(stream)
             if not isinstance(event, SASP_REQUESTS):
--- a/rainpick/director/inbox.py
+++ b/rainpick/director/inbox.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class WaitingTimes:
-    """Statistics of the time that messages were queued before the event loop received them."""
+    """Statistics of the time from posting a message to its receipt by the event loop."""
 
     count: int = 0
     sum_us: int = 0
@@ -42,7 +42,7 @@
         return self.messages.qsize()
 
     def post(self, message: object, wait: bool = True) -> bool:
-        """Enqueue a message; return False if the queue is full and ``wait`` is False."""
+        """Enqueue a message. If the queue is full, wait for room, or return False if ``wait`` is False."""
         try:
             self.messages.put((self.clock(), message), block=wait)
         except queue.Full:
@@ -50,7 +50,10 @@
         return True
 
     def query(self, query: Query[AnswerT], timeout_s: float = ANSWER_TIMEOUT_S) -> AnswerT | None:
-        """Post a query and wait for its answer; None if the event loop is too busy to answer in time."""
+        """Post a query and wait for its answer.
+
+        None if the queue is full or the event loop does not answer within the timeout.
+        """
         if not self.post(query, wait=False):
             return None
         try:
--- a/rainpick/director/list_files.py
+++ b/rainpick/director/list_files.py
@@ -1,4 +1,4 @@
-"""The endpoint list in files: the operators' list file, and the cache that survives a director's restart."""
+"""The endpoint list in files: the operators' list file, and the cached list for a director's restart."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 def file_entry(server: ListedServer, settings: Settings, now: int) -> FileEntry:
-    """Convert a checked server: indexes replace names, a start time replaces the age."""
+    """Convert a valid server of the list file: indexes replace names, a start time replaces the age."""
     return FileEntry(
         (server.address.host, server.address.port),
         server.weight,
@@ -91,7 +91,7 @@
 
 
 def read_cache(path: str, settings: Settings, now: int, wall_us: int) -> list[FileEntry] | None:
-    """Return the list that an earlier incarnation cached; None if there is no usable one.
+    """Return the list that an earlier incarnation cached; None if there is no usable file.
 
     ``now`` and ``wall_us`` are the current time by the director's clock and by the wall clock, in
     microseconds.
@@ -113,7 +113,7 @@
 def cached_entry(row: list[Any], settings: Settings, offset_us: int) -> FileEntry:
     """Convert a row of the cache; ``ValueError`` or ``TypeError`` if it is invalid.
 
-    ``offset_us``: how far the wall clock is ahead of the director's clock.
+    ``offset_us``: how far the wall clock is ahead of the director's clock, in microseconds.
     """
     host, port, weight, zone, machine, pod, started, draining = row
     if zone not in settings.zones or machine not in settings.machines:
@@ -130,7 +130,11 @@
 
 
 class CachedList(NamedTuple):
-    """A list to write, with its time by the director's clock and by the wall clock, in microseconds."""
+    """A list to write to the cache file.
+
+    ``now`` and ``wall_us`` are the time at which it was queued, in microseconds, by the director's clock and
+    by the wall clock.
+    """
 
     servers: tuple[model.Endpoint, ...]
     now: int
@@ -140,7 +144,8 @@
 class ListCache:
     """Writes the newest list to a file in its own thread, so that the event loop never blocks on a disk.
 
-    The file is replaced atomically: if the director is killed, it has the old or the new list, never a part.
+    The file is replaced atomically: if the director is killed, the file contains the old or the new list,
+    never part of a list.
     """
 
     def __init__(self, path: str, settings: Settings):
@@ -150,12 +155,12 @@
         self.thread = threading.Thread(target=self.run, name="list-cache", daemon=True)
         self.thread.start()
 
-    def keep(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
-        """Queue a list to be written; it is skipped if a newer one is queued before it is written."""
+    def enqueue(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
+        """Queue a list to be written; it is skipped if a newer list is queued before that."""
         self.queue.put(CachedList(servers, now, wall_us))
 
     def run(self) -> None:
-        """Write the newest queued list, until ``close`` (the thread's main function)."""
+        """Write the newest queued list whenever one is queued, until ``close``. Runs in ``thread``."""
         while (newest := self.queue.get()) is not None:
             while not self.queue.empty():
                 newer = self.queue.get()
@@ -181,7 +186,7 @@
                 os.unlink(temporary)
 
     def row(self, server: model.Endpoint, offset_us: int) -> list[Any]:
-        """Convert a server to a row: names replace indexes, the start is by the wall clock (0: long ago)."""
+        """Convert a server to a row: names replace indexes, the start time is by the wall clock."""
         host, port = cast(Key, server.address)
         return [
             host,
@@ -195,6 +200,6 @@
         ]
 
     def close(self) -> None:
-        """Write the list that is still queued, and end the thread."""
+        """Write the newest queued list and end the thread; waits for at most ``CLOSE_TIMEOUT_S``."""
         self.queue.put(None)
         self.thread.join(CLOSE_TIMEOUT_S)
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -1,4 +1,4 @@
-"""Passes the endpoint list to the decision module, and starts the module once there is a list."""
+"""Starts ``Director`` once there is an endpoint list, and passes the changes of the list to it."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 class ListFollower:
-    """Passes the changes of ``Membership`` on.
+    """Creates the engine with the list from ``Membership``, and passes later changes of the list to it.
 
-    Owns the objects that are created when the decision module starts: the engine, the pins and the recorder.
+    Also creates the pins and the recorder, which exist from then on. ``module`` creates the ``Director``.
     """
 
     def __init__(
@@ -55,12 +55,12 @@
     # Lists from files
 
     def list_file_read(self, entries: list[FileEntry]) -> None:
-        """Apply the operators' list file after it was read for the first time or again."""
+        """Apply the servers of the operators' list file, which was read for the first time or again."""
         self.membership.apply_list_file(entries)
         self.context.log.info("list file read", servers=len(entries))
 
     def cached_list_read(self, entries: list[FileEntry]) -> None:
-        """Apply the list that an earlier incarnation cached."""
+        """Apply the list that an earlier incarnation of this director cached."""
         self.membership.apply_cached_list(entries, self.context.clock())
         self.context.log.info("starting from the cached list", servers=len(entries))
 
@@ -75,7 +75,7 @@
     def advance(self, now: int) -> None:
         """Remove servers whose grace period has ended.
 
-        Then start the decision module if it is due, or pass the changes of the list to it.
+        Then start ``Director`` if it has not started and is due, or pass the changes of the list to it.
         """
         for key in self.membership.expire(now):
             self.context.log.info(
@@ -97,7 +97,7 @@
             self.cache_list(now)
 
     def start(self, now: int) -> None:
-        """Start the decision module with the current list, and join the proxies that have registered."""
+        """Start ``Director`` with the current list, and join the registered proxies."""
         engine = self.context.engine = Engine(self.settings, self.seed, now, self.module)
         if self.settings.record.folder is not None:
             self.recorder = self.start_recorder(self.settings.record.folder, now)
@@ -113,7 +113,7 @@
         self.cache_list(now)
 
     def start_recorder(self, folder: str, now: int) -> Recorder:
-        """Create the recorder of all events and commands of the decision module, from its first step on."""
+        """Create the recorder of all events and commands of ``Director``, from its first step on."""
         settings = self.settings.record
         incarnation = Incarnation(
             self.settings.director.number,
@@ -140,14 +140,14 @@
             self.recorder.close()
 
     def cache_list(self, now: int) -> None:
-        """Queue the list for the cache, if there is one."""
+        """Queue the list to be written to the cache file, if the settings name one."""
         if self.cache is not None:
-            self.cache.keep(self.membership.published(), now, wall_us())
+            self.cache.enqueue(self.membership.published(), now, wall_us())
 
-    # Queries of the pins
+    # Callbacks of the pins
 
     def is_listed(self, server: Key) -> bool:
-        """Return whether a server is in the endpoint list of the decision module."""
+        """Return whether a server is in the endpoint list that ``Director`` has received."""
         entry = self.context.started_engine.listed.get(server)
         return entry is not None and entry.state != model.EndpointState.GONE
 
--- a/rainpick/director/load_aggregator.py
+++ b/rainpick/director/load_aggregator.py
@@ -1,4 +1,4 @@
-"""Sums of the load reports of all proxies, forwarded to the decision module at a limited rate. No I/O."""
+"""Sums of the load reports of all proxies, forwarded to ``Director`` at a limited rate. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from rainpick.director.addresses import Key
 from rainpick.director.reports import FreshnessFilter, Point, Verdict
 
-RATE_SMOOTHING = 8  # inverse weight of a new rate in the moving average
+RATE_SMOOTHING = 8  # the moving average gives a new rate the weight 1 / RATE_SMOOTHING
 Report = model.ServerLoadReport | model.RouteLoadReport
 
 
@@ -36,15 +36,15 @@
 
 
 class PointSum:
-    """The sum of the fresh points of one key since it was last forwarded, over one or more periods."""
+    """The sum of the fresh points of one key since its last forwarded report, over one or more periods."""
 
     __slots__ = ("answered", "dropped", "took_us", "start_ns", "end_ns")
 
     def __init__(self) -> None:
         self.answered = 0
         self.dropped = 0
-        self.took_us = 0
-        self.start_ns, self.end_ns = 1 << 62, 0
+        self.took_us = 0  # total duration of the answered requests or attempts
+        self.start_ns, self.end_ns = 1 << 62, 0  # the interval that the points cover, empty at first
 
     def add(self, point: Point) -> None:
         """Add a point and extend the covered interval by its period."""
@@ -55,11 +55,11 @@
         self.end_ns = max(self.end_ns, point.end_ns)
 
     def interval_us(self) -> int:
-        """Return the length of the covered interval, at least 1."""
+        """Return the length of the covered interval in microseconds, at least 1."""
         return max(1, (self.end_ns - self.start_ns) // 1000)
 
     def server_report(self, key: ServerKey) -> model.ServerLoadReport:
-        """Return the sum as an event for the decision module."""
+        """Return the sum as an event for ``Director``."""
         attempts = self.answered + self.dropped
         mean_us = self.took_us // self.answered if self.answered else 0
         return model.ServerLoadReport(
@@ -67,16 +67,16 @@
         )
 
     def route_report(self, proxy: int, route: int) -> model.RouteLoadReport:
-        """Return the sum as an event for the decision module; ``route`` is the route's index."""
+        """Return the sum as an event for ``Director``; ``route`` is the route's index."""
         requests = self.answered + self.dropped
         return model.RouteLoadReport(proxy, route, requests, self.dropped, self.interval_us())
 
 
 class ReportedRates:
-    """Requests a second by reporter, smoothed over its reports."""
+    """The requests a second of each reporter, as a moving average over its reports."""
 
     def __init__(self) -> None:
-        self.per_s: dict[str, float] = {}
+        self.per_s: dict[str, float] = {}  # by LB UID
 
     def add(self, points: Iterable[Point]) -> None:
         """Update the rates with the fresh points of one report; only points of routes count requests."""
@@ -94,7 +94,8 @@
     """Sums of fresh points by (zone, server) and (proxy, route), forwarded at a limited rate.
 
     Once a report period all sums become due. A limited number of them is forwarded each second, the oldest
-    first; the others accumulate further points. A proxy that sends too many reports delays only its own sums.
+    first; the others accumulate further points. A proxy that sends too many reports creates no further sums,
+    so it does not delay the sums of other proxies.
     """
 
     def __init__(
@@ -104,11 +105,12 @@
         self.route_indexes = {name: index for index, name in enumerate(routes)}
         self.period_us = period_us
         self.reports_per_s = reports_per_s
-        self.sums: OrderedDict[ServerKey | RouteKey, PointSum] = OrderedDict()
-        self.due: deque[ServerKey | RouteKey] = deque()
-        self.next_period_us: int | None = None
-        self.credit, self.credit_us = 0.0, 0  # reports that may be forwarded, as of that time
-        self.verdicts: dict[Verdict, int] = dict.fromkeys(Verdict, 0)  # number of points
+        self.sums: OrderedDict[ServerKey | RouteKey, PointSum] = OrderedDict()  # oldest first
+        self.due: deque[ServerKey | RouteKey] = deque()  # keys of the sums to forward, oldest first
+        self.next_period_us: int | None = None  # None until the first ``collect``
+        # The number of reports that may be forwarded, and the time at which it was computed.
+        self.credit, self.credit_us = 0.0, 0
+        self.verdicts: dict[Verdict, int] = dict.fromkeys(Verdict, 0)  # number of points by verdict
         self.forwarded_reports = 0
         self.rates = ReportedRates()
 
@@ -121,7 +123,8 @@
     ) -> dict[str, int]:
         """Classify the points of one report and add the fresh ones; return the count of points by verdict.
 
-        ``reporters``: the reporters of these points that are joined, by UID.
+        ``reporters`` has the joined proxies among the reporters of these points, by UID. The keys of
+        ``known_servers`` are the listed servers.
         """
         verdicts: dict[str, int] = defaultdict(int)
         offsets_ns = self.clock_offsets_ns(points, wall_ns, reporters)
@@ -161,13 +164,13 @@
         }
 
     def is_known(self, point: Point, known_servers: Mapping[Key, object]) -> bool:
-        """Return whether the server of a point is listed, or its route is in the settings."""
+        """Return whether a point is about a listed server or about a route of the settings."""
         if point.server:
             return point.server in known_servers
         return point.route in self.route_indexes
 
     def due_us(self, now: int) -> int | None:
-        """Return when ``collect`` has something to forward; None if there is nothing."""
+        """Return the time at which ``collect`` has a report to return; None if there are no sums."""
         if self.due:
             missing_credit = 1 - self.credit
             return max(now, self.credit_us + int(missing_credit / self.reports_per_s * 1e6) + 1)
@@ -176,7 +179,7 @@
         return now if self.next_period_us is None else self.next_period_us
 
     def collect(self, now: int) -> list[Report]:
-        """Return the reports that may be forwarded now."""
+        """Remove the sums that are due and may be forwarded now; return them as reports."""
         self.start_period(now)
         reports: list[Report] = []
         while self.due and self.credit >= 1:
@@ -191,7 +194,7 @@
         return reports
 
     def start_period(self, now: int) -> None:
-        """Update the credit; at the end of a period, make all sums due."""
+        """Add the credit earned since the last call; at the end of a period, make all sums due."""
         if self.next_period_us is None:
             self.next_period_us = now + self.period_us
         earned = (now - self.credit_us) * self.reports_per_s / 1e6
@@ -212,7 +215,7 @@
 
 
 def sum_key(point: Point, reporter: Reporter) -> ServerKey | RouteKey:
-    """Return the key of the sum for a point with a known server or route."""
+    """Return the key of the sum to which a point with a known server or route is added."""
     if point.server:
         return ServerKey(reporter.zone, point.server)
     return RouteKey(reporter.number, point.route or "")
--- a/rainpick/director/member_labels.py
+++ b/rainpick/director/member_labels.py
@@ -25,11 +25,11 @@
     machine: int
     pod: int
     boot: str | None  # identifies one start of the process
-    age_us: int | None  # time since its start, from the label
+    age_us: int | None  # time since the start of the process, from the label
 
 
 class RejectedMemberError(Exception):
-    """A member's request that was rejected: SASP return code and reason."""
+    """A member's request is rejected with the SASP return code ``code``; the message states the reason."""
 
     def __init__(self, code: int, why: str):
         super().__init__(why)
@@ -86,7 +86,10 @@
         return description
 
     def combine(self, member: Member, values: dict[str, str]) -> Description:
-        """Take each attribute from the first rule that matches the address, else the label or a default."""
+        """Combine the attributes of a member.
+
+        Each comes from the first rule that matches the address, else from the label, else it is a default.
+        """
         host = member.host()
         rule = next((rule for match, rule in self.rules if match.matches(host, member.port)), None)
         weight = rule.weight if rule and rule.weight is not None else float(values.get("weight", "1"))
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -1,8 +1,10 @@
 """The endpoint list, built from registered members and a list file. Does no I/O.
 
-A server is *ready* while it is registered, *draining* once it is quiesced, and *gone* when it has
-deregistered or its stream has ended and the grace period is over. A batch of events changes a server at most
-once. Times are microseconds of the director's clock.
+A server is listed while it is registered or in the list file. It is *draining* if its member is quiesced or
+the list file marks it as draining, otherwise *ready*. It is *gone* once it is neither registered nor in
+the list file. A registration ends when the server deregisters, or when its stream has ended and the grace
+period is over. Several changes of a server between two updates count as one. Times are microseconds of the
+director's clock.
 """
 
 from __future__ import annotations
@@ -16,7 +18,7 @@
 from rainpick.sasp.messages import Group, Member, MemberState
 from rainpick.settings.model import Settings
 
-MAX_SETTLE_TIMES = 10  # multiple of the settle time that limits the wait for a fleet that keeps growing
+MAX_SETTLE_TIMES = 10  # ``Director`` starts after this many settle times even if further servers register
 
 
 class FileEntry(NamedTuple):
@@ -41,9 +43,9 @@
         self.description: Description | None = None  # from its registration or the cached list
         self.started_us = 0
         self.quiesced = False
-        self.owner: int | None = None  # number of the stream that registered it; None once that has ended
+        self.owner: int | None = None  # number of the stream that registered it, until that stream ends
         self.file_entry: FileEntry | None = None
-        self.published: model.Endpoint | None = None  # as last sent to the decision module
+        self.published: model.Endpoint | None = None  # its entry as last sent to ``Director``
         self.state = 0  # opaque state that the member has set
 
 
@@ -58,13 +60,13 @@
         self.servers: dict[Key, Server] = {}
         self.changed: set[Key] = set()  # servers that changed since the last update
         self.grace_ends_us: dict[Key, int] = {}  # end of the grace period of servers whose stream has ended
-        self.version = 0
-        # Members that register without an age before this time are taken as started long ago. Otherwise all
-        # ready servers would warm up after each restart of a director.
+        self.version = 0  # of the last update
+        # Members that register without an age before this time count as started long ago. Otherwise all
+        # servers would go through slow start again after each restart of a director.
         self.settled_us = started_us + max(fleet.member_grace, settings.director.settle)
         self.started_us = started_us
         self.newest_us = started_us  # when a server was last added
-        self.from_cache = False
+        self.from_cache = False  # whether a cached list was applied
 
     # Members' requests
 
@@ -118,7 +120,7 @@
         self.changed.add(key)
 
     def start_time_us(self, server: Server, was_registered: bool, description: Description, now: int) -> int:
-        """Return when the process of a registration started; 0: long ago."""
+        """Return when the process of a registering server started; 0: long ago."""
         if description.age_us is not None:
             return max(0, now - description.age_us)
         if was_registered:
@@ -128,7 +130,7 @@
         return 0 if now < self.settled_us else now
 
     def registered_server(self, stream: int, key: Key) -> Server:
-        """Return the server that a stream has registered; ``RejectedMemberError`` if it has not."""
+        """Return a server that a stream has registered; ``RejectedMemberError`` for any other server."""
         server = self.servers.get(key)
         if server is None or server.owner != stream:
             raise RejectedMemberError(
@@ -137,7 +139,10 @@
         return server
 
     def deregister(self, stream: int, group: Group, members: tuple[Member, ...]) -> None:
-        """Remove servers at once; a group without members stands for all servers of the stream."""
+        """Remove registrations without a grace period.
+
+        If ``members`` is empty, the registrations of all servers of the stream are removed.
+        """
         self.check_group(group)
         if members:
             leaving = [self.registered_server(stream, member.key()) for member in members]
@@ -162,7 +167,7 @@
         self.changed.add(server.key)
 
     def stream_ended(self, stream: int, now: int) -> None:
-        """Start the grace period of a stream's servers; another stream may register them meanwhile."""
+        """Start the grace period of a stream's servers, in which another stream may register them."""
         for server in self.servers.values():
             if server.owner == stream:
                 server.owner = None
@@ -185,7 +190,7 @@
             self.changed.add(key)
 
     def apply_cached_list(self, entries: list[FileEntry], now: int) -> None:
-        """Add the servers of the cached list, each with a grace period to register again."""
+        """Add the servers of the cached list; those that do not register in a grace period are removed."""
         self.from_cache = bool(entries)
         grace_us = self.settings.fleet.member_grace + self.settings.director.settle
         for entry in entries:
@@ -198,11 +203,11 @@
     # The clock
 
     def start_due_us(self) -> int | None:
-        """Return when to start the decision module; None while there are no servers.
+        """Return when to start ``Director``; None while there are no servers.
 
-        The decision module derives its tables from the initial list. If it started with an empty list, or
-        with the first few servers of a fleet that is still registering, its tables would never be those of
-        the whole fleet.
+        ``Director`` derives its tables from the initial list. If it started with an empty list, or with the
+        first few servers of a fleet that is still registering, its tables would never be those of the whole
+        fleet.
         """
         if not self.servers:
             return None
@@ -223,12 +228,12 @@
             self.remove_registration(self.servers[key])
         return expired
 
-    # Updates for the decision module
+    # Updates for ``Director``
 
     def endpoint(self, server: Server) -> model.Endpoint | None:
         """Return a server's entry in the endpoint list; None if no source lists it.
 
-        Attributes of the list file take precedence.
+        Attributes in the list file take precedence over those of the registration.
         """
         registered = server.owner is not None or server.key in self.grace_ends_us
         entry = server.file_entry
@@ -248,7 +253,10 @@
         )
 
     def next_update(self) -> model.EndpointUpdate | None:
-        """Return an update with all changes since the last one; None if there are none."""
+        """Return an update with all changes since the last update; None if there are none.
+
+        Also discards the servers that are no longer listed.
+        """
         endpoints = []
         for key in sorted(self.changed):
             server = self.servers[key]
@@ -267,11 +275,11 @@
         return model.EndpointUpdate(model.UpdateKind.DELTA, tuple(endpoints), self.version)
 
     def published(self) -> tuple[model.Endpoint, ...]:
-        """Return the servers that the decision module knows and that are not gone."""
+        """Return the entries last sent to ``Director``, without those of servers that are gone."""
         servers = [server for _, server in sorted(self.servers.items())]
         return tuple([server.published for server in servers if server.published is not None])
 
     def initial_update(self) -> model.EndpointUpdate:
-        """Return the endpoint list that the decision module starts with."""
+        """Return the endpoint list that ``Director`` starts with."""
         self.next_update()
         return model.EndpointUpdate(model.UpdateKind.CACHED, self.published(), self.version)
--- a/rainpick/director/messages.py
+++ b/rainpick/director/messages.py
@@ -23,7 +23,7 @@
 
 
 class StreamOpened(NamedTuple):
-    """A stream frontend has accepted a connection; its stream is not being read yet."""
+    """A listener has accepted a connection; reading from its stream has not started."""
 
     stream: Stream
 
--- a/rainpick/director/mqtt_connection.py
+++ b/rainpick/director/mqtt_connection.py
@@ -6,7 +6,7 @@
 from rainpick.mqtt.server import ServerConnection
 from rainpick.net.streams import Stream
 
-BURST_S = 2  # bucket capacity: the messages that a client's rate allows in this time
+BURST_S = 2  # a token bucket holds as many messages as the client's rate allows in this time
 
 
 class ObserverFeed:
@@ -15,8 +15,8 @@
     __slots__ = ("snapshot", "packet")
 
     def __init__(self) -> None:
-        self.snapshot: Snapshot | None = None  # the newest version that it was sent
-        self.packet = 0  # packet id of the unacknowledged version; 0: none
+        self.snapshot: Snapshot | None = None  # the newest version sent to the observer
+        self.packet = 0  # packet identifier of the message with that version; 0 once acknowledged
 
 
 class PublishRateLimit:
@@ -48,8 +48,9 @@
         self.protocol = ServerConnection()
         self.client = ""  # client identifier; for a proxy, its UID
         self.received_us = now  # time of the last received packet
-        self.unacknowledged: dict[int, int] = {}  # message numbers of the engine, by packet id
+        self.unacknowledged: dict[int, int] = {}  # the engine's message numbers by packet identifier
+        # Time of the last acknowledgement, or of the first message without one; None if none is outstanding.
         self.unacknowledged_since_us: int | None = None
-        self.feeds: dict[int, ObserverFeed] = {}  # by table
+        self.feeds: dict[int, ObserverFeed] = {}  # of an observer, by table
         self.stalled_since_us: int | None = None  # since when an observer's socket accepts no data
         self.rate_limit = PublishRateLimit(publishes_per_s, now)
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -1,7 +1,7 @@
 """The MQTT frontend in the event loop's thread: connections of proxies and of observers.
 
 A proxy is a client that has subscribed to its own assignments with QoS 1 and has published its presence. The
-MQTT acknowledgement of a message confirms its delivery to the engine.
+MQTT acknowledgement of a message is reported to the engine as its delivery.
 """
 
 from __future__ import annotations
@@ -37,8 +37,9 @@
 from rainpick.sasp.constants import NO_CHANGE, PUSH, TRUST
 
 CLIENT_IDENTIFIER = re.compile(r"[^/+#\x00]{1,64}")
-PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # SASP flags that stand for a proxy over MQTT
-PROXY_PAYLOADS: dict[str, type[Presence | LoadReport | SyncFault]] = {  # by the last level of the topic
+PROXY_FLAGS = PUSH | TRUST | NO_CHANGE  # the SASP flags that describe every proxy over MQTT
+# The payloads that a proxy may publish, by the last level of the topic.
+PROXY_PAYLOADS: dict[str, type[Presence | LoadReport | SyncFault]] = {
     "presence": Presence,
     "report": LoadReport,
     "trouble": SyncFault,
@@ -47,11 +48,11 @@
 
 @dataclass(slots=True)
 class ReceiveCounts:
-    """Counters of what was received over MQTT since the start."""
+    """Counters of events on MQTT connections since the start."""
 
-    resynchronisations: int = 0  # of proxies that could not follow their tables
+    resynchronisations: int = 0  # messages of proxies that they could not apply an update
     rejected: int = 0  # malformed packets and payloads
-    rate_limited: int = 0  # disconnects of clients that exceeded their rate
+    rate_limited: int = 0  # clients disconnected for exceeding their message rate
 
 
 class MqttFrontend:
@@ -73,7 +74,7 @@
     # Connections
 
     def open(self, stream: Stream) -> None:
-        """Add the connection of a newly accepted stream; its CONNECT is still to come."""
+        """Add the connection of a newly accepted stream, before its CONNECT is received."""
         now = self.context.clock()
         self.connections[stream.number] = MqttConnection(stream, now, self.settings.mqtt.says_per_s)
 
@@ -125,7 +126,7 @@
         return protocol_event if isinstance(protocol_event, ConnectionClosed) else None
 
     def connect(self, connection: MqttConnection, connect: codec.Connect) -> ConnectionClosed | None:
-        """Accept a client; an older connection with the same client identifier is closed."""
+        """Accept a client with a valid identifier; close an older connection with the same identifier."""
         if not CLIENT_IDENTIFIER.fullmatch(connect.client_id):
             why = "a client identifier of 1 to 64 characters but / + #"
             return connection.protocol.disconnect(codec.ReasonCode.CLIENT_IDENTIFIER_NOT_VALID, why)
@@ -150,7 +151,10 @@
         return None
 
     def announce_takeover(self, stream: Stream) -> None:
-        """Notify a client that a newer connection replaces its own; does nothing for a SASP stream."""
+        """Send a client DISCONNECT, because a newer connection with its identifier replaces this one.
+
+        Does nothing for a SASP stream.
+        """
         if stream.number in self.connections:
             stream.write(codec.encode_packet(codec.Disconnect(codec.ReasonCode.SESSION_TAKEN_OVER)))
 
@@ -167,7 +171,7 @@
     # Messages from clients
 
     def handle_publish(self, connection: MqttConnection, publish: codec.Publish) -> ConnectionClosed | None:
-        """Handle a PUBLISH and acknowledge it; ``ConnectionClosed`` for a client above its rate."""
+        """Handle a PUBLISH and acknowledge it; ``ConnectionClosed`` if a client exceeds its message rate."""
         if not connection.rate_limit.allows(self.context.clock()):
             self.counts.rate_limited += 1
             per_s = connection.rate_limit.per_s
@@ -204,7 +208,7 @@
         return codec.ReasonCode.SUCCESS
 
     def resynchronise(self, session: ProxySession, fault: SyncFault) -> None:
-        """Send the whole table to a proxy that can't follow it."""
+        """Enqueue the whole table for a proxy that could not apply an update of it."""
         self.counts.resynchronisations += 1
         self.log.warning("proxy can't follow", proxy=session.uid, why=fault.cause, table=fault.table)
         if self.context.engine is not None and session.joined:
@@ -219,7 +223,7 @@
                 self.sessions.end_session(session)
             return codec.ReasonCode.SUCCESS
         if connection.protocol.subscriptions.get(topics.assignment_topic(connection.client)) != 1:
-            return codec.ReasonCode.NOT_AUTHORIZED  # it can't receive or acknowledge assignments
+            return codec.ReasonCode.NOT_AUTHORIZED  # the proxy could not receive or acknowledge assignments
         if session is not None:
             return codec.ReasonCode.SUCCESS
         if connection.client == self.settings.fleet.uid:
@@ -276,7 +280,7 @@
 
     @staticmethod
     def keep_alive_passed(connection: MqttConnection, now: int) -> bool:
-        """Return whether a client was silent for over one and a half keep-alives (MQTT 5, 3.1.2.10)."""
+        """Return whether a client was silent for 1.5 times its keep-alive interval (MQTT 5, 3.1.2.10)."""
         connect = connection.protocol.connect
         keep_alive_us = connect.keep_alive_s * 1_500_000 if connect is not None else 0
         return bool(keep_alive_us) and now - connection.received_us > keep_alive_us
--- a/rainpick/director/mqtt_sender.py
+++ b/rainpick/director/mqtt_sender.py
@@ -21,17 +21,17 @@
 
 @dataclass(slots=True)
 class SendCounts:
-    """Counters of what was sent since the start."""
+    """Counters of the data sent over MQTT since the start."""
 
-    whole_tables: int = 0  # to proxies
-    table_changes: int = 0  # to proxies
-    bytes: int = 0
+    whole_tables: int = 0  # snapshots sent to proxies
+    table_changes: int = 0  # deltas sent to proxies
+    bytes: int = 0  # bytes sent to proxies and observers
 
 
 class MqttSender:
     """Writes to MQTT connections without blocking.
 
-    ``connections`` are those of the frontend, by stream number.
+    ``connections`` has the connections of the frontend, by stream number.
     """
 
     def __init__(
@@ -65,7 +65,11 @@
         self.send(connection)
 
     def push_payload(self, session: ProxySession, message: OutgoingMessage) -> tuple[str, bytes]:
-        """Return topic and payload: the table update alone, or the commands with any table update."""
+        """Return the topic and the payload of a message.
+
+        The payload is a table update if the proxy is bound and its commands have not changed. Otherwise it is
+        an assignment, which contains the commands and, for a bound proxy, the table update.
+        """
         proxy = self.context.started_engine.tables.proxies[session.number]
         table = proxy.table
         table_update: TableSnapshot | TableDelta | None = None
@@ -94,7 +98,7 @@
         return topics.assignment_topic(session.uid), data
 
     def send(self, connection: MqttConnection) -> None:
-        """Write the bytes that the protocol has queued to the socket."""
+        """Write the protocol's queued bytes to the socket; disconnect a client with too much unsent data."""
         outgoing = connection.protocol.outgoing
         if not outgoing:
             return
--- a/rainpick/director/observers.py
+++ b/rainpick/director/observers.py
@@ -15,7 +15,10 @@
 
 
 def is_observer(connection: MqttConnection, is_proxy: bool) -> bool:
-    """Return whether a connection is subscribed to tables without belonging to a proxy or a future proxy."""
+    """Return whether a connection is subscribed to tables and does not belong to a proxy.
+
+    A client that is subscribed to its own assignments is about to join as a proxy, so it is no observer.
+    """
     filters = connection.protocol.subscriptions
     if is_proxy or topics.assignment_topic(connection.client) in filters:
         return False
--- a/rainpick/director/proxies.py
+++ b/rainpick/director/proxies.py
@@ -1,4 +1,4 @@
-"""Numbers, zones and usual rates of proxies by their LB UIDs. Does no I/O."""
+"""Numbers, zones and usual request rates of proxies by their LB UIDs. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 from rainpick.settings import Settings
 
-MAX_NUMBERS = 65_000  # the decision module represents proxies by numbers below 65536
+MAX_NUMBERS = 65_000  # ``Director`` identifies proxies by numbers below 65536
 LAST_DIGITS = re.compile(r"(\d{1,5})\D*$")
 
 
 class ProxyAttributes(NamedTuple):
     """The zone and rate of a proxy, from the settings."""
 
-    zone: int  # index
+    zone: int  # index into the zones of the settings
     rate: float  # usual requests a second
 
 
 class Proxies:
     """Assigns numbers to proxies, the same ones at every director and in every incarnation.
 
-    A proxy's table is derived from its number. A UID that ends in a number gets that number, because fleets
-    usually number their proxies. Any other UID, or one whose number is taken, gets the first free number from
-    a hash of it on.
+    A proxy's table is derived from its number. A proxy gets the last number in its UID, because fleets
+    usually number their proxies. If the UID contains no number, or one that is taken or too large, the proxy
+    gets the first free number from a hash of the UID on.
     """
 
     def __init__(self, settings: Settings):
@@ -47,7 +47,7 @@
         return self.numbers[uid]
 
     def free(self, uid: str) -> None:
-        """Release the number of a proxy that is no longer joined, if numbers are scarce."""
+        """Release the number of a proxy that is no longer joined, if over half of the numbers are in use."""
         if len(self.numbers) > MAX_NUMBERS // 2:
             number = self.numbers.pop(uid)
             self.uids.pop(number, None)
--- a/rainpick/director/report_intake.py
+++ b/rainpick/director/report_intake.py
@@ -15,7 +15,7 @@
 
 
 class ReportIntake:
-    """Assigns points to the proxies that reported them and adds them to the aggregator."""
+    """Finds the joined proxies that reported the points, and adds the points to the aggregator."""
 
     def __init__(self, context: Context, sessions: Sessions, proxies: Proxies, aggregator: LoadAggregator):
         self.context = context
--- a/rainpick/director/reports.py
+++ b/rainpick/director/reports.py
@@ -1,8 +1,9 @@
 """Points of load reports, and the check whether they are fresh. Does no I/O.
 
-Each point covers a period of its series. The periods show which points are duplicates, overlap or are out of
-order. The age of a period, corrected by the estimated clock offset of the reporter, shows which are late.
-Only fresh points count, because the decision module takes reports for the current state.
+A series consists of the points of one reporter with the same server or route and the same outcome. Each
+point covers a period. Equal and overlapping periods of a series show duplicate and overlapping points. The
+age of a period, corrected by the estimated clock offset of the reporter, shows whether its point is late.
+Only fresh points count, because ``Director`` treats reports as the current state.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from rainpick.director.addresses import Key
 
-REMEMBERED_PERIODS = 8  # for each series
+REMEMBERED_PERIODS = 8  # newest periods remembered for each series
 REPORTS_PER_SPAN = 64  # reports of a reporter in one span of its clock offset estimate
 
 
@@ -23,14 +24,17 @@
     FRESH = "fresh"
     DOUBLED = "doubled"  # its period was received before
     OVERLAPPING = "overlapping"  # its period overlaps an earlier one
-    LATE = "late"
+    LATE = "late"  # its period ended too long ago
     AHEAD = "ahead"  # its period ends further in the future than the largest allowed clock skew
     BACKWARDS = "backwards"  # its period does not end after it begins
     UNKNOWN = "unknown"  # its reporter is not joined, or its server or route is unknown
 
 
 class Point(NamedTuple):
-    """The counts of a reporter in a period of its clock, in nanoseconds. Either server or route is set."""
+    """The attempts at a server, or the requests of a route, that a reporter counted in a period.
+
+    The period is in nanoseconds by the reporter's clock. Either ``server`` or ``route`` is set.
+    """
 
     reporter: str
     start_ns: int
@@ -40,7 +44,7 @@
     took_us: int  # total duration of the answered requests or attempts
     server: Key | None = None
     route: str | None = None
-    outcomes: str = ""  # which of the two counts this point has; each is a separate series
+    outcomes: str = ""  # the outcome that this point counts; each outcome is a separate series
 
 
 class ClockOffsetEstimate:
@@ -54,8 +58,8 @@
     __slots__ = ("previous_min", "current_min", "count")
 
     def __init__(self) -> None:
-        self.previous_min: int | None = None
-        self.current_min: int | None = None
+        self.previous_min: int | None = None  # smallest difference in the previous span
+        self.current_min: int | None = None  # smallest difference in the current span
         self.count = 0  # reports in the current span
 
     def add(self, difference_ns: int, max_skew_ns: int) -> int:
@@ -69,14 +73,14 @@
         return max(-max_skew_ns, min(max_skew_ns, smallest))
 
 
-Series = tuple[str, Key | None, str | None, str]
-Period = tuple[int, int]
+Series = tuple[str, Key | None, str | None, str]  # reporter, server, route, outcome
+Period = tuple[int, int]  # start and end in nanoseconds
 
 
 class FreshnessFilter:
     """Classifies points by their periods.
 
-    Memory is bounded: the least recently used series and reporters are removed first.
+    Memory is bounded: beyond ``max_series``, the least recently used series and reporters are removed.
     """
 
     def __init__(self, late_after_us: int, max_skew_us: int, max_series: int):
@@ -87,7 +91,11 @@
         self.clocks: OrderedDict[str, ClockOffsetEstimate] = OrderedDict()
 
     def clock_offset_ns(self, reporter: str, end_ns: int, wall_ns: int) -> int:
-        """Return the clock offset for a report's points; must be called once for each report."""
+        """Add a report to the clock offset estimate of its reporter; return the estimate.
+
+        Must be called once for each report. ``end_ns`` is the end of its newest period, ``wall_ns`` its
+        arrival.
+        """
         clock = self.clocks.setdefault(reporter, ClockOffsetEstimate())
         self.clocks.move_to_end(reporter)
         while len(self.clocks) > self.max_series:
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -1,7 +1,7 @@
 """The SASP frontend in the event loop's thread: handles requests and pushes weights.
 
-``rainpick.sasp.session`` has checked that a request is allowed on its stream; this module applies it.
-Requests of members change the endpoint list, requests of load balancers change the proxy sessions.
+``rainpick.sasp.session`` has checked that a request is allowed on its stream; this module applies the
+request. Requests of members change the endpoint list, requests of load balancers change the proxy sessions.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 from rainpick.sasp.wire import UINT8, UINT16
 
 MemberRequest = Registration | Deregistration | SetMemberState
-MAX_MESSAGE = 0x7FFFFFFF  # largest id, so that ids of pushes stay positive
-MIN_REQUEST_TIMES = MAX_REQUEST_TIMES - 1  # a proxy with fewer is not known to poll
+MAX_MESSAGE = 0x7FFFFFFF  # largest message id of a push; a larger one would be negative as a signed number
+MIN_REQUEST_TIMES = MAX_REQUEST_TIMES - 1  # fewer recorded request times do not show that a proxy polls
 
-PROXY_REQUESTS = Registration, Deregistration  # members send these as well
+PROXY_REQUESTS = Registration, Deregistration  # the requests of load balancers that members send as well
 
 
 class SaspFrontend:
@@ -94,7 +94,7 @@
     ) -> None:
         """Handle a load balancer's request.
 
-        If its Set LB State was rejected, it gets the same reply as one that has sent none.
+        A load balancer whose Set LB State was rejected gets the same reply as one that has sent none.
         """
         session = self.sessions.by_stream.get(stream.number)
         if session is None:
@@ -158,7 +158,7 @@
         return ReturnCode.SUCCESS
 
     def register_group(self, session: ProxySession, number: int, message: Registration) -> None:
-        """Register a proxy's group and the servers that it holds already."""
+        """Register a proxy's group and the servers that it holds already; join it if there is an engine."""
         code = self.registration_code(session, message)
         session.stream.write(encode_reply(MessageType.REGISTRATION, number, code))
         if code == ReturnCode.SUCCESS and self.context.engine is not None:
@@ -176,7 +176,7 @@
         return ReturnCode.SUCCESS
 
     def deregister_group(self, session: ProxySession, number: int, message: Deregistration) -> None:
-        """Deregister a proxy's group. A request that names servers has no effect on them."""
+        """Deregister a proxy's group. A request that names servers has no effect."""
         code = self.deregistration_code(session, message)
         session.stream.write(encode_reply(MessageType.DEREGISTRATION, number, code))
 
@@ -194,7 +194,10 @@
         return ReturnCode.SUCCESS
 
     def get_weights(self, session: ProxySession, number: int, message: GetWeights) -> None:
-        """Reply to a poll: with a delta if the proxy only polls and accepts deltas, else with all lines."""
+        """Reply to a poll with a delta or with all lines.
+
+        Only a proxy that is not pushed to, accepts deltas and has received a reply before is sent a delta.
+        """
         interval = self.settings.sasp.poll_interval_s
         engine = self.context.engine
         group = Group(session.uid, self.settings.fleet.group)
@@ -206,24 +209,24 @@
             session.stream.write(encode_message(GetWeightsReply(ReturnCode.SUCCESS, interval), number))
             return
         if not session.accepts_push and session.last_message:
-            # A further poll shows that it has read the last reply.
+            # By polling again, the proxy shows that it has read the last reply.
             engine.confirm_delivery(session.number, session.last_message)
-        answered, delta = engine.poll(session.number)
+        message_number, delta = engine.poll(session.number)
         only_changes = not session.accepts_push and session.flags & NO_CHANGE and session.last_message
         lines = delta.lines if only_changes else engine.tables.all_lines(session.number)
         fixed = UINT8.pack(ReturnCode.SUCCESS) + UINT16.pack(interval) + UINT16.pack(1)
         rows = encode_weight_group(session.encoded_group, len(lines), self.encoder.encode(lines))
         data = encode_frame(number, MessageType.GET_WEIGHTS_REPLY, fixed, rows)
         if session.accepts_push:
-            self.delivery.send(session, data, answered)
+            self.delivery.send(session, data, message_number)
         else:
-            session.last_message = answered
+            session.last_message = message_number
             session.stream.write(data)
 
     def push(self, session: ProxySession, message: OutgoingMessage, now: int) -> None:
         """Send a message of the engine to a proxy without blocking."""
         withdrawn, others = message.delta
-        if not session.flags & NO_CHANGE:  # it does not accept deltas
+        if not session.flags & NO_CHANGE:  # the proxy does not accept deltas
             snapshot = self.context.started_engine.tables.proxies[message.proxy].snapshot
             withdrawn = tuple([line for line in withdrawn if line.server not in snapshot.lines])
             others = snapshot.sorted_entries()
@@ -239,15 +242,17 @@
     # Proxies that do not read
 
     def confirm_reading(self, session: ProxySession) -> None:
-        """Record that a request shows that the previous reply, and all messages before it, were read."""
+        """Record a request; it shows that the proxy has read the last reply and all messages before it."""
         session.request_times_us.append(self.context.clock())
         if session.replied_since_push:
             session.unconfirmed_since_us = None
 
     def disconnect_silent(self, now: int) -> None:
-        """Disconnect proxies that used to poll and have stopped since they were last pushed to.
+        """Disconnect proxies that have stopped polling and have not proved to have read a push.
 
-        A proxy that never polls can't prove that it reads; ``sasp.write_stall`` covers those.
+        Both the push and the last request must be older than ``sasp.read_proof``, and the last request also
+        older than three poll intervals. A proxy that never polls can't prove that it reads; only
+        ``sasp.write_stall`` applies to it.
         """
         proof_us = self.settings.sasp.read_proof
         if not proof_us:
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -1,8 +1,8 @@
 """Open streams and proxy sessions, for all frontends.
 
-A stream is *unidentified* until its peer has sent a valid first message, and is closed if that takes too
-long. It belongs to a proxy from ``open_session`` on. The proxy is *joined* (known to the decision module)
-once its group is registered and the decision module has started.
+A stream is *unidentified* until its peer has sent a valid first message, and is closed if none is received
+within ``sasp.hello``. A stream belongs to a proxy from ``open_session`` on. The proxy is *joined* (known to
+``Director``) once its group is registered and ``Director`` has started.
 """
 
 from __future__ import annotations
@@ -28,23 +28,24 @@
 
 @dataclass(slots=True, eq=False)
 class ProxySession:
-    """A proxy and its stream: its identity, and how far it has proved to read. Times are microseconds."""
+    """A proxy, its stream, and the proof that it reads its messages. Times are microseconds."""
 
     uid: str
-    number: int
+    number: int  # identifies the proxy to ``Director``
     stream: Stream
     flags: int  # SASP load-balancer flags
     encoded_group: bytes  # its SASP group as encoded in weight messages
     over_mqtt: bool  # False: over SASP
-    registered: bool = False  # its group is registered
-    joined: bool = False  # it is known to the decision module
+    registered: bool = False  # whether its group is registered
+    joined: bool = False  # whether it is known to ``Director``
     initial_servers: frozenset[Key] = frozenset()  # servers that it held before it registered
     resumed_snapshot: Snapshot | None = None  # the version of a table that it has proved to hold
-    last_message: int = 0  # number of the newest message sent to it
+    last_message: int = 0  # id of the last push, or the engine's number of the last poll reply; 0: none
+    # Times of its newest requests.
     request_times_us: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_REQUEST_TIMES))
     unconfirmed_since_us: int | None = None  # time of the first push that it has not proved to have read
-    replied_since_push: bool = False  # a reply was sent after that push
-    blocked_since_us: int | None = None  # its socket accepts no data, or its MQTT send quota is used up
+    replied_since_push: bool = False  # whether a reply was sent after that push
+    blocked_since_us: int | None = None  # since when its socket accepts no data or its MQTT quota is used up
 
     @property
     def accepts_push(self) -> bool:
@@ -57,8 +58,8 @@
     """Counters of streams since the start."""
 
     rejected: int = 0  # rejected streams and requests
-    ended: int = 0  # ended streams of neither a proxy nor a member
-    disconnected: int = 0  # proxies that did not read
+    ended: int = 0  # ended streams that belonged to neither a proxy nor a member
+    disconnected: int = 0  # proxies disconnected because they did not read
     replaced: int = 0  # proxies that connected again before their old stream ended
 
 
@@ -73,10 +74,10 @@
         self.proxies = proxies
         self.aggregator = aggregator
         self.streams: dict[int, Stream] = {}  # by stream number
-        self.unidentified: dict[int, int] = {}  # deadlines for identification, by stream number
+        self.unidentified: dict[int, int] = {}  # close times of unidentified streams, by stream number
         self.by_stream: dict[int, ProxySession] = {}  # by stream number
-        self.by_uid: dict[str, ProxySession] = {}
-        self.by_number: dict[int, ProxySession] = {}
+        self.by_uid: dict[str, ProxySession] = {}  # by LB UID
+        self.by_number: dict[int, ProxySession] = {}  # by proxy number
         self.counts = StreamCounts()
         # Called with a stream that ends, before its socket is closed, so that the frontends and ``Delivery``
         # remove their state of it.
@@ -107,13 +108,16 @@
         self.unidentified.pop(stream.number, None)
 
     def close_unidentified(self, now: int) -> None:
-        """Close the streams whose peers have not identified themselves in time."""
+        """Close the streams whose peers have not identified themselves within ``sasp.hello``."""
         for number, deadline_us in list(self.unidentified.items()):
             if now >= deadline_us and number in self.streams:
                 self.close(self.streams[number], "not identified within sasp.hello")
 
     def close(self, stream: Stream, why: str) -> None:
-        """End a stream on behalf of either side; does nothing if it is closed already."""
+        """Close a stream after either side has ended it; does nothing if it is closed already.
+
+        Removes the proxy of the stream, or starts the grace period of its members.
+        """
         if self.streams.pop(stream.number, None) is None:
             return
         self.unidentified.pop(stream.number, None)
@@ -142,7 +146,7 @@
     def open_session(self, stream: Stream, uid: str, flags: int, over_mqtt: bool) -> ProxySession:
         """Assign a stream to a proxy.
 
-        Of two streams with the same UID the newer one is kept, because the older one may be dead.
+        An older stream with the same UID is closed, because it may be dead without this being detected.
         """
         older = self.by_uid.get(uid)
         if older is not None:
@@ -161,7 +165,7 @@
         self.leave(session)
 
     def leave(self, session: ProxySession) -> None:
-        """Remove a proxy, unless a newer session has replaced this one."""
+        """Remove the proxy of a session, unless a newer session has replaced this one."""
         if self.by_uid.get(session.uid) is not session:
             return
         del self.by_uid[session.uid], self.by_number[session.number]
@@ -177,7 +181,7 @@
         self.close(session.stream, why)
 
     def join(self, session: ProxySession) -> None:
-        """Join a proxy whose group is registered; for a joined one, add its further initial servers."""
+        """Add a registered proxy to the engine; if it is joined already, only add its new initial servers."""
         engine, now = self.context.started_engine, self.context.clock()
         if session.number in engine.sent:
             engine.add_initial_servers(session.number, session.initial_servers)
@@ -205,7 +209,7 @@
         )
 
     def join_registered(self) -> None:
-        """Join all registered proxies when the decision module starts."""
+        """Join all registered proxies when ``Director`` has started."""
         for session in list(self.by_stream.values()):
             if session.registered:
                 self.join(session)
--- a/rainpick/director/snapshots.py
+++ b/rainpick/director/snapshots.py
@@ -14,11 +14,11 @@
 from rainpick.sasp.constants import CONFIDENT, CONTACT, MAX_WEIGHT, QUIESCE, SELF_REGISTERED
 
 WeightAndFlags = tuple[int, int]
-Lines = dict[Key, WeightAndFlags]
+Lines = dict[Key, WeightAndFlags]  # by server
 
 OPEN = CONTACT | CONFIDENT | SELF_REGISTERED  # may be sent requests
 WITHDRAWN = CONTACT | SELF_REGISTERED | QUIESCE  # in the table, but withdrawn
-REMOVED = SELF_REGISTERED  # no longer in the table; the director does not vouch for its state
+REMOVED = SELF_REGISTERED  # no longer in the table; the director does not know its state
 
 MAX_DELTAS = 8  # cached deltas of a snapshot; proxies that lag behind hold only a few distinct snapshots
 
@@ -34,9 +34,10 @@
 class Scale:
     """Converts the weights of tables to 16 bits.
 
-    A single factor keeps ratios constant over time and between tables. The largest listed weight is ``most``
-    and a percentage is at most 1, so a weight w becomes the integer nearest to w * 65535 / most, but never 0
-    for a server with a positive weight. The relative error is at most most / (131070 * w).
+    A single factor keeps ratios constant over time and between tables. No weight in a table
+    exceeds ``max_weight``, since no listed weight does and a percentage is at most 1. A weight w becomes the
+    integer nearest to w * 65535 / max_weight, but a positive weight never becomes 0. The relative error is at
+    most max_weight / (131070 * w).
 
     >>> Scale(16.0)(4.0), Scale(16.0)(1e-9), Scale(16.0)(0.0)
     (16384, 1, 0)
@@ -44,8 +45,8 @@
     True
     """
 
-    def __init__(self, most: float):
-        self.factor: float = MAX_WEIGHT / most
+    def __init__(self, max_weight: float):
+        self.factor: float = MAX_WEIGHT / max_weight
 
     def __call__(self, weight: float) -> int:
         """Return a weight as 16 bits; 0 for a server that must not receive requests."""
@@ -86,10 +87,10 @@
 
 
 class Snapshot:
-    """The lines that a proxy holds: a version of a table, or the servers from before it was bound.
+    """The lines that a proxy holds: a version of a table, or the servers that it held before it was bound.
 
-    If it is not ``known``, the weights of its servers are unknown, and a delta from it contains all lines of
-    the other snapshot.
+    If ``known`` is False, the weights that the proxy holds are unknown, and a delta from this snapshot
+    contains all lines of the other one.
     """
 
     __slots__ = ("lines", "known", "table", "version", "deltas", "sorted_lines", "cached_digest")
@@ -99,7 +100,7 @@
         self.known = known
         self.table = table
         self.version = version
-        self.deltas: dict[Snapshot, Delta] = {}  # to later snapshots
+        self.deltas: dict[Snapshot, Delta] = {}  # cached deltas to later snapshots
         self.sorted_lines: tuple[Line, ...] | None = None
         self.cached_digest: str | None = None
 
@@ -118,7 +119,7 @@
         return self.sorted_lines
 
     def delta_to(self, other: Snapshot) -> Delta:
-        """Return the delta to another snapshot, from the cache if possible."""
+        """Return the delta from this snapshot to another one, from the cache if possible."""
         if other is self:
             return EMPTY_DELTA
         if not self.known:
@@ -135,7 +136,7 @@
         return delta
 
     def compute_delta(self, other: Snapshot) -> Delta:
-        """Compute the delta between two snapshots with known weights."""
+        """Compute the delta to another snapshot; the weights of both must be known."""
         withdrawn = [Line(server, 0, REMOVED) for server in self.lines.keys() - other.lines.keys()]
         changed = [
             Line(server, *weight_and_flags)
--- a/rainpick/director/status.py
+++ b/rainpick/director/status.py
@@ -1,4 +1,4 @@
-"""The document that ``/status`` serves, as plain values. It is built in the event loop's thread."""
+"""The document that ``/status`` serves as JSON. It is built in the event loop's thread."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class StatusReader:
-    """The parts of a director that its status is read from."""
+    """Builds the status document from the parts of a director."""
 
     context: Context
     inbox: Inbox
@@ -58,7 +58,7 @@
         return document
 
     def base_sections(self) -> dict[str, Any]:
-        """Return the sections that are available before the decision module has started, too."""
+        """Return the sections that are also available before ``Director`` has started."""
         counts, times, aggregator = self.sessions.counts, self.inbox.waiting_times, self.intake.aggregator
         up_us = self.context.clock() - self.started_us
         return {
@@ -119,7 +119,7 @@
 
 
 def weights_by_server(tables: Tables) -> dict[Key, dict[str, int]]:
-    """Return the 16-bit weights set by the decision module, by server and table; 0 while withdrawn."""
+    """Return the 16-bit weights set by ``Director``, by server and table number; 0 while withdrawn."""
     weights: dict[Key, dict[str, int]] = {}
     for number, lines in tables.lines.items():
         for server, weight in lines.items():
@@ -140,7 +140,7 @@
 
 
 def channel_section(engine: Engine, limit: int) -> dict[str, int]:
-    """Return the state of the channel; ``limit`` is the decision module's limit on pending lines."""
+    """Return the state of the channel; ``limit`` is ``Director``'s limit on pending lines."""
     channel = engine.channel
     return {
         "lines": channel.lines,
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -42,16 +42,16 @@
 
 
 class Timer(NamedTuple):
-    """A timer set by the decision module; timers are ordered by due time."""
+    """A timer set by ``Director``; timers are ordered by due time."""
 
     due_us: int
     token: int
 
 
 class Stepper:
-    """Passes ``pending_events`` to the decision module in one step, and manages its timers.
+    """Passes ``pending_events`` to ``Director`` in one step, and manages the timers that it sets.
 
-    ``module`` creates the decision module; tests replace it. ``settings`` are its settings as a flat map.
+    ``module`` creates the ``Director``; tests replace it. ``settings`` are its settings as a flat map.
     """
 
     def __init__(self, seed: int, settings: dict[str, Any], module: Callable[[], Director] = Director):
@@ -59,8 +59,8 @@
         self.pending_events: list[Event] = [model.Started(seed, settings)]
         self.timers: list[Timer] = []  # a heap
         self.step_count = 0
-        self.events_handled = 0  # events passed to the decision module
-        self.commands_issued = 0  # commands that it returned, ``SetTimer`` included
+        self.events_handled = 0  # events passed to ``Director``
+        self.commands_issued = 0  # commands that ``Director`` returned, ``SetTimer`` included
         # Called after each step with its time, its events and its commands; the recorder uses it.
         self.on_step: Callable[[int, list[Event], list[Command]], None] | None = None
 
@@ -69,14 +69,14 @@
         return self.timers[0].due_us if self.timers else None
 
     def fire_timers(self, now: int) -> None:
-        """Turn due timers into pending events."""
+        """Remove the due timers and add their ``TimerFired`` events to the pending events."""
         while self.timers and self.timers[0].due_us <= now:
             self.pending_events.append(model.TimerFired(heappop(self.timers).token))
 
     def step(self, now: int, extra_events: Iterable[Event] = ()) -> list[Command]:
-        """Pass the pending events, then ``extra_events``, to the decision module.
+        """Pass the pending events, then ``extra_events``, to ``Director``.
 
-        Returns its commands without ``SetTimer``, which is applied here.
+        Returns the commands of ``Director`` without ``SetTimer``, which is applied here.
         """
         events = [*self.pending_events, *extra_events]
         self.pending_events = []
--- a/rainpick/director/table_actions.py
+++ b/rainpick/director/table_actions.py
@@ -38,7 +38,7 @@
 def pin_row(pin: PinnedVersion, idle: bool) -> dict[str, Any]:
     """Return the row of a pin.
 
-    ``idle``: no server of the pinned version is available, so the ordinary table is published.
+    ``idle``: no server of the pinned version is available, so the unpinned table is published.
     """
     return {"version": pin.version, "who": pin.operator, "why": pin.reason, "idle": idle}
 
@@ -51,7 +51,10 @@
         self.follower = follower
 
     def handle(self, request: TableActionRequest) -> None:
-        """Reply to a request; errors of the operator are reported with status 400 or 409."""
+        """Execute a request and reply to it.
+
+        The status is 400 for invalid parameters, and 409 if the action is not possible now.
+        """
         try:
             document = self.execute(request.action, request.parameters)
             result = TableActionResult(200, document)
@@ -62,9 +65,10 @@
         request.reply(result)
 
     def execute(self, action: TableAction, parameters: dict[str, Any]) -> dict[str, Any]:
-        """Return the JSON document of the reply.
+        """Execute an action on a table; return the JSON document of the reply.
 
-        ``PinError`` if the action is not possible now, other exceptions for invalid parameters.
+        An action that changes the table is logged. ``PinError`` if the action is not possible now, other
+        exceptions for invalid parameters.
         """
         engine, pins = self.context.engine, self.follower.pins
         if engine is None or pins is None:
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -1,7 +1,7 @@
-"""The tables set by the decision module, and the lines to send to each proxy to bring it up to date. No I/O.
+"""The tables set by ``Director``, and the lines to send to each proxy to bring it up to date. No I/O.
 
-A bound proxy follows its table. An unbound proxy keeps the servers that it held before it joined; it is only
-sent withdrawals and readmissions of them.
+A bound proxy is sent the changes of its table. An unbound proxy keeps the servers that it held before it
+joined, and is sent only withdrawals and readmissions of these servers.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ProxyCommands(NamedTuple):
-    """The commands that a proxy over MQTT is sent in addition to lines."""
+    """The binding and the admissions that a proxy over MQTT is sent in addition to lines."""
 
     table: int | None
     admissions: tuple[RouteAdmission, ...] = ()
@@ -34,9 +34,9 @@
     def __init__(self, number: int, initial_servers: Iterable[Key], weight: int, takes_commands: bool):
         self.number = number
         self.table: int | None = None  # None: unbound
-        # The commands that it was sent last; None for a proxy that does not use commands.
+        # The commands last sent to the proxy; None if it takes no commands (SASP).
         self.commands = ProxyCommands(None) if takes_commands else None
-        # Servers that it held before it joined, as reported by it; their weights are unknown.
+        # The servers that the proxy reports to have held before it joined; their weights are unknown.
         self.initial_servers = frozenset(initial_servers)
         self.snapshot = Snapshot(dict.fromkeys(self.initial_servers, (weight, 0)), known=False)
 
@@ -47,19 +47,20 @@
     def __init__(self, scale: Scale, listed_weight: Callable[[Key], float]):
         """Create an empty state.
 
-        ``listed_weight`` returns the listed weight of a server, with which unbound proxies readmit it.
+        ``listed_weight`` returns the weight of a server in the endpoint list. Unbound proxies are sent this
+        weight when the server is readmitted.
         """
         self.scale = scale
         self.listed_weight = listed_weight
-        self.lines: dict[int, dict[Key, float]] = {}  # weights set by the decision module, by table
+        self.lines: dict[int, dict[Key, float]] = {}  # weights set by ``Director``, by table
         self.withdrawn: set[Key] = set()
         self.proxies: dict[int, ProxyView] = {}
-        self.bound: dict[int, set[int]] = {}  # by table
-        self.unbound: set[int] = set()
-        self.snapshots: dict[int, Snapshot] = {}  # newest versions by table; dropped when a table changes
-        self.history: dict[int, deque[Snapshot]] = {}
+        self.bound: dict[int, set[int]] = {}  # numbers of the bound proxies, by table
+        self.unbound: set[int] = set()  # numbers of the unbound proxies
+        self.snapshots: dict[int, Snapshot] = {}  # newest version by table; removed when the table changes
+        self.history: dict[int, deque[Snapshot]] = {}  # retained versions by table, oldest first
         self.admission = AdmissionRates()
-        # Replaces the lines of a table before they are published; used by pins.
+        # Returns the lines to publish for a table with these lines; replaced by ``TablePins.overlay``.
         self.overlay: Callable[[int, Lines], Lines] = lambda _, lines: lines
 
     # Proxies
@@ -97,14 +98,14 @@
     def invalidate_snapshot(self, number: int) -> int:
         """Mark the weights that a proxy holds as unknown, so that its whole table is sent.
 
-        Returns the number of lines that this costs.
+        Returns the number of lines that the proxy is sent for this.
         """
         proxy = self.proxies[number]
         proxy.snapshot = Snapshot(proxy.snapshot.lines, known=False)
         return 1 + len(self.target(proxy).lines)
 
     def extend(self, number: int, servers: Iterable[Key]) -> int:
-        """Add servers that a proxy held before it joined; return the number of lines that it will be sent."""
+        """Add servers that a proxy held before it joined to its lines; return the number of lines added."""
         proxy = self.proxies[number]
         held = proxy.snapshot.lines
         more: Lines = {server: (self.scale(1.0), 0) for server in servers if server not in held}
@@ -112,10 +113,10 @@
         proxy.snapshot = Snapshot(held | more, proxy.snapshot.known)
         return len(more)
 
-    # Commands of the decision module. Each method returns the number of changed lines by affected proxy.
+    # Commands of ``Director``. Each method returns the number of changed lines by affected proxy.
 
     def apply(self, command: TableCommand | object) -> dict[int, int]:
-        """Apply a command about tables, servers or bindings; others affect no proxy."""
+        """Apply a command about tables, servers or bindings; any other command has no effect here."""
         if isinstance(command, model.SetWeight):
             return self.set_weight(command)
         if isinstance(command, model.SetWithdrawn):
@@ -224,7 +225,10 @@
 
     @staticmethod
     def unbound_delta(held: Mapping[Key, tuple[int, int]], target: Lines) -> Delta:
-        """Return the withdrawn and readmitted servers only; an unbound proxy's other weights are unknown."""
+        """Return only the lines of withdrawn and readmitted servers.
+
+        The other weights of an unbound proxy are unknown.
+        """
         changed = [
             Line(server, *weight_and_flags)
             for server, weight_and_flags in sorted(target.items())
@@ -234,5 +238,5 @@
         return Delta(withdrawn, tuple([line for line in changed if line.weight]))
 
     def all_lines(self, number: int) -> tuple[Line, ...]:
-        """Return all lines of a proxy, for one that does not accept deltas."""
+        """Return all lines that a proxy holds, to be sent to a proxy that does not accept deltas."""
         return self.proxies[number].snapshot.sorted_entries()
--- a/rainpick/director/weight_entries.py
+++ b/rainpick/director/weight_entries.py
@@ -11,12 +11,12 @@
 from rainpick.sasp.messages import Member
 from rainpick.sasp.wire import COMPONENT_HEADER, WEIGHT_ENTRY_TAIL
 
-MAX_ENCODED = 256  # line tuples with cached bytes
+MAX_ENCODED = 256  # tuples of lines with cached bytes
 MAX_SERVERS = 65_536  # servers with cached entry prefixes
 
 
 class WeightEntryEncoder:
-    """Encodes lines.
+    """Encodes lines as SASP weight entries.
 
     Caches the bytes by the identity of the tuple of lines, because many proxies are sent the same tuple.
     """
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -208,7 +208,7 @@
     rows = json.loads((STORED / "list" / "entries.json").read_text())
     servers = tuple(Endpoint(*values, tuple(address), state) for *values, address, state in rows)
     cache = ListCache(str(tmp_path / "cache.json"), every_setting)
-    cache.keep(servers, NOW_US, WALL_US)
+    cache.enqueue(servers, NOW_US, WALL_US)
     cache.close()
     cache.thread.join()
     assert (tmp_path / "cache.json").read_bytes() == (STORED / "list" / "cache.json").read_bytes()
