--- a/rainpick/director/list_files.py
+++ b/rainpick/director/list_files.py
@@ -1,4 +1,4 @@
-"""The endpoint list in files: the operators' list file, and the cached list for a director's restart."""
+"""The endpoint list in files: the operators' list file, and the cache that a restarted director reads."""
 
 from __future__ import annotations
 
@@ -186,7 +186,7 @@
                 os.unlink(temporary)
 
     def row(self, server: model.Endpoint, offset_us: int) -> list[Any]:
-        """Convert a server to a row: names replace indexes, the start time is by the wall clock."""
+        """Convert a server to a row: names replace indexes, the start is by the wall clock (0: long ago)."""
         host, port = cast(Key, server.address)
         return [
             host,
--- a/rainpick/director/member_labels.py
+++ b/rainpick/director/member_labels.py
@@ -88,7 +88,7 @@
     def combine(self, member: Member, values: dict[str, str]) -> Description:
         """Combine the attributes of a member.
 
-        Each comes from the first rule that matches the address, else from the label, else it is a default.
+        An attribute that the first matching rule does not set comes from the label, else it is a default.
         """
         host = member.host()
         rule = next((rule for match, rule in self.rules if match.matches(host, member.port)), None)
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine under a virtual clock: proxies hold the commanded lines, and the channel keeps its limits."""
+"""The engine under a virtual clock: proxies receive their lines, and the channel keeps its limits."""
 
 import random
 
@@ -60,18 +60,18 @@
     drive.confirms_delivery[1] = False
     drive.join(1)
     drive.run(1)
-    module = drive.engine.stepper.director
-    assert module.publisher.queue.waiting > 0
+    director = drive.engine.stepper.director
+    assert director.publisher.queue.waiting > 0
     drive.update_endpoints(server(0, model.EndpointState.DRAINING))
     drive.run(1)
-    assert module.publisher.queue.waiting > 8
+    assert director.publisher.queue.waiting > 8
     drive.engine.confirm_delivery(1, drive.messages[-1][1].number)
     drive.run(0.1)
-    assert module.publisher.queue.waiting == 0
+    assert director.publisher.queue.waiting == 0
 
 
 def test_channel_limits_messages_to_a_proxy_independently_of_the_commands():
-    """Guards against relying on the decision module to keep the limit on messages to a proxy."""
+    """Guards against a limit on messages to a proxy that only ``Director`` keeps."""
 
     class ChangingDirector(Director):
         """Changes a weight in every step, so that only the channel can keep the limit."""
@@ -200,19 +200,19 @@
     Table 1 is given many lines. Then a server of table 0 drains, whose proxies have no pending messages.
     """
     drive = Drive("channel: {lines_per_s: 100, head_lines: 6, pending_lines: 5000}", module=ScriptedDirector)
-    module = drive.engine.stepper.director
+    director = drive.engine.stepper.director
     for number in range(8):
         drive.join(number)
     addresses = [("127.0.0.1", 9000 + port) for port in range(40)]
-    module.commands = [model.SetWeight(0, address, 1.0) for address in addresses[:2]]
-    module.commands += [model.BindProxy(number // 4, 0, number) for number in range(8)]
+    director.commands = [model.SetWeight(0, address, 1.0) for address in addresses[:2]]
+    director.commands += [model.BindProxy(number // 4, 0, number) for number in range(8)]
     drive.run(5)
     start = len(drive.messages)
     drive.update_endpoints(server(5))
-    module.commands = [model.SetWeight(1, address, 1.0) for address in addresses[2:]]
+    director.commands = [model.SetWeight(1, address, 1.0) for address in addresses[2:]]
     drive.run_engine()
     drive.update_endpoints(server(0, model.EndpointState.DRAINING))
-    module.commands = [model.SetWithdrawn(addresses[0], True)]
+    director.commands = [model.SetWithdrawn(addresses[0], True)]
     drive.run(10)
     proxies = [message.proxy for _, message in drive.messages[start:]]
     assert proxies[0] == 4, "its message was sent before the drain"
@@ -222,23 +222,23 @@
 def test_nonce_without_new_lines_is_acknowledged_with_the_earlier_message():
     """Guards against acknowledging a nonce before the earlier message with the same lines is delivered."""
     drive = Drive(module=ScriptedDirector)
-    module, address = drive.engine.stepper.director, ("127.0.0.1", 9000)
+    director, address = drive.engine.stepper.director, ("127.0.0.1", 9000)
     drive.join(1)
     drive.confirms_delivery[1] = False
-    module.commands = [
+    director.commands = [
         model.SetWeight(0, address, 1.0),
         model.BindProxy(0, 0, 1),
         model.RequestAcknowledgement(1, False),
     ]
     drive.run(0.1)
-    module.commands = [
+    director.commands = [
         model.SetWeight(0, address, 1.0 + 1e-9),
         model.RequestAcknowledgement(2, False),
     ]  # the same weight in 16 bits
     drive.update_endpoints(server(0))
     drive.run(0.1)
-    acknowledged = [event.nonce for event in module.received_events if type(event) is model.Acknowledged]
+    acknowledged = [event.nonce for event in director.received_events if type(event) is model.Acknowledged]
     assert acknowledged == [] and len(drive.messages) == 1
     drive.engine.confirm_delivery(1, 1)
     drive.run(0.1)
-    assert [event.nonce for event in module.received_events if type(event) is model.Acknowledged] == [1, 2]
+    assert [event.nonce for event in director.received_events if type(event) is model.Acknowledged] == [1, 2]
--- a/tests/director/test_membership.py
+++ b/tests/director/test_membership.py
@@ -115,7 +115,7 @@
 
 
 def test_different_boot_is_a_restart_even_within_the_grace_period(membership):
-    """Guards against a restarted server that stays draining or keeps the start time of its predecessor."""
+    """Guards against a restarted server that stays draining or keeps the earlier start time."""
     membership.register(1, FLEET, (member(9001, "boot=1;age=100"),), 200 * S)
     assert membership.next_update().endpoints[0].started_us == 100 * S
     membership.stream_ended(1, 201 * S)
@@ -151,7 +151,7 @@
 
 
 def test_list_file_and_registrations_are_merged_and_either_can_drain(membership):
-    """Guards against one source that hides a server or a drain of the other."""
+    """Guards against one source that hides a server or a drain of the other source."""
     membership.apply_list_file([file_entry(9001), file_entry(9500, weight=2.0)])
     membership.register(1, FLEET, (member(9001), member(9002)), S)
     assert changes(membership) == dict.fromkeys((9001, 9002, 9500), model.EndpointState.READY)
@@ -180,11 +180,11 @@
     }
 
 
-def test_decision_module_starts_once_registrations_have_settled():
-    """Guards against starting the decision module with an empty or partial list.
+def test_director_starts_once_registrations_have_settled():
+    """Guards against starting ``Director`` with an empty or partial list.
 
-    Started with an empty list, it would use a single table for all proxies until the director ends. It starts
-    once no new member has registered for the settle time, or after ten times that.
+    ``Director`` would use a single table for all proxies until it ends, if it started with an empty list. It
+    starts once no new member has registered for the settle time, or after ten settle times.
     """
     membership = Membership(settings('director: {settle: "1s"}'), 0)
     assert membership.start_due_us() is None
--- a/tests/director/test_reports.py
+++ b/tests/director/test_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: fresh points count once; late, duplicate, overlapping and impossible points do not count."""
+"""Load reports: only fresh points count, and each of them counts once."""
 
 import pytest
 
@@ -144,7 +144,7 @@
 
 
 def test_requests_of_a_proxy_that_left_are_not_forwarded(aggregator):
-    """Guards against route reports for a proxy that the decision module no longer knows."""
+    """Guards against route reports for a proxy that ``Director`` no longer knows."""
     add(aggregator, 2 * S, point(2 * S, route="lookup"), point(2 * S, "edge-2", route="lookup"))
     aggregator.forget(1)
     assert [report.proxy for report in collected(aggregator, 0, 1_000_000)] == [2]
@@ -176,6 +176,6 @@
 
 
 def test_zone_and_rate_of_a_proxy_come_from_the_settings():
-    """Guards against ignoring a matching entry of ``proxies.known``, or its defaults."""
+    """Guards against ignoring a matching entry of ``proxies.known``, or the defaults."""
     proxies = Proxies(settings('proxies: {known: [{match: "edge-b*", zone: "b", rate: 9}], rate: 2}'))
     assert proxies.attributes("edge-b1") == (1, 9.0) and proxies.attributes("edge-a1") == (0, 2.0)
--- a/tests/director/test_tables.py
+++ b/tests/director/test_tables.py
@@ -49,8 +49,8 @@
 
 def test_withdrawal_affects_only_proxies_that_hold_the_server(tables):
     """Guards against a withdrawal that misses an unbound holder, or is sent to other proxies."""
-    for number, standing in ((1, [A]), (2, [B]), (3, [])):
-        tables.join(number, standing)
+    for number, initial_servers in ((1, [A]), (2, [B]), (3, [])):
+        tables.join(number, initial_servers)
     tables.apply(model.BindProxy(0, 0, 3))
     assert tables.apply(model.SetWithdrawn(A, True)) == {3: 1, 1: 1}
     assert [(line.server, line.weight, line.flags) for line in tables.advance(1).lines] == [(A, 0, WITHDRAWN)]
