--- a/rainpick/director/channel.py
+++ b/rainpick/director/channel.py
@@ -151,7 +151,7 @@
             self.sent_us[proxy].append(now)
 
     def due_us(self, now: int) -> int | None:
-        """Return the earliest time at which ``dequeue`` may return a message; None if it can't."""
+        """Return the earliest time at which ``dequeue`` may return a message; None if none is unblocked."""
         proxies = [proxy for proxy in self.waiting if proxy not in self.blocked]
         if not proxies:
             return None
--- a/rainpick/director/mqtt_connection.py
+++ b/rainpick/director/mqtt_connection.py
@@ -51,6 +51,6 @@
         self.unacknowledged: dict[int, int] = {}  # the engine's message numbers by packet identifier
         # Time of the last acknowledgement, or of the first message without one; None if none is outstanding.
         self.unacknowledged_since_us: int | None = None
-        self.feeds: dict[int, ObserverFeed] = {}  # of an observer, by table
+        self.feeds: dict[int, ObserverFeed] = {}  # the tables sent to an observer, by table number
         self.stalled_since_us: int | None = None  # since when an observer's socket accepts no data
         self.rate_limit = PublishRateLimit(publishes_per_s, now)
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -50,7 +50,7 @@
 class ReceiveCounts:
     """Counters of events on MQTT connections since the start."""
 
-    resynchronisations: int = 0  # messages of proxies that they could not apply an update
+    resynchronisations: int = 0  # times that a proxy reported that it could not apply an update
     rejected: int = 0  # malformed packets and payloads
     rate_limited: int = 0  # clients disconnected for exceeding their message rate
 
@@ -245,7 +245,10 @@
     def handle_acknowledgement(
         self, connection: MqttConnection, acknowledgement: MessageAcknowledged
     ) -> None:
-        """Confirm the delivery of the message that a client has acknowledged."""
+        """Confirm the delivery of the message that a client has acknowledged.
+
+        If the send quota was used up, the messages that were held back are released.
+        """
         message = connection.unacknowledged.pop(acknowledgement.packet_id, None)
         session = self.sessions.by_stream.get(connection.stream.number)
         connection.unacknowledged_since_us = self.context.clock() if connection.unacknowledged else None
--- a/rainpick/director/mqtt_sender.py
+++ b/rainpick/director/mqtt_sender.py
@@ -16,7 +16,7 @@
 from rainpick.publish.payloads import ProxyAssignment, RouteAdmission, TableDelta, TableSnapshot
 from rainpick.publish.table_updates import TableUpdateEncoder
 
-PACKET_OVERHEAD = 16  # most bytes of a PUBLISH in addition to topic and payload
+PACKET_OVERHEAD = 16  # largest number of bytes of a PUBLISH in addition to topic and payload
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
         delivery.has_send_quota = self.has_send_quota
 
     def push(self, session: ProxySession, message: OutgoingMessage) -> None:
-        """Send a proxy one message: an update of its table, and its commands if they have changed."""
+        """Send a message of the engine; disconnect a proxy that does not accept packets of its size."""
         connection = self.connections[session.stream.number]
         topic, data = self.push_payload(session, message)
         if len(data) + len(topic) + PACKET_OVERHEAD > connection.protocol.max_packet_length:
--- a/rainpick/director/reports.py
+++ b/rainpick/director/reports.py
@@ -22,8 +22,8 @@
     """The classification of a point; the values appear in logs and in the status document."""
 
     FRESH = "fresh"
-    DOUBLED = "doubled"  # its period was received before
-    OVERLAPPING = "overlapping"  # its period overlaps an earlier one
+    DOUBLED = "doubled"  # a point of its series had the same period
+    OVERLAPPING = "overlapping"  # its period overlaps that of an earlier point of its series
     LATE = "late"  # its period ended too long ago
     AHEAD = "ahead"  # its period ends further in the future than the largest allowed clock skew
     BACKWARDS = "backwards"  # its period does not end after it begins
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -23,7 +23,7 @@
 from rainpick.sasp.messages import Group
 from rainpick.sasp.session import DirectorSession
 
-MAX_REQUEST_TIMES = 4  # request times kept for each session, to derive its poll interval
+MAX_REQUEST_TIMES = 4  # request times kept for each session, to derive the poll interval
 
 
 @dataclass(slots=True, eq=False)
@@ -34,22 +34,24 @@
     number: int  # identifies the proxy to ``Director``
     stream: Stream
     flags: int  # SASP load-balancer flags
-    encoded_group: bytes  # its SASP group as encoded in weight messages
+    encoded_group: bytes  # the proxy's SASP group as encoded in weight messages
     over_mqtt: bool  # False: over SASP
-    registered: bool = False  # whether its group is registered
-    joined: bool = False  # whether it is known to ``Director``
-    initial_servers: frozenset[Key] = frozenset()  # servers that it held before it registered
-    resumed_snapshot: Snapshot | None = None  # the version of a table that it has proved to hold
+    registered: bool = False  # whether the proxy's group is registered
+    joined: bool = False  # whether the proxy is known to ``Director``
+    initial_servers: frozenset[Key] = frozenset()  # servers that the proxy held before it registered
+    resumed_snapshot: Snapshot | None = None  # the version of a table that the proxy has proved to hold
     last_message: int = 0  # id of the last push, or the engine's number of the last poll reply; 0: none
-    # Times of its newest requests.
+    # Times of the proxy's newest requests.
     request_times_us: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_REQUEST_TIMES))
-    unconfirmed_since_us: int | None = None  # time of the first push that it has not proved to have read
+    # Time of the first push that the proxy has not proved to have read.
+    unconfirmed_since_us: int | None = None
     replied_since_push: bool = False  # whether a reply was sent after that push
-    blocked_since_us: int | None = None  # since when its socket accepts no data or its MQTT quota is used up
+    # Since when the socket accepts no data or the MQTT send quota is used up.
+    blocked_since_us: int | None = None
 
     @property
     def accepts_push(self) -> bool:
-        """Whether weights are pushed to it; otherwise it polls."""
+        """Whether weights are pushed to the proxy; otherwise it polls."""
         return bool(self.flags & PUSH)
 
 
@@ -57,7 +59,7 @@
 class StreamCounts:
     """Counters of streams since the start."""
 
-    rejected: int = 0  # rejected streams and requests
+    rejected: int = 0  # rejected streams and SASP requests
     ended: int = 0  # ended streams that belonged to neither a proxy nor a member
     disconnected: int = 0  # proxies disconnected because they did not read
     replaced: int = 0  # proxies that connected again before their old stream ended
@@ -80,7 +82,7 @@
         self.by_number: dict[int, ProxySession] = {}  # by proxy number
         self.counts = StreamCounts()
         # Called with a stream that ends, before its socket is closed, so that the frontends and ``Delivery``
-        # remove their state of it.
+        # remove their state of the stream.
         self.closing_listeners: list[Callable[[Stream], None]] = []
         # Called with the older stream of a proxy when a newer one replaces it.
         self.replacing_listeners: list[Callable[[Stream], None]] = []
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -60,7 +60,7 @@
         self.snapshots: dict[int, Snapshot] = {}  # newest version by table; removed when the table changes
         self.history: dict[int, deque[Snapshot]] = {}  # retained versions by table, oldest first
         self.admission = AdmissionRates()
-        # Returns the lines to publish for a table with these lines; replaced by ``TablePins.overlay``.
+        # Maps a table's number and lines to the lines to publish; replaced by ``TablePins.overlay``.
         self.overlay: Callable[[int, Lines], Lines] = lambda _, lines: lines
 
     # Proxies
@@ -72,7 +72,7 @@
         takes_commands: bool = False,
         resumed: Snapshot | None = None,
     ) -> None:
-        """Add an unbound proxy. ``resumed``: the version of a table that it has proved to hold."""
+        """Add an unbound proxy. ``resumed``: the version of a table that the proxy has proved to hold."""
         self.leave(number)
         servers = resumed.lines if resumed is not None else initial_servers
         proxy = self.proxies[number] = ProxyView(number, servers, self.scale(1.0), takes_commands)
@@ -105,7 +105,7 @@
         return 1 + len(self.target(proxy).lines)
 
     def extend(self, number: int, servers: Iterable[Key]) -> int:
-        """Add servers that a proxy held before it joined to its lines; return the number of lines added."""
+        """Add lines for servers that a proxy held before it joined; return the number of lines added."""
         proxy = self.proxies[number]
         held = proxy.snapshot.lines
         more: Lines = {server: (self.scale(1.0), 0) for server in servers if server not in held}
@@ -174,7 +174,7 @@
     # Versions
 
     def current(self, table: int) -> Snapshot:
-        """Return the newest version of a table; a new version is created when its lines have changed."""
+        """Return the newest version of a table; create a new version if the lines to publish have changed."""
         snapshot = self.snapshots.get(table)
         if snapshot is not None:
             return snapshot
@@ -213,7 +213,7 @@
         return proxy.snapshot if lines == held else Snapshot(lines, known=False)
 
     def advance(self, number: int) -> Delta:
-        """Return the lines that bring a proxy up to date, and record that it holds them from now on."""
+        """Return the lines that bring a proxy up to date, and record that the proxy holds them."""
         proxy = self.proxies[number]
         target = self.target(proxy)
         if proxy.table is None:
--- a/tests/director/engine_driver.py
+++ b/tests/director/engine_driver.py
@@ -22,7 +22,7 @@
 class Drive:
     """One engine and its proxies.
 
-    ``confirms_delivery``, by proxy: False if the delivery of its messages is not confirmed to the engine.
+    ``confirms_delivery`` has, by proxy number, whether the delivery of its messages is confirmed.
     """
 
     def __init__(self, settings_text="", servers=4, **options):
