--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -15,7 +15,7 @@
 import json5
 import pytest
 
-from rainpick.director.listing import ListCache, read_cache, read_list
+from rainpick.director.list_files import ListCache, read_cache, read_list
 from rainpick.model import Endpoint
 from rainpick.operator_settings import translate_lines, translate_nested
 from rainpick.record.incarnations import MissingSteps, read_incarnations
@@ -221,7 +221,7 @@
     rows = json.loads((STORED / "list" / "entries.json").read_text())
     servers = tuple(Endpoint(*values, tuple(address), state) for *values, address, state in rows)
     cache = ListCache(str(tmp_path / "cache.json"), settings_with_every_key)
-    cache.keep(servers, NOW_US, WALL_US)
+    cache.enqueue(servers, NOW_US, WALL_US)
     cache.close()
     cache.thread.join()
     assert (tmp_path / "cache.json").read_bytes() == (STORED / "list" / "cache.json").read_bytes()
