--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -103,7 +103,7 @@
             self.recorder = self.start_recorder(self.settings.record.folder, now)
             engine.stepper.on_step = self.recorder.step
         self.pins = TablePins(self.is_listed, engine.tables.withdrawn.__contains__, self.is_warm)
-        engine.tables.overlay = self.pins.overlay
+        engine.tables.lines_to_publish = self.pins.lines_to_publish
         update = self.membership.initial_update()
         engine.update_endpoints(update)
         self.context.log.info(
--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -60,7 +60,7 @@
         self.history: dict[int, deque[Snapshot]] = {}
         self.admission = AdmissionRates()
         # Replaces the lines of a table before they are published; used by pins.
-        self.overlay: Callable[[int, Lines], Lines] = lambda _, lines: lines
+        self.lines_to_publish: Callable[[int, Lines], Lines] = lambda _, lines: lines
 
     # Proxies
 
@@ -181,7 +181,7 @@
             server: (0, WITHDRAWN) if server in self.withdrawn else (self.scale(weight), OPEN)
             for server, weight in self.lines.get(table, {}).items()
         }
-        lines = self.overlay(table, lines)
+        lines = self.lines_to_publish(table, lines)
         history = self.history.setdefault(table, deque(maxlen=HISTORY))
         if not history or history[-1].lines != lines:
             version = history[-1].version + 1 if history else 1
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -73,7 +73,7 @@
         self.idle_tables.discard(table)
         return self.by_table.pop(table)
 
-    def overlay(self, table: int, unpinned_lines: Lines) -> Lines:
+    def lines_to_publish(self, table: int, unpinned_lines: Lines) -> Lines:
         """Return the entries to publish for a table; ``unpinned_lines`` are those of the decision modules."""
         pin = self.by_table.get(table)
         if pin is None:
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -83,11 +83,11 @@
         if format_address(address) == address_text:
             return server_state
     raise InspectError(
-        f"no server {address_text!r} is held; there are " + abbreviated(map(format_address, servers))
+        f"no server {address_text!r} is held; there are " + abbreviate(map(format_address, servers))
     )
 
 
-def abbreviated(names: Iterable[Any]) -> str:
+def abbreviate(names: Iterable[Any]) -> str:
     """Join names for an error message, with at most eight of them."""
     names = [str(name) for name in names]
     return ", ".join(names[:8]) + (f" and {len(names) - 8} more" if len(names) > 8 else "") or "none"
@@ -217,7 +217,7 @@
     fleet = director.fleet
     state = fleet.proxies.get(number)
     if state is None:
-        raise InspectError(f"proxy {number} has not joined; there are {abbreviated(sorted(fleet.proxies))}")
+        raise InspectError(f"proxy {number} has not joined; there are {abbreviate(sorted(fleet.proxies))}")
     available = director.publisher.available_messages(copy.copy(state))
     return {
         "proxy": number,
--- a/rainpick/record/recorder.py
+++ b/rainpick/record/recorder.py
@@ -85,7 +85,7 @@
 
     def flush(self) -> None:
         """Flush the store. If the disk is full, the buffered records are lost, counted and logged."""
-        unwritten = len(self.store.waiting)
+        unwritten = len(self.store.unwritten)
         try:
             self.store.flush()
         except FullError as error:
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -36,7 +36,7 @@
         self.max_segment_bytes = max_segment_bytes
         self.max_total_bytes, self.max_age_us = max_total_bytes, max_age_us
         self.sync = sync
-        self.waiting: list[Row] = []
+        self.unwritten: list[Row] = []
         self.written = 0  # records
         self.lost = 0  # records
         self.torn: Torn | None = None
@@ -100,16 +100,16 @@
 
     def append(self, time_us: int, kind: int, payload: bytes) -> None:
         """Buffer a record, which the next ``flush`` writes."""
-        self.waiting.append((time_us, kind, payload))
+        self.unwritten.append((time_us, kind, payload))
 
     def flush(self) -> None:
         """Write the buffered records as one block.
 
         On a write error they are dropped and counted in ``lost``, and ``FullError`` is raised.
         """
-        if not self.waiting:
+        if not self.unwritten:
             return
-        rows, self.waiting = self.waiting, []
+        rows, self.unwritten = self.unwritten, []
         data = encode_block(rows)
         start = self.file.tell()
         try:
--- a/tests/publish/test_pins.py
+++ b/tests/publish/test_pins.py
@@ -24,7 +24,7 @@
             self.tables.withdrawn.__contains__,
             lambda server: server not in self.not_warmed_up,
         )
-        self.tables.overlay = self.pins.overlay
+        self.tables.lines_to_publish = self.pins.lines_to_publish
         for number in range(4):
             self.tables.carry_out(model.SetWeight(0, server_key(number), 1.0))
         self.first_version = self.tables.current(0)
