--- a/rainpick/cli/day_output.py
+++ b/rainpick/cli/day_output.py
@@ -12,7 +12,7 @@
 
 
 def ignore_progress(second: float, event: str, states: Sequence[Mapping[str, Any] | None]) -> None:
-    """Print nothing."""
+    """Ignore the progress of a day, for the options ``--quiet`` and ``--json``."""
 
 
 class DayProgress:
@@ -41,7 +41,7 @@
 
 
 def _format_status(state: Mapping[str, Any] | None) -> str:
-    """Format a director's status. Before its first decision, a director is shown as not responding."""
+    """Format a director's status. A director whose decisions have not begun is shown as not responding."""
     if not state or "channel" not in state:
         return "no director answers"
     ready = sum(server["state"] == "ready" for server in state["servers"])
--- a/rainpick/cli/inspect_output.py
+++ b/rainpick/cli/inspect_output.py
@@ -30,8 +30,9 @@
 ) -> None:
     """Print the state of a subject in each director; ``CommandError`` if the subject or time does not exist.
 
-    ``subject`` has the form of ``--inspect``. ``until_s`` is the time, None for the end of the records.
-    ``incarnation_number`` selects an incarnation if there is only one record.
+    ``subject`` has the form of ``--inspect``. ``until_s``: seconds since the start of the incarnation or,
+    with several records, since their earliest step; None for the end. ``incarnation_number`` selects the
+    incarnation of a single record; it is ignored for several.
     """
     try:
         if len(folders) == 1:
@@ -61,7 +62,7 @@
 
 
 def _print_fields(fields: dict[str, Any], indent: str) -> None:
-    """Print a line for each field, with nested fields indented. Factors of 1 are omitted."""
+    """Print a line for each field, with nested fields indented. Factors of 1 (no effect) are omitted."""
     for name, value in fields.items():
         label = str(name).replace("_", " ")
         if name == "because":
--- a/rainpick/cli/replay_output.py
+++ b/rainpick/cli/replay_output.py
@@ -15,7 +15,7 @@
 from rainpick.record.replay import Difference, ReplayResult
 from rainpick.record.schema import describe
 
-SHOWN_ROWS = 8  # number of rows of each kind in the first difference
+SHOWN_ROWS = 8  # number of events or commands in each group of the first difference
 
 
 def print_replays(results: list[ReplayResult], as_json: bool) -> None:
@@ -46,12 +46,12 @@
 
 
 def _difference_json(difference: Difference, begin_us: int) -> dict[str, Any]:
-    """Return the first step whose commands differ. ``begin_us`` is the start of the incarnation."""
+    """Return the output of ``--json`` for a difference. ``begin_us`` is the start of the incarnation."""
     return {"second": (difference.now - begin_us) / 1e6, **_difference_rows(difference)}
 
 
 def _difference_rows(difference: Difference) -> dict[str, list[str]]:
-    """Return the events and commands around the difference, by their names in the output."""
+    """Return the formatted events and commands of a difference, by the name of their group in the output."""
     rows: dict[str, Sequence[object]] = {
         "heard_before": difference.events_before,
         "heard": difference.events,
@@ -62,7 +62,7 @@
 
 
 def _comparison_json(comparison: ComparisonResult, begin_us: int) -> dict[str, Any]:
-    """Return the output of ``--json`` for a comparison; pairs are recorded and replayed."""
+    """Return the output of ``--json`` for a comparison; pairs are (recorded, replayed)."""
     return {
         "counts": comparison.counts,
         "throttled_s": comparison.throttled_s,
@@ -80,7 +80,7 @@
 
 
 def _approach_json(approach: LimitApproach | None, begin_us: int) -> dict[str, Any] | None:
-    """Return the nearest approach to a limit, None if there is none."""
+    """Return the output of ``--json`` for the closest approach to a limit; None if there is none."""
     if approach is None:
         return None
     return {"part": approach.fraction, "second": (approach.at_us - begin_us) / 1e6, "who": approach.subject}
@@ -126,7 +126,7 @@
 
 
 def _counts_table(comparison: ComparisonResult, begin_us: int) -> Table:
-    """Return a table of counts, throttled time and nearest approaches to limits, recorded and replayed."""
+    """Return a table of counts, throttled time and closest approaches to limits, recorded and replayed."""
     table = Table("", "recorded", "replayed")
     for name, (recorded, replayed) in comparison.counts.items():
         table.add_row(name, str(recorded), str(replayed))
--- a/rainpick/cli/status_front.py
+++ b/rainpick/cli/status_front.py
@@ -19,7 +19,11 @@
 
 
 class TableSummary(TypedDict):
-    """A table: its latest version and size. ``kept`` has the versions that can be shown or rolled back to."""
+    """A table with its latest version.
+
+    ``lines`` is the number of its servers, ``open`` the number of those with a weight above 0. ``kept``
+    has the numbers of the versions that can be shown or rolled back to.
+    """
 
     table: int
     version: int
@@ -32,7 +36,7 @@
 
 
 class TableVersion(TypedDict):
-    """The entries of a version: the weight of each server, 0 if it gets no attempts."""
+    """The entries of a version of a table. ``lines`` has the weight of each server, 0 for a withdrawn one."""
 
     table: int
     version: int
@@ -55,7 +59,11 @@
 
 
 class ProxyStatus(TypedDict):
-    """A proxy that has joined. ``table`` is None while the proxy uses its default table."""
+    """A proxy that has joined. ``table`` is None while the proxy uses its default table.
+
+    ``push``: whether the director pushes changes; otherwise the proxy polls. ``blocked``: whether the proxy
+    accepts no more messages at present. ``rate``: requests per second.
+    """
 
     uid: str
     number: int
@@ -67,13 +75,17 @@
 
 
 class StreamCounts(TypedDict):
-    """Counts of streams of members and proxies."""
+    """``open`` is the number of open streams of members and proxies."""
 
     open: int
 
 
 class ChannelStatus(TypedDict):
-    """The channel to the proxies; ``lines`` are queued, ``lines_most`` is the maximum so far."""
+    """The channel to the proxies: the number of queued lines, its maximum so far, and its limit.
+
+    ``messages`` is the number of queued messages, ``blocked`` the number of proxies that accept no more
+    messages at present.
+    """
 
     lines: int
     lines_most: int
@@ -83,13 +95,16 @@
 
 
 class CommandCounts(TypedDict):
-    """Counts of effects of the decisions so far."""
+    """``messages`` is the number of messages to proxies since the decisions began."""
 
     messages: int
 
 
 class DirectorStatus(TypedDict):
-    """The used fields of the response to GET /status. ``channel`` is absent until the decisions begin."""
+    """The fields of the response to GET /status that the command line uses.
+
+    ``engine`` and the fields after it are absent until the decisions begin.
+    """
 
     director: int
     phase: str
@@ -112,7 +127,7 @@
 
 
 def fetch_tables(address: str) -> list[TableSummary]:
-    """Return a summary of each table."""
+    """Return a summary of each table; there are none until the decisions begin."""
     state = _request_json(address, "GET", "/status")
     return cast(list[TableSummary], state.get("tables", []))
 
--- a/rainpick/cli/status_output.py
+++ b/rainpick/cli/status_output.py
@@ -9,7 +9,7 @@
 
 
 def print_status(state: DirectorStatus) -> None:
-    """Print the state. Before the decisions begin, it consists only of figures of the process."""
+    """Print the state; until the decisions begin, only one line with figures of the process."""
     print_rich(
         f"director {state['director']}: {state['phase']}, up {state['up_s']:.0f} s, "
         f"{state['threads']} threads, {state['streams']['open']} streams"
--- a/rainpick/cli/verdict_output.py
+++ b/rainpick/cli/verdict_output.py
@@ -20,7 +20,7 @@
 
 
 class WeightSample(NamedTuple):
-    """The weight of a server from ``at_us`` on, in the time of the logs."""
+    """The weight of a server from the time ``at_us`` of the logs on."""
 
     at_us: int
     weight: int
@@ -108,14 +108,14 @@
 
 
 def _weight_histories(log_folder: Path) -> dict[str, list[WeightSample]]:
-    """Return the mean weight over time by server, over the proxies that have the server in their table."""
+    """Return the history of each server's weight, a mean over the proxies that have it in their table."""
     histories: dict[str, list[WeightSample]] = defaultdict(list)
-    weights_by_proxy: dict[str, dict[str, int]] = defaultdict(dict)
+    weights_by_server: dict[str, dict[str, int]] = defaultdict(dict)  # weights at each proxy, by server
     for event in read_logs(log_folder):
         if event["k"] != "weights":
             continue
         for server, weight, flags in event["m"]:
-            weights = weights_by_proxy[server]
+            weights = weights_by_server[server]
             if weight or flags & CONTACT:
                 weights[event["p"]] = weight
             else:
@@ -154,7 +154,7 @@
 
 
 def _bar_character(weight: int, highest: int) -> str:
-    """Return the character of a weight. Rounding up makes every weight above 0 visible."""
+    """Return the bar of a weight. Rounding up makes every weight above 0 visible."""
     if not highest:
         return " "
     rounded_up = -(-(len(BARS) - 1) * weight // highest)
--- a/rainpick/cli/weights_output.py
+++ b/rainpick/cli/weights_output.py
@@ -63,7 +63,10 @@
 
 
 def _first_weights(client: SaspClient, group: Group) -> tuple[WeightGroup, ...]:
-    """Poll until there are weights: a new load balancer has none before the next step of the decisions."""
+    """Poll until there are weights, at most for ``FIRST_WEIGHTS_TIMEOUT_S``.
+
+    A new load balancer gets no weights before the next step of the decisions.
+    """
     deadline = time.monotonic() + FIRST_WEIGHTS_TIMEOUT_S
     groups = _poll(client, group)
     while not any(weights.entries for weights in groups) and time.monotonic() < deadline:
@@ -78,7 +81,7 @@
 
 
 def _print_groups(groups: tuple[WeightGroup, ...], as_json: bool) -> None:
-    """Print the entries of a message, one per line or all as one line of JSON."""
+    """Print the weight entries of a message, one per line or all as one line of JSON."""
     rows = [(*entry.member.key(), entry.weight, entry.flags) for group in groups for entry in group.entries]
     if as_json:
         entries = [
--- a/rainpick/publish/follower.py
+++ b/rainpick/publish/follower.py
@@ -17,17 +17,21 @@
 
 
 def canonical_digest(weights: dict[str, int]) -> str:
-    """Return the digest of a table by server address, from the same canonical form as the director's."""
+    """Return the digest of a table, whose weights are given by server address.
+
+    The director computes the same digest in ``snapshots.digest``.
+    """
     rows = sorted(f"{server} {weight}\n" for server, weight in weights.items())
     return xxh3_64_hexdigest("".join(rows).encode())
 
 
 class TableFollower:
-    """A proxy's copy of its table, which the messages of the director keep up to date.
+    """A proxy's copy of its table, kept up to date by the messages of the director.
 
-    ``weights`` maps server addresses to weights; the weight of a withdrawn server is 0. A follower is in sync
-    until the base version of a delta or a digest does not match. It reports this fault once and keeps its
-    entries until the next snapshot; until then it applies only the withdrawals in deltas.
+    ``weights`` maps server addresses to weights; the weight of a withdrawn server is 0. A fault is a delta
+    whose base version is not the version of the copy, or an update whose digest is not that of the updated
+    table. The follower reports a fault once. Until the next snapshot it then keeps its entries and applies
+    only the withdrawals in deltas.
     """
 
     def __init__(self, weights: dict[str, int] | None = None):
@@ -40,17 +44,20 @@
         self.admissions: tuple[RouteAdmission, ...] = ()
 
     def apply(self, message: DirectorMessage) -> SyncFault | None:
-        """Apply a message; return the fault to report to the director if this is not possible."""
+        """Apply a message of the director; return the fault to report if the message does not fit."""
         if isinstance(message, ProxyAssignment):
             return self._apply_assignment(message)
         if message.table != self.table or message.epoch != self.epoch:
-            return None  # for a table to which this proxy is not assigned
+            return None  # the message is for a table to which this proxy is not assigned
         if isinstance(message, TableSnapshot):
             return self._apply_snapshot(message)
         return self._apply_delta(message)
 
     def report_fault(self, cause: FaultCause) -> SyncFault | None:
-        """Wait for a snapshot from now on; return the fault to report, None if it was already reported."""
+        """Stop applying whole deltas until the next snapshot.
+
+        Returns the fault to report to the director; None if one was reported since the last snapshot.
+        """
         if self.awaiting_snapshot:
             return None
         self.awaiting_snapshot = True
@@ -77,7 +84,7 @@
 
     def _apply_snapshot(self, snapshot: TableSnapshot) -> SyncFault | None:
         if snapshot.version < self.version and not self.awaiting_snapshot:
-            return None  # older than the current version
+            return None  # the snapshot is older than the current version
         weights = _by_server(snapshot.lines)
         if canonical_digest(weights) != snapshot.digest:
             return self.report_fault("digest")
@@ -90,7 +97,7 @@
             self._apply_withdrawals(delta)
             return None
         if delta.version <= self.version:
-            return None  # a duplicate, or received after a newer one
+            return None  # the delta is a duplicate, or was overtaken by a newer version
         if delta.base_version != self.version:
             self._apply_withdrawals(delta)
             return self.report_fault("gap")
@@ -109,7 +116,10 @@
         self.digest = update.digest
 
     def _apply_withdrawals(self, delta: TableDelta) -> None:
-        """Apply only the withdrawals of a delta that does not match; no newer version uses these servers."""
+        """Stop using the servers that a delta withdraws or removes; its other entries can't be applied.
+
+        The version that the delta leads to does not use these servers.
+        """
         for server in delta.removed:
             self.weights.pop(server, None)
         for entry in delta.updated:
--- a/rainpick/publish/payloads.py
+++ b/rainpick/publish/payloads.py
@@ -36,7 +36,7 @@
 
 
 class TableSnapshot(Struct, tag="whole", tag_field="kind", frozen=True):
-    """Snapshot of one version of a table; ``digest`` is the digest of its canonical form."""
+    """Message with all entries of a version of a table, and the digest of the table's canonical form."""
 
     epoch: str
     table: UInt16
@@ -81,7 +81,7 @@
 
 
 class Presence(Struct, tag="presence", tag_field="kind", frozen=True):
-    """A proxy joins or leaves. It holds a version of a table, or servers whose weights are unknown."""
+    """A proxy joins or leaves. It may hold a version of a table, or only servers without known weights."""
 
     state: Literal["here", "gone"]
     epoch: str = ""
@@ -92,7 +92,7 @@
 
 
 class SyncFault(Struct, tag="trouble", tag_field="kind", frozen=True):
-    """A proxy needs a snapshot of its table, since a version is missing or the digests differ."""
+    """A proxy needs a snapshot of its table: it missed a version, or the digest or the epoch differs."""
 
     cause: FaultCause = field(name="why")
     epoch: str = ""
--- a/rainpick/publish/pins.py
+++ b/rainpick/publish/pins.py
@@ -19,7 +19,7 @@
 
 
 class PinnedVersion(NamedTuple):
-    """The entries of a pinned version of a table; operator, reason and time of the pin."""
+    """A pin: the table, the entries of the pinned version, and operator, reason and time of the pin."""
 
     table: int
     version: int
@@ -50,12 +50,16 @@
         self.is_withdrawn = is_withdrawn
         self.is_warmed_up = is_warmed_up
         self.by_table: dict[int, PinnedVersion] = {}
-        self.idle_tables: set[int] = set()  # pinned, but the pin has no available servers
+        self.idle_tables: set[int] = set()  # pinned tables whose pins have no available servers
 
     def pin(
         self, table: int, snapshot: Snapshot | None, operator: str, reason: str, now_us: int
     ) -> PinnedVersion:
-        """Pin a table to a version; ``PinError`` if it is unknown (None) or has no available servers."""
+        """Pin a table to the version ``snapshot``; an earlier pin of the table is replaced.
+
+        ``PinError`` if ``snapshot`` is None (the version is not retained) or has no available servers, or if
+        operator or reason is empty.
+        """
         if snapshot is None:
             raise PinError(f"that version of table {table} is not kept any more")
         if not operator or not reason:
@@ -67,14 +71,18 @@
         return pin
 
     def release(self, table: int) -> PinnedVersion:
-        """End a pin and return it; ``PinError`` if there is none."""
+        """End the pin of a table and return the pin; ``PinError`` if the table is not pinned."""
         if table not in self.by_table:
             raise PinError(f"table {table} is not pinned")
         self.idle_tables.discard(table)
         return self.by_table.pop(table)
 
     def lines_to_publish(self, table: int, unpinned_lines: Lines) -> Lines:
-        """Return the entries to publish for a table; ``unpinned_lines`` are those of the decision modules."""
+        """Return the entries to publish for a table: those of its pin, or ``unpinned_lines`` without one.
+
+        ``unpinned_lines`` are the entries that the decision modules set. They are also published while the
+        pin has no available servers.
+        """
         pin = self.by_table.get(table)
         if pin is None:
             return unpinned_lines
@@ -100,7 +108,10 @@
 
 
 def _limited_entry(pinned: Entry, unpinned: Entry) -> Entry:
-    """Return the entry of a server that is not warmed up, or that was withdrawn in the pinned version."""
+    """Return the entry to publish in a pinned table: its weight is the smaller of both weights.
+
+    A server that was withdrawn in the pinned version (weight 0) stays withdrawn.
+    """
     pinned_weight, _ = pinned
     if not pinned_weight:
         return WITHDRAWN_ENTRY
--- a/rainpick/publish/table_updates.py
+++ b/rainpick/publish/table_updates.py
@@ -1,6 +1,6 @@
 """Director side of table distribution: updates from a subscriber's version of a table to the newest one.
 
-A subscriber that is behind gets a single update, no matter how many versions it missed: a delta if that is
+A subscriber gets a single update, no matter how many versions it missed: a delta from its version if that is
 shorter, otherwise a snapshot.
 """
 
@@ -30,15 +30,18 @@
 
 
 class TableUpdateEncoder:
-    """Creates and encodes table updates. Subscribers that need the same update share one."""
+    """Creates and encodes table updates. Subscribers that need the same update share one encoded payload."""
 
     def __init__(self, epoch: str):
         self.epoch = epoch
-        # By table, base version (None for a snapshot) and newest version; versions compare by identity.
+        # Key: table, base version (None for a snapshot) and newest version. Versions compare by identity.
         self._shared: OrderedDict[tuple[int, Snapshot | None, Snapshot], EncodedUpdate] = OrderedDict()
 
     def update(self, table: int, held: Snapshot | None, newest: Snapshot) -> EncodedUpdate:
-        """Return the update for a subscriber with the version ``held``, None if its version is unknown."""
+        """Return the update to version ``newest`` of a table for a subscriber that holds version ``held``.
+
+        The update is a snapshot if ``held`` is None, of another table, or has unknown weights.
+        """
         is_base = held is not None and held.known and held.table == table
         base = held if is_base else None
         shared_key = (table, base, newest)
@@ -53,13 +56,13 @@
         return encoded
 
     def snapshot(self, table: int, newest: Snapshot) -> TableSnapshot:
-        """Return a snapshot of a version of a table, with withdrawn servers first."""
+        """Return the message that carries all entries of version ``newest``, withdrawn servers first."""
         return TableSnapshot(
             self.epoch, table, newest.version, newest.digest, _server_weights(newest.whole())
         )
 
     def delta(self, table: int, base: Snapshot, newest: Snapshot) -> TableDelta:
-        """Return the difference between two versions of a table, withdrawals first."""
+        """Return the message that turns version ``base`` of a table into ``newest``, withdrawals first."""
         delta = base.to(newest)
         updated = _server_weights([line for line in delta.lines if line.server in newest.lines])
         removed = tuple(
@@ -68,7 +71,7 @@
         return TableDelta(self.epoch, table, base.version, newest.version, newest.digest, updated, removed)
 
     def unbound_weights(self, delta: Delta) -> tuple[ServerWeight, ...]:
-        """Return withdrawals and readmissions for a proxy without a table."""
+        """Convert a delta to entries for a proxy without a table; they withdraw and readmit its servers."""
         return _server_weights(delta.lines)
 
     def _shorter_update(self, table: int, base: Snapshot | None, newest: Snapshot) -> TableUpdate:
--- a/rainpick/publish/topics.py
+++ b/rainpick/publish/topics.py
@@ -1,4 +1,4 @@
-"""Topics of the MQTT frontend; ``docs/tables.md`` specifies the publisher and the payload of each."""
+"""Topics of the MQTT frontend; ``docs/tables.md`` specifies the publisher and the payload of each topic."""
 
 from __future__ import annotations
 
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -15,18 +15,21 @@
 
 
 class TimedStep(NamedTuple):
-    """A recorded step with its wall clock time and its position."""
+    """A recorded step with its wall clock time and its position in the records."""
 
     wall_us: int  # microseconds since 1970
-    record: int  # from 0, in the order of the record folders
-    position: int  # of the step in its record, from 1, in the order of writing
-    number: int  # of the incarnation in its record, from 0
+    record: int  # index of the record in the list of record folders
+    position: int  # number of the step in its record, from 1, in writing order
+    number: int  # number of the incarnation in its record, from 0
     incarnation: Incarnation
     step: Step | MissingSteps
 
 
 def read_timed_steps(folder: Path, record: int = 0) -> Iterator[TimedStep]:
-    """Yield the steps of a record in writing order. Missing steps get the time of the previous step."""
+    """Yield the steps of a record in writing order; ``record`` is its index in the list of record folders.
+
+    ``MissingSteps`` are yielded with the time of the step before them, or 0 at the start of the record.
+    """
     position, wall_us = 0, 0
     for number, (incarnation, steps) in enumerate(read_incarnations(read(folder))):
         for step in steps:
@@ -39,8 +42,8 @@
 def merge_by_wall_clock(folders: list[Path]) -> Iterator[TimedStep]:
     """Merge the steps of all records by wall clock time. Each record keeps its own order.
 
-    The merge always yields the earliest of the records' next steps. A step that was written after the wall
-    clock was set back is therefore yielded at once, and the order of the other records does not change.
+    Of the next steps of all records, the earliest is always yielded first. If the wall clock was set back
+    before a step, that step is therefore yielded at once, and the order of the other records does not change.
     """
     streams = [read_timed_steps(folder, index) for index, folder in enumerate(folders)]
     return heapq.merge(*streams, key=lambda timed_step: timed_step.wall_us)
@@ -53,7 +56,10 @@
     replacement_settings: dict[str, Any] | None = None,
     compare: bool = False,
 ) -> list[ReplayResult]:
-    """Replay all incarnations of all records in wall clock order; for the other parameters see ``Replay``."""
+    """Replay all incarnations of all records in wall clock order; for the other parameters see ``Replay``.
+
+    The results are ordered by record, then by incarnation.
+    """
     replays: dict[tuple[int, int], Replay] = {}
     for timed_step in merge_by_wall_clock(folders):
         key = timed_step.record, timed_step.number
@@ -68,13 +74,14 @@
 def replay_until(
     folders: list[Path], until_s: float | None, director_factory: Callable[[], Director] = Director
 ) -> list[Replay]:
-    """Replay up to a point in time and return the incarnation that was running then, for each started record.
+    """Replay up to a point in time and return the replay of each record's incarnation that was running then.
 
-    ``until_s``: seconds since the earliest step of all records; None replays to the end.
+    Records that begin later are omitted. ``until_s``: seconds since the earliest step of all records; None
+    replays to the end.
     """
     begin_us: int | None = None
-    running_numbers: dict[int, int] = {}  # of the running incarnation, by record
-    replays: dict[int, Replay] = {}  # by record
+    running_numbers: dict[int, int] = {}  # number of the running incarnation, by record
+    replays: dict[int, Replay] = {}  # replay of the running incarnation, by record
     for timed_step in merge_by_wall_clock(folders):
         if begin_us is None:
             begin_us = timed_step.wall_us
@@ -88,18 +95,21 @@
 
 
 class TimedReport(NamedTuple):
-    """A load report, the time at which it was received, and the latest possible begin of its interval."""
+    """A load report, its time of receipt, and the latest possible begin of the interval that it covers.
+
+    Times are microseconds of the director's clock.
+    """
 
     received_us: int
-    began_us: int  # if the interval ended on receipt; it may have ended earlier
+    began_us: int  # assumes that the interval ended on receipt, although it may have ended earlier
     event: Any
 
 
 class OrderedReport(NamedTuple):
-    """A load report with its position in both orders, counted from 1."""
+    """A load report with its positions in two orders, both counted from 1."""
 
-    position: int  # by the begin of its interval
-    received_position: int  # by the time of receipt
+    position: int  # position by the begin of the interval
+    received_position: int  # position by the time of receipt
     report: TimedReport
 
 
@@ -108,11 +118,11 @@
 ) -> Iterator[OrderedReport]:
     """Yield load reports ordered by the begin of the interval that each of them covers.
 
-    Reports may be received in another order, since an interval ends before its report is received. A report
-    that is received more than ``reorder_window_us`` after the begin of its interval is yielded after reports
-    that were already yielded, even if their intervals began later.
+    Reports may be received in another order, since their intervals differ in length. A report is held back
+    until a step more than ``reorder_window_us`` after the begin of its interval. A report that is received
+    even later may follow reports whose intervals began after its own.
     """
-    heap: list[tuple[int, int, TimedReport]] = []  # by begin of the interval, then by order of receipt
+    heap: list[tuple[int, int, TimedReport]] = []  # begin of the interval, receipt number, report
     received = position = 0
     for step in steps:
         if isinstance(step, MissingSteps):
--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -17,14 +17,17 @@
 from rainpick.record.series import Point, TimeSeries
 from rainpick.record.view import FleetView
 
-MAX_DIVERTED_FRACTION = 0.2  # a replay is valid while the mean of the latest samples does not exceed this
-DIVERTED_WINDOW_S = 10  # time span of this mean
-SAMPLE_INTERVAL_US = 1_000_000  # sufficient, since weights are sent to proxies only a few times per tick
-MAX_SHARE_CHANGES = 12  # servers in a result
+MAX_DIVERTED_FRACTION = 0.2  # a replay is valid until the mean diverted fraction exceeds this
+DIVERTED_WINDOW_S = 10  # window of this mean, with one sample per second
+SAMPLE_INTERVAL_US = 1_000_000  # short enough: weights are sent to proxies only a few times per tick
+MAX_SHARE_CHANGES = 12  # maximum number of servers in a result
 
 
 class ShareChange(NamedTuple):
-    """A server whose share of the requests differs in the replay; shares are means over the day."""
+    """A server whose share of the requests differs between record and replay.
+
+    ``recorded`` and ``replayed`` are the means of its shares over the day, from 0 to 1.
+    """
 
     server: str
     recorded: float
@@ -37,14 +40,14 @@
     Seconds count from the start of the incarnation; shares and fractions are of all requests, from 0 to 1.
     """
 
-    counts: dict[str, tuple[int, int]]  # by the names that ``FleetView`` counts
+    counts: dict[str, tuple[int, int]]  # counts by key of ``FleetView.counts``
     throttled_s: tuple[float, float]
-    approaches: dict[str, tuple[LimitApproach | None, LimitApproach | None]]  # by limit
-    valid_until_s: float | None  # when too many requests were diverted; None: valid to the end
-    diverted: float  # mean fraction of the requests that go to other servers
+    approaches: dict[str, tuple[LimitApproach | None, LimitApproach | None]]  # by name of the limit
+    valid_until_s: float | None  # time at which too many requests were diverted; None: valid to the end
+    diverted: float  # mean fraction of the requests that the replayed commands send to other servers
     share_changes: list[ShareChange]  # largest change first
     diverted_series: list[Point]
-    share_series: dict[str, tuple[list[Point], list[Point]]]  # by server
+    share_series: dict[str, tuple[list[Point], list[Point]]]  # shares over time, by server
 
 
 class Comparison:
@@ -56,20 +59,20 @@
     def __init__(self, begin_us: int, recorded: dict[str, Any], replayed: dict[str, Any]):
         self.begin_us = begin_us
         view = FleetView(recorded)
-        # Both sides share one view until their commands differ. In most replays they never do.
+        # Both sides share one view until their commands differ, which they never do in most replays.
         self.views = view, view if recorded == replayed else FleetView(replayed)
-        self.sampled_us = begin_us
-        self.samples = 0
+        self.sampled_us = begin_us  # time of the latest sample
+        self.sample_count = 0
         self.diverted_sum = 0.0
         self.diverted_series = TimeSeries(begin_us)
-        self.latest_diverted: list[float] = []  # the latest samples
-        self.share_series: dict[Any, tuple[TimeSeries, TimeSeries]] = {}  # by server
-        # Sums of the sampled shares, by server.
+        self.latest_diverted: list[float] = []  # samples of the last DIVERTED_WINDOW_S
+        self.share_series: dict[Any, tuple[TimeSeries, TimeSeries]] = {}  # both sides, by server
+        # Sums of the sampled shares for both sides, by server.
         self.share_sums: tuple[dict[Any, float], dict[Any, float]] = defaultdict(float), defaultdict(float)
         self.valid_until_us: int | None = None
 
     def apply(self, now: int, events: list[Any], recorded: list[Any], replayed: list[Any]) -> None:
-        """Process one step: its events, and the commands of both sides."""
+        """Apply the events of a step and the commands of both sides, and take a sample if one is due."""
         recorded_view, replayed_view = self.views
         if recorded_view is replayed_view and list(replayed) != list(recorded):
             replayed_view = copy.deepcopy(recorded_view)
@@ -83,7 +86,7 @@
             self.add_sample(now)
 
     def add_sample(self, now: int) -> None:
-        """Add the current shares of the requests to the series."""
+        """Sample the shares of the requests on both sides, and the fraction of requests that is diverted."""
         self.sampled_us = now
         recorded_view, replayed_view = self.views
         recorded = recorded_view.shares()
@@ -104,8 +107,11 @@
                 self.share_sums[side][server] += share
 
     def add_diverted(self, now: int, diverted: float) -> None:
-        """Add a sample of the diverted fraction, and end the validity if the mean becomes too large."""
-        self.samples += 1
+        """Add a sample of the diverted fraction.
+
+        When the mean of the latest samples first exceeds ``MAX_DIVERTED_FRACTION``, the validity ends.
+        """
+        self.sample_count += 1
         self.diverted_sum += diverted
         self.diverted_series.add(now, diverted)
         self.latest_diverted = [*self.latest_diverted[-DIVERTED_WINDOW_S + 1 :], diverted]
@@ -133,7 +139,7 @@
                 for limit in sorted(recorded_approaches.keys() | replayed_approaches.keys())
             },
             None if valid_until_us is None else (valid_until_us - self.begin_us) / 1e6,
-            self.diverted_sum / max(1, self.samples),
+            self.diverted_sum / max(1, self.sample_count),
             share_changes,
             self.diverted_series.points(),
             {
@@ -144,8 +150,11 @@
         )
 
     def share_changes(self, max_changes: int) -> list[ShareChange]:
-        """Return the servers whose share changed, the largest change first."""
-        samples = max(1, self.samples)
+        """Return up to ``max_changes`` servers whose share changed, the largest change first.
+
+        A change is the sum of the absolute differences between the points of both series.
+        """
+        sample_count = max(1, self.sample_count)
         recorded_sums, replayed_sums = self.share_sums
         distances: dict[str, float] = {}
         changes = []
@@ -158,7 +167,7 @@
                 )
             )
             changes.append(
-                ShareChange(name, recorded_sums[server] / samples, replayed_sums[server] / samples)
+                ShareChange(name, recorded_sums[server] / sample_count, replayed_sums[server] / sample_count)
             )
         changes.sort(key=lambda change: (-distances[change.server], change.server))
         return [change for change in changes[:max_changes] if distances[change.server] > 1e-9]
--- a/rainpick/record/digest.py
+++ b/rainpick/record/digest.py
@@ -14,6 +14,6 @@
     digest = xxh3_128()
     for path in sorted(folder.rglob("*.py")):
         source = path.read_bytes()
-        # The length delimits the source text, so that different splits into files have different digests.
+        # The length marks the end of the source text: text moved to the next file changes the digest.
         digest.update(b"%s\0%d\0%s" % (path.relative_to(folder).as_posix().encode(), len(source), source))
     return digest.hexdigest()
--- a/rainpick/record/exchange.py
+++ b/rainpick/record/exchange.py
@@ -1,7 +1,8 @@
 """Export of a record as JSON lines for use by other programs, and import of such a file.
 
-Export and import are lossless. The keys of the lines, and the names of types and fields in them, are part of
-the file format and never change.
+An import restores every incarnation and step of the export. Damaged or missing parts of the original become
+records of kind LOST. The keys of the lines, and the names of types and fields in them, are part of the file
+format and never change.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 
 FORMAT = "rainpick-record-1"
 MAX_LINE_BYTES = 16 << 20
-RECORDS_PER_BLOCK = 500  # of an imported record
-BYTES_FIELDS = {"PeerSaid": 1, "Tell": 1}  # by stored name: index of the field of type bytes
+RECORDS_PER_BLOCK = 500  # size of the store blocks that an import writes
+BYTES_FIELDS = {"PeerSaid": 1, "Tell": 1}  # by stored name: index of the bytes field, base64 in exports
 CODES_BY_NAME = {STORED_NAMES[kind]: code for kind, code in CODES.items()}
 encoder = msgspec.json.Encoder()
 
@@ -40,7 +41,7 @@
 
 
 def export_lines(entries: Iterable[StoreEntry]) -> Iterator[bytes]:
-    """Yield the lines of an export. Damaged or missing parts are lines of the form ``{"hole": ...}``."""
+    """Yield the lines of an export; a damaged or missing part is exported as a line ``{"hole": ...}``."""
     yield encoder.encode({"form": FORMAT}) + b"\n"
     decoder = StepDecoder()
     for entry in entries:
@@ -64,7 +65,10 @@
 
 
 def incarnation_fields(incarnation: Incarnation) -> dict[str, Any]:
-    """Return an incarnation by stored names; it declares no types, since rows in an export name theirs."""
+    """Return the fields of an incarnation by their keys in exports.
+
+    ``types`` is empty, since each row of an export starts with the stored name of its type.
+    """
     return {
         "director": incarnation.director,
         "epoch": incarnation.epoch,
@@ -99,9 +103,9 @@
         self.gaps = 0  # number of lines that report damaged or missing parts
 
     def add(self, line: dict[str, Any]) -> None:
-        """Append a decoded line. If it is malformed, exceptions of several types are possible."""
+        """Append the record in a decoded line; a malformed line may raise several types of exceptions."""
         if "hole" in line:
-            self.gaps += 1
+            self.gaps += 1  # stands in for the number of lost steps, which is unknown
             self.log.append(0, RecordKind.LOST, b"%d" % self.gaps)
         elif "life" in line:
             fields = {name: value for name, value in dict(line["life"]).items() if name != "types"}
@@ -116,9 +120,9 @@
 
 
 def import_lines(lines: Iterable[bytes], log: Log) -> int:
-    """Import an export into an empty store and return the number of records.
+    """Append the records of an export to an empty store and return their number.
 
-    ``ExchangeError`` states the number of the malformed line.
+    A malformed line raises ``ExchangeError`` with the number of the line.
     """
     importer = _Importer(log)
     count = 0
@@ -142,10 +146,10 @@
 
 
 def import_file(path: Path, folder: Path) -> int:
-    """Create a store from an export and return the number of records.
+    """Create a store from an export file and return the number of records.
 
-    ``ExchangeError`` if the folder already contains a store or the file is malformed; a malformed file leaves
-    no segments in the folder.
+    ``ExchangeError`` if the folder already contains a store, or if the file is malformed; in this case all
+    segments that the import wrote are deleted.
     """
     if folder.exists() and any(folder.glob("*.seg")):
         raise ExchangeError(f"{folder} already contains a record")
--- a/rainpick/record/folder_package.py
+++ b/rainpick/record/folder_package.py
@@ -19,7 +19,10 @@
 
 
 class RainpickView(ModuleType):
-    """The package ``rainpick`` for the modules of a loaded folder, with the folder as its ``decisions``."""
+    """Stands in for the package ``rainpick`` in the modules of a loaded folder.
+
+    ``decisions`` is the package of the folder; all other attributes are those of the installed package.
+    """
 
     def __init__(self, package: ModuleType):
         super().__init__("rainpick", rainpick.__doc__)
@@ -39,13 +42,13 @@
     def get_code(self, fullname: str) -> CodeType:
         """Compile the source without the bytecode cache.
 
-        A cached file may belong to an earlier source of the same size and modification second.
+        The cache identifies a source by its size and modification second, so it may hold an earlier one.
         """
         path = self.get_filename(fullname)
         return self.source_to_code(self.get_data(path), path)
 
     def exec_module(self, module: ModuleType) -> None:
-        """Execute the module with its own ``__import__``, also for import statements in functions."""
+        """Execute the module. All its import statements, also those in functions, use ``import_function``."""
         vars(module)["__builtins__"] = vars(builtins) | {"__import__": self.import_function}
         super().exec_module(module)
 
@@ -62,8 +65,8 @@
         self.name, self.folder = name, folder
 
     def load(self, module_name: str) -> ModuleType:
-        """Import a module of the folder. Exceptions of its code are propagated; call ``unload`` after one."""
-        sys.meta_path.insert(0, self)  # not removed, since functions may import when they are called
+        """Import a module of the folder. If its code raises an exception, the caller must call ``unload``."""
+        sys.meta_path.insert(0, self)  # remains: functions of the folder may import modules when called
         return importlib.import_module(f"{self.name}.{module_name}")
 
     def unload(self) -> None:
@@ -94,7 +97,7 @@
         )
 
     def package_spec(self, fullname: str, folder: Path) -> ModuleSpec:
-        """Return the spec of a folder, with or without an ``__init__.py``."""
+        """Return the spec that imports a folder as a package, with or without an ``__init__.py``."""
         file = folder / "__init__.py"
         loader = FolderLoader(fullname, file, self.import_module) if file.is_file() else None
         spec = ModuleSpec(fullname, loader, origin=str(file), is_package=True)
@@ -109,7 +112,10 @@
         fromlist: Sequence[str] | None = (),
         level: int = 0,
     ) -> ModuleType:
-        """Replace ``builtins.__import__`` for the modules of the folder."""
+        """Replacement of ``builtins.__import__`` in the modules of the folder.
+
+        ``rainpick.decisions`` and its modules are imported from the folder, all others as usual.
+        """
         if level or name.partition(".")[0] != "rainpick":
             return builtins.__import__(name, globals, locals, fromlist or (), level)
         if name == INSTALLED_PACKAGE or name.startswith(f"{INSTALLED_PACKAGE}."):
--- a/rainpick/record/incarnations.py
+++ b/rainpick/record/incarnations.py
@@ -1,4 +1,4 @@
-"""Reading of the incarnations in a record, each with its steps and the positions of missing steps."""
+"""Reading of the incarnations (runs of the director) in a record, with their steps and any missing steps."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class MissingSteps(NamedTuple):
-    """Marks a position at which steps are missing, so that the director's later state can't be reproduced."""
+    """Marks a position at which steps are missing. A replay can't reproduce the director's state after it."""
 
     reason: str
 
 
 class _Cursor:
-    """Position in a record: the remaining entries, and the next incarnation once its record was read."""
+    """Position in a record. ``steps`` sets ``next_incarnation`` when it reaches the next incarnation."""
 
     def __init__(self, entries: Iterable[StoreEntry]):
         self.entries = iter(entries)
-        self.next: Record | None = None
+        self.next_incarnation: Record | None = None
 
     def steps(self, decoder: StepDecoder) -> Iterator[Step | MissingSteps]:
         """Yield the steps up to the next incarnation or the end of the record."""
         for entry in self.entries:
             if isinstance(entry, Torn):
-                continue  # a block that a crash truncated was never reported as written
+                continue  # a crash truncated this block, so no flush ever reported its steps as written
             if not isinstance(entry, Record):
                 yield MissingSteps(f"{type(entry).__name__.lower()}: {tuple(entry)}")
             elif entry.kind == RecordKind.INCARNATION:
-                self.next = entry
+                self.next_incarnation = entry
                 return
             elif entry.kind == RecordKind.LOST:
                 yield MissingSteps(f"{entry.payload.decode()} steps were not recorded")
@@ -47,13 +47,16 @@
 def read_incarnations(
     entries: Iterable[StoreEntry],
 ) -> Iterator[tuple[Incarnation, Iterator[Step | MissingSteps]]]:
-    """Yield the incarnations in a record with their steps. Exhaust the steps of one before the next."""
+    """Yield the incarnations in a record with their steps.
+
+    The steps of an incarnation must be exhausted before the next incarnation is requested.
+    """
     cursor = _Cursor(entries)
-    # Skip the steps of an incarnation whose first record is no longer retained.
+    # Skip the steps of an incarnation whose first record was deleted with an old segment.
     deque(cursor.steps(StepDecoder()), maxlen=0)
-    while cursor.next is not None:
-        incarnation = decode_incarnation(cursor.next.payload)
-        cursor.next = None
+    while cursor.next_incarnation is not None:
+        incarnation = decode_incarnation(cursor.next_incarnation.payload)
+        cursor.next_incarnation = None
         yield incarnation, cursor.steps(StepDecoder(incarnation.types))
 
 
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -1,9 +1,9 @@
 """State of a director at a point in time of a record, and the factors behind each weight.
 
-The factors come from the decision modules themselves, so that their arithmetic is not duplicated here: the
-percentage is computed with the state of one cause reset and then again with its actual state, and the ratio
-is the factor of this cause. The keys of the returned dicts are the output of ``--inspect --json`` and must
-not change.
+To avoid a second copy of the arithmetic, the decision modules compute the factors: the percentage is computed
+once with the state of a cause reset and once with its actual state, and the ratio of the two results is the
+factor of this cause. The keys of the returned dicts are the output of ``--inspect --json`` and must not
+change.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class InspectError(LookupError):
-    """The subject does not exist at the requested time, or the record does not cover this time."""
+    """The inspected subject does not exist at the requested time, or the record does not cover this time."""
 
 
 class Factor(NamedTuple):
@@ -46,7 +46,10 @@
     until_us: int,
     director_factory: Callable[[], Director] = Director,
 ) -> Director:
-    """Replay up to ``until_us`` of the director's own clock and return the director after the last step."""
+    """Replay the steps up to ``until_us`` on the director's own clock and return the director after them.
+
+    ``InspectError`` if no step was recorded by then, or if steps are missing before.
+    """
     replay = Replay(incarnation, director_factory)
     for step in steps:
         if isinstance(step, Step) and step.now > until_us:
@@ -88,21 +91,21 @@
 
 
 def abbreviate(names: Iterable[Any]) -> str:
-    """Join names for an error message, with at most eight of them."""
+    """Join names for an error message. Names after the eighth are only counted."""
     names = [str(name) for name in names]
     return ", ".join(names[:8]) + (f" and {len(names) - 8} more" if len(names) > 8 else "") or "none"
 
 
 def percentage(director: Director, server: ServerState, conditions: Conditions) -> float:
-    """Compute the percentage of a server under given conditions, without a change to the server."""
+    """Return the percentage of a server under given conditions, from 0 to 1. The server is not changed."""
     return director.slow_start.advance(copy.copy(server), conditions)
 
 
 def factors(director: Director, server: ServerState) -> list[Factor]:
     """Return the factors of a server's percentage in the order of the decision modules.
 
-    Their product is the percentage. All causes are first reset in a copy of the server and in the conditions,
-    and then restored one after the other.
+    Their product is the percentage. All causes are first set to values without an effect, in a copy of the
+    server and in the conditions, and then restored one after the other.
     """
     actual = director.conditions()
     conditions = Conditions({}, 1.0, 0.0, 1.0)
@@ -137,7 +140,10 @@
 
 
 def table_factors(director: Director, server: ServerState, table: Table) -> list[Factor]:
-    """Return the factors of a server's weight in a table that its percentage does not include."""
+    """Return the factors of a server's weight in a table, in addition to those of its percentage.
+
+    There are none if the weight of the server is 0.
+    """
     effective_weight = server.effective_weight()
     if not effective_weight:
         return []
@@ -188,7 +194,7 @@
 
 
 def table(director: Director, number: int) -> dict[str, Any]:
-    """Return the state of a table."""
+    """Return the state of a table, and the published weights of its servers."""
     tables = director.fleet.tables
     state = next((table for table in tables if table.number == number), None)
     if state is None:
@@ -213,7 +219,7 @@
 
 
 def proxy(director: Director, number: int) -> dict[str, Any]:
-    """Return the state of a proxy."""
+    """Return the state of a proxy, and the messages that it has not acknowledged."""
     fleet = director.fleet
     state = fleet.proxies.get(number)
     if state is None:
--- a/rainpick/record/limits.py
+++ b/rainpick/record/limits.py
@@ -1,4 +1,4 @@
-"""How closely the commands of a day approached the limits of the rules."""
+"""How closely the commands of a day approached the limits in the decision settings."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class LimitApproach(NamedTuple):
-    """The closest approach to a limit."""
+    """The closest approach of a day to a limit."""
 
-    fraction: float  # of the limit; 1.0 if it was reached, more if it was exceeded
-    at_us: int  # of the director's clock
+    fraction: float  # fraction of the limit: 1.0 if it was reached, more if it was exceeded
+    at_us: int  # time on the director's clock
     subject: str  # a server, a proxy or a number of lines
 
 
 class LimitTracker:
     """Tracks the closest approach to each limit that the decision settings define.
 
-    The keys of ``approaches`` are part of the output.
+    ``approaches`` has the closest approaches by name of the limit. The names are part of the output.
     """
 
     def __init__(self, settings: dict[str, Any]):
@@ -29,16 +29,16 @@
         self.message_window_us = settings.get("proxies.counted_over_us") or 1
         self.drain_grace_us = settings.get("rules.drain_grace_us") or 0  # 0: no limit
         self.warm_after_us = settings.get("rules.warm_after_us") or 0
-        self.start_capacity = settings.get("rules.start_capacity", 1.0)
+        self.start_capacity = settings.get("rules.start_capacity", 1.0)  # fraction of the listed weight
         self.approaches: dict[str, LimitApproach] = {}
 
     def observe(self, limit: str, fraction: float, now: int, subject: str) -> None:
-        """Keep the closest approach to a limit; of equal ones the first."""
+        """Record an approach to a limit if it is closer than every earlier one."""
         if limit not in self.approaches or fraction > self.approaches[limit].fraction:
             self.approaches[limit] = LimitApproach(fraction, now, subject)
 
     def observe_drain(self, now: int, address: Any, ended_us: int) -> None:
-        """Observe the end of requests to a server that has been draining or gone since ``ended_us``."""
+        """Observe the time from ``ended_us``, when a server was draining or gone, to its withdrawal."""
         if self.drain_grace_us:
             self.observe("drain", (now - ended_us) / self.drain_grace_us, now, format_address(address))
 
@@ -50,13 +50,13 @@
         if self.max_messages:
             self.observe("messages", len(sent_us) / self.max_messages, now, f"proxy {proxy}")
 
-    def observe_queue(self, now: int, waiting: int) -> None:
-        """Observe the number of lines that are not acknowledged."""
+    def observe_queue(self, now: int, lines: int) -> None:
+        """Observe the number of lines that proxies have not acknowledged."""
         if self.max_pending_lines:
-            self.observe("queue", waiting / self.max_pending_lines, now, f"{waiting} lines")
+            self.observe("queue", lines / self.max_pending_lines, now, f"{lines} lines")
 
     def observe_warming(self, now: int, entry: model.Endpoint, weight: float) -> None:
-        """Observe a published weight in slow start, relative to the weight that the server can handle."""
+        """Observe the published weight of a server in slow start, relative to its capacity at its age."""
         age_us = now - entry.started_us
         capacity = self.start_capacity + (1 - self.start_capacity) * age_us / self.warm_after_us
         self.observe("cold", weight / max(entry.weight * capacity, 1e-9), now, format_address(entry.address))
--- a/rainpick/record/page.py
+++ b/rainpick/record/page.py
@@ -22,8 +22,8 @@
     font_family="sans-serif",
     colors=("#7a7a7a", "#c0392b", "#2471a3", "#229954", "#b9770e", "#7d3c98"),
 )
-MAX_SHARE_CHARTS = 8  # one per server
-MAX_LISTED_VALUES = 8  # events or commands of a step
+MAX_SHARE_CHARTS = 8  # number of servers with a chart
+MAX_LISTED_VALUES = 8  # number of events, or of commands, that are listed for a step
 TEMPLATES = jinja2.Environment(autoescape=True, trim_blocks=True, lstrip_blocks=True)
 PAGE = TEMPLATES.from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
@@ -75,8 +75,8 @@
 """)
 
 
-def chart(lines: list[tuple[str, list[Point]]], y_title: str, valid_until_s: float | None = None) -> str:
-    """Return an SVG chart of lines over time; a dashed line marks the time until which a replay is valid."""
+def chart(curves: list[tuple[str, list[Point]]], y_title: str, valid_until_s: float | None = None) -> str:
+    """Return an SVG chart of named curves over time. A dashed line marks the end of a replay's validity."""
     figure = pygal.XY(
         style=STYLE,
         show_dots=False,
@@ -90,10 +90,10 @@
         no_data_text="nothing",
         range=None,
     )
-    for name, points in lines:
+    for name, points in curves:
         figure.add(name, points)
     if valid_until_s is not None:
-        top = max((value for _, points in lines for _, value in points), default=1.0)
+        top = max((value for _, points in curves for _, value in points), default=1.0)
         figure.add(
             "tells until", [(valid_until_s, 0), (valid_until_s, top)], stroke_style={"dasharray": "4, 4"}
         )
--- a/rainpick/record/recorder.py
+++ b/rainpick/record/recorder.py
@@ -37,11 +37,11 @@
         self.store = Log(folder, max_segment_bytes, max_total_bytes, max_age_us, sync)
         if self.store.torn is not None:
             self.log.warning("incomplete block at the end of the record cut off", **self.store.torn._asdict())
-        # Difference between the wall clock and the director's clock.
+        # Wall clock minus the director's clock.
         self.wall_offset_us = incarnation.wall_us - incarnation.now
         self.queue: queue.Queue[Step | None] = queue.Queue(MAX_QUEUED_STEPS)  # None ends the thread
-        self.steps = 0  # steps appended to the store
-        self.lost = 0  # steps
+        self.steps = 0  # number of steps appended to the store
+        self.lost = 0  # number of lost steps
         self.lost_recorded = 0  # value of ``lost`` in the latest record of kind LOST
         self.store.append(incarnation.wall_us, RecordKind.INCARNATION, encode_incarnation(incarnation))
         self.thread = threading.Thread(target=self.run, name="recorder", daemon=True)
@@ -74,7 +74,7 @@
     def write(self, step: Step) -> None:
         """Append a step to the store, preceded by the number of lost steps if it has grown.
 
-        A replay must end at a gap, so the record has to show it.
+        A replay ends where steps are missing, so the record must show the position.
         """
         time_us = step.now + self.wall_offset_us
         if self.lost > self.lost_recorded:
@@ -93,7 +93,7 @@
             self.log.error("steps of the record are lost", error=str(error), lost=self.lost)
 
     def close(self) -> None:
-        """Write the queued steps and end the thread; waits for a few seconds at most."""
+        """End the thread after it has written the queued steps; waits 7 seconds at most."""
         try:
             self.queue.put(None, timeout=2)
             self.thread.join(5)
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -20,7 +20,7 @@
 
     step: int  # its number in the incarnation, from 1
     now: int  # microseconds of the director's clock
-    events_before: list[Any]  # of the previous step
+    events_before: list[Any]  # events of the previous step
     events: list[Any]
     recorded: list[Any]  # commands that are only in the record
     replayed: list[Any]  # commands that are only in the replay
@@ -35,8 +35,8 @@
     differing: int  # number of steps with different commands
     first_difference: Difference | None
     comparison: ComparisonResult | None  # None if it was not requested
-    missing: MissingSteps | None  # where the replay ended early, if it did
-    last_us: int  # the director's clock at the last step
+    missing: MissingSteps | None  # the missing steps at which the replay ended; None if there were none
+    last_us: int  # time of the last step on the director's clock
 
 
 class Replay:
@@ -64,7 +64,7 @@
         self.last_step: Step | None = None
 
     def apply(self, step: Step | MissingSteps) -> None:
-        """Replay the next step. Steps that follow missing steps are ignored."""
+        """Replay the next step and compare its commands. Steps that follow missing steps are ignored."""
         if self.missing is not None:
             return
         if isinstance(step, MissingSteps):
@@ -85,7 +85,7 @@
         self.last_step = step
 
     def start(self, now: int, event: model.Started) -> model.Started:
-        """Begin the comparison, and return the first event with the settings of the replay."""
+        """Begin the comparison, if requested, and return ``event`` with the settings of the replay."""
         recorded = event.settings
         replayed = (
             recorded if self.replacement_settings is None else self.replacement_settings
--- a/rainpick/record/schema.py
+++ b/rainpick/record/schema.py
@@ -22,7 +22,7 @@
 
 
 def stored_type(value_type: type[Any], name: str, fields: str = "") -> StoredType:
-    """Return a row of the table; ``ValueError`` if the class has a different number of fields."""
+    """Return a row of ``STORED_TYPES``; ``ValueError`` if the class has a different number of fields."""
     names = tuple(fields.split())
     if len(names) != len(value_type._fields):
         raise ValueError(f"{name}: {len(names)} stored fields, {len(value_type._fields)} in the program")
@@ -58,7 +58,7 @@
     stored_type(model.LogMessage, "Note", "text"),
     stored_type(model.Retransmitted, "Repeated", "number"),
 )
-# An endpoint is part of an update and not an event. Records declare it after all other types.
+# An endpoint is not an event but a part of ``EndpointUpdate``. Records declare it after all other types.
 STORED_ENDPOINT = stored_type(model.Endpoint, "Server", "weight zone started_us machine cell address state")
 
 CODES = {row.type: code for code, row in enumerate(STORED_TYPES)}
--- a/rainpick/record/series.py
+++ b/rainpick/record/series.py
@@ -2,33 +2,36 @@
 
 from __future__ import annotations
 
-Point = tuple[float, float]  # seconds since the begin of the series, mean of the values in a span
+Point = tuple[float, float]  # start of a span in seconds since the begin of the series, mean of its values
 
-MIN_POINTS = 240  # 480 spans are merged in pairs, so a long series keeps 240 to 480 of them
+MIN_POINTS = 240  # more than 480 spans are merged in pairs, so a long series keeps 240 to 480
 
 
 class TimeSeries:
-    """Means of values over time spans of equal length, which doubles whenever there are too many spans."""
+    """Means of values over time spans of equal length.
+
+    The length doubles whenever there would be more than ``2 * MIN_POINTS`` spans.
+    """
 
     def __init__(self, begin_us: int, span_us: int = 1_000_000):
         self.begin_us, self.span_us = begin_us, span_us
-        self.sums: list[float] = []  # by span
-        self.counts: list[int] = []  # of values, by span
+        self.sums: list[float] = []  # sum of the values in each span
+        self.counts: list[int] = []  # number of values in each span
 
     def add(self, now: int, value: float) -> None:
-        """Add a value at a time in microseconds; times must not decrease."""
+        """Add a value at the time ``now`` in microseconds, which must not be before ``begin_us``."""
         index = (now - self.begin_us) // self.span_us
         while index >= 2 * MIN_POINTS:
             self.merge_spans()
             index = (now - self.begin_us) // self.span_us
-        missing = index + 1 - len(self.sums)
-        self.sums += [0.0] * missing
-        self.counts += [0] * missing
+        new_spans = index + 1 - len(self.sums)
+        self.sums += [0.0] * new_spans
+        self.counts += [0] * new_spans
         self.sums[index] += value
         self.counts[index] += 1
 
     def merge_spans(self) -> None:
-        """Merge pairs of adjacent spans."""
+        """Double the length of the spans by merging pairs of adjacent ones."""
         self.span_us *= 2
         if len(self.sums) % 2:
             self.sums.append(0.0)
@@ -37,7 +40,7 @@
         self.counts = [sum(pair) for pair in zip(self.counts[::2], self.counts[1::2], strict=True)]
 
     def points(self) -> list[Point]:
-        """Return a point for each span that has a value."""
+        """Return a point for each span that contains at least one value."""
         return [
             (index * self.span_us / 1e6, total / count)
             for index, (total, count) in enumerate(zip(self.sums, self.counts, strict=True))
--- a/rainpick/record/steps.py
+++ b/rainpick/record/steps.py
@@ -41,7 +41,7 @@
 
 
 class Incarnation(NamedTuple):
-    """One run of a director, from start to exit. It is the first record of each run.
+    """One run of a director, from start to exit; stored as the first record of the run.
 
     ``wall_us`` and ``now`` are the start time by the wall clock and by the director's own clock.
     """
@@ -78,7 +78,8 @@
 class StoredLayout(NamedTuple):
     """The layout of a type in a record. ``type`` is None if this version of the program can't decode it.
 
-    ``field_indexes`` has the stored index of each field of ``type``; None means that the order is the same.
+    ``field_indexes`` has, for each field of ``type``, its index in the stored fields; None if the fields are
+    the same in the same order.
     """
 
     type: type[Any] | None
@@ -87,7 +88,10 @@
 
 
 def stored_layout(name: str, fields: Sequence[str]) -> StoredLayout:
-    """Return the layout of a type that a record declares by its stored name and fields."""
+    """Return the layout of a type that a record declares by its stored name and fields.
+
+    The type can't be decoded if its name is unknown, or if the declaration lacks one of its fields.
+    """
     row = BY_STORED_NAME.get(name)
     if row is None:
         return StoredLayout(None, name, None)
@@ -99,7 +103,7 @@
 
 
 class StepDecoder:
-    """Decodes the steps of an incarnation by the types that it declares.
+    """Decodes the steps of an incarnation by means of its type declarations.
 
     The model may have changed since the record was written. Unknown fields are skipped. If the declaration
     of a type lacks a field that the model has, decoding a value of this type raises ``StepError``; values of
@@ -141,7 +145,7 @@
 
 
 def decode_step(payload: bytes) -> Step:
-    """Decode a step with the current types; ``StepError`` if the payload is malformed."""
+    """Decode a step with the type declarations of this program version; ``StepError`` if it is malformed."""
     return CURRENT_DECODER.decode_step(payload)
 
 
@@ -151,7 +155,10 @@
 
 
 def decode_incarnation(payload: bytes) -> Incarnation:
-    """Decode the payload of an incarnation; ``StepError`` if it is malformed."""
+    """Decode the payload of an incarnation; ``StepError`` if it is malformed.
+
+    ``DEFAULT_TYPE_DECLARATIONS`` apply if it declares no types.
+    """
     try:
         director, epoch, module, wall_us, now, settings, *rest = msgspec.msgpack.decode(payload)
         types = rest[0] if rest else DEFAULT_TYPE_DECLARATIONS
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -13,7 +13,7 @@
 from rainpick import model
 from rainpick.record.limits import LimitTracker
 
-NONCE_LINES = 1  # of each message
+NONCE_LINES = 1  # lines that the nonce adds to each message
 
 
 class ServerView:
@@ -23,9 +23,9 @@
 
     def __init__(self) -> None:
         self.entry: model.Endpoint | None = None
-        self.weights: dict[int, float] = {}  # by table
+        self.weights: dict[int, float] = {}  # published weight by table
         self.withdrawn = False
-        self.ended_us: int | None = None  # when the endpoint list first showed it as draining or gone
+        self.ended_us: int | None = None  # when the endpoint list first showed the server as draining or gone
 
     def receives_requests(self) -> bool:
         """Whether proxies send requests to the server according to any table."""
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self.table: int | None = None  # the table to which it is bound
         self.unacknowledged: deque[tuple[int, int]] = deque()  # (nonce, lines) of each message
-        self.sent_us: deque[int] = deque()  # times of the recent messages
+        self.sent_us: deque[int] = deque()  # times of recent messages, for the message limit
 
 
 class FleetView:
@@ -52,20 +52,24 @@
 
     def __init__(self, settings: dict[str, Any]):
         self.limits = LimitTracker(settings)
+        # Lines of each message beside its content.
         self.head_lines = settings.get("proxies.head", 0) + NONCE_LINES
+        # The admission rate without throttling.
         self.full_rate = 1.0 if settings.get("proxies.admit") == "ratio" else 1e6
         self.servers: dict[Any, ServerView] = {}
         self.proxies: dict[int, ProxyView] = {}
-        self.unbound: set[int] = set()  # proxies
-        self.warming: dict[Any, None] = {}  # servers in slow start, in the order of the list
-        self.bound: dict[int, set[int]] = {}  # proxies by table
-        self.admission_rates: dict[tuple[int, int], float] = {}  # by table and routes
+        self.unbound: set[int] = set()  # numbers of the unbound proxies
+        self.warming: dict[Any, None] = {}  # servers in slow start, in the order of the endpoint list
+        self.bound: dict[int, set[int]] = {}  # numbers of the bound proxies, by table
+        self.admission_rates: dict[tuple[int, int], float] = {}  # rates by table and bit mask of routes
         self.counts: Counter[str] = Counter()
+        # Whether any admission rate is below the full rate, and for how long this was so in total.
         self.throttled, self.throttled_us = False, 0
-        self.waiting = 0  # lines of unacknowledged messages
+        self.unacknowledged_lines = 0  # number of lines in unacknowledged messages
         self.last_us: int | None = None  # time of the last step
-        self.changed_tables: set[int] = set()  # weights or proxies changed since the last call of ``shares``
-        self.table_shares: dict[int, dict[Any, float]] = {}
+        # Tables whose weights or proxies changed since the last call of ``shares``.
+        self.changed_tables: set[int] = set()
+        self.table_shares: dict[int, dict[Any, float]] = {}  # results of ``shares_in_table``, by table
 
     # Events
 
@@ -104,7 +108,7 @@
                     self.set_ended(server, True, now)
 
     def set_ended(self, server: ServerView, ended: bool, now: int) -> None:
-        """Set or clear the time since which a server is draining or gone."""
+        """Set or clear the time since which a server is draining or gone, and count a new drain or loss."""
         if not ended:
             server.ended_us = None
         elif server.ended_us is None:
@@ -116,26 +120,26 @@
         proxy = self.proxies.pop(number, None)
         self.unbound.discard(number)
         if proxy is not None:
-            self.waiting -= sum(lines for _, lines in proxy.unacknowledged)
+            self.unacknowledged_lines -= sum(lines for _, lines in proxy.unacknowledged)
             if proxy.table is not None:
                 self.bound[proxy.table].discard(number)
                 self.changed_tables.add(proxy.table)
 
     def acknowledge(self, event: model.Acknowledged) -> None:
-        """Remove an acknowledged message and all earlier messages to the same proxy."""
+        """Remove an acknowledged message and all earlier ones to the same proxy, if the nonce is known."""
         if event.proxy not in self.proxies:
             return
         unacknowledged = self.proxies[event.proxy].unacknowledged
         while any(nonce == event.nonce for nonce, _ in unacknowledged):
-            self.waiting -= unacknowledged.popleft()[1]
+            self.unacknowledged_lines -= unacknowledged.popleft()[1]
 
     # Commands
 
     def apply_commands(self, now: int, commands: list[Any]) -> None:
         """Update the view from the commands of a step."""
-        lines: Counter[int] = Counter()  # lines of the step, by proxy
+        lines: Counter[int] = Counter()  # number of lines of the step, by proxy
         nonce = None
-        unbound = tuple(self.unbound)  # as of the start of the step
+        unbound = tuple(self.unbound)  # the unbound proxies at the start of the step
         for command in commands:
             kind = type(command)
             if kind is model.SetWeight:
@@ -157,7 +161,7 @@
         self.check_warming(now)
 
     def set_weight(self, now: int, command: model.SetWeight) -> None:
-        """Set the weight of a server in a table; a weight of 0 removes it."""
+        """Set the weight of a server in a table, and count the change; a weight of 0 removes the server."""
         server = self.servers.setdefault(command.server, ServerView())
         before = server.weights.get(command.table, 0.0)
         if command.weight:
@@ -177,12 +181,12 @@
         self.changed_tables.add(command.table)
 
     def complete_drain(self, now: int, address: Any, ended_us: int) -> None:
-        """Count a server that is draining or gone and now receives no more requests."""
+        """Count a draining or gone server that is no longer published, and observe its drain time."""
         self.counts["drains and losses told"] += 1
         self.limits.observe_drain(now, address, ended_us)
 
     def set_withdrawn(self, now: int, command: model.SetWithdrawn) -> None:
-        """Withdraw or readmit a server; the withdrawal of a server that is still ready is an ejection."""
+        """Withdraw or readmit a server; withdrawing a server that is still ready counts as an ejection."""
         server = self.servers.setdefault(command.server, ServerView())
         if command.withdrawn and not server.withdrawn:
             if server.ended_us is not None:
@@ -195,13 +199,16 @@
         self.changed_tables.update(server.weights)
 
     def withdrawal_receivers(self, address: Any, unbound: tuple[int, ...]) -> Iterable[int]:
-        """Yield the proxies to which a withdrawal of a server is sent, once for each line."""
+        """Yield the proxies to which a withdrawal or readmission of a server is sent, once for each line.
+
+        ``unbound`` has the proxies that were unbound at the start of the step.
+        """
         for table in self.servers[address].weights:
             yield from self.bound.get(table, ())
         yield from (number for number in unbound if number in self.proxies)
 
     def bind(self, command: model.BindProxy) -> None:
-        """Bind a proxy to a table."""
+        """Bind a proxy to a table, and count the binding."""
         self.counts["binds"] += 1
         self.proxies[command.proxy].table = command.table
         self.unbound.discard(command.proxy)
@@ -213,7 +220,7 @@
         return sum(table in server.weights for server in self.servers.values())
 
     def set_admission(self, command: model.SetAdmission) -> None:
-        """Set the admission rate of routes in a table."""
+        """Set the admission rate of routes in a table, and count whether it rises or falls."""
         key = command.table, command.routes
         before = self.admission_rates.get(key, self.full_rate)
         self.counts["throttled further"] += command.rate < before
@@ -227,14 +234,14 @@
             proxy = self.proxies[number]
             size = own_lines + self.head_lines
             proxy.unacknowledged.append((nonce, size))
-            self.waiting += size
+            self.unacknowledged_lines += size
             self.counts["messages"] += 1
             self.counts["lines"] += size
             self.limits.observe_message(now, number, proxy.sent_us)
-        self.limits.observe_queue(now, self.waiting)
+        self.limits.observe_queue(now, self.unacknowledged_lines)
 
     def check_warming(self, now: int) -> None:
-        """Check the largest published weight of each server in slow start against its limit."""
+        """Observe the largest published weight of each server in slow start; forget warm servers."""
         for address in tuple(self.warming):
             server = self.servers[address]
             entry = server.entry
--- a/rainpick/store/blocks.py
+++ b/rainpick/store/blocks.py
@@ -12,11 +12,11 @@
 from rainpick.store.errors import BlockError, StoreError
 
 FORMAT = 1
-SEGMENT_HEADER = struct.Struct(">4sHQ")  # magic, format, number
+SEGMENT_HEADER = struct.Struct(">4sHQ")  # magic, format, segment number
 SEGMENT_MAGIC, BLOCK_MAGIC = b"RPSG", b"RPBK"
-BLOCK_HEADER = struct.Struct(">4sIIQQQ")  # magic, size, record count, first and last time, checksum
-MAX_STORED_BYTES = 64 << 20  # of a compressed block; a header with a larger size is damaged
-MAX_UNPACKED_BYTES = 256 << 20  # of a decompressed block
+BLOCK_HEADER = struct.Struct(">4sIIQQQ")  # magic, then the fields of ``BlockHeader``
+MAX_STORED_BYTES = 64 << 20  # maximum size of a compressed block; a header with a larger size is damaged
+MAX_UNPACKED_BYTES = 256 << 20  # maximum size of a decompressed block
 
 Row = tuple[int, int, bytes]  # a stored record: time in microseconds, kind, payload
 
@@ -37,7 +37,11 @@
 
 
 def check_segment_header(data: bytes, number: int) -> None:
-    """Raise ``BlockError`` if the header is truncated or damaged, ``StoreError`` if the format differs."""
+    """Check the segment header at the start of ``data``; ``number`` is the expected segment number.
+
+    ``BlockError`` if the header is truncated or damaged or has another segment number, ``StoreError`` if its
+    format is not ``FORMAT``.
+    """
     if len(data) < SEGMENT_HEADER.size:
         raise BlockError("the segment's head is cut off")
     magic, stored_format, stored_number = SEGMENT_HEADER.unpack_from(data)
@@ -73,7 +77,7 @@
 
 
 def decode_block(header: BlockHeader, stored: bytes) -> list[Row]:
-    """Decode the records of a block; ``BlockError`` if the block is truncated or any bit of it is wrong."""
+    """Decode the records of a block; ``BlockError`` if it is truncated or any bit of it is wrong."""
     if len(stored) < header.stored:
         raise BlockError("a block is cut off")
     if checksum(stored, header.records, header.first_us, header.last_us) != header.checksum:
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -36,11 +36,11 @@
         self.max_segment_bytes = max_segment_bytes
         self.max_total_bytes, self.max_age_us = max_total_bytes, max_age_us
         self.sync = sync
-        self.unwritten: list[Row] = []
-        self.written = 0  # records
-        self.lost = 0  # records
+        self.unwritten: list[Row] = []  # records appended since the last flush
+        self.written = 0  # number of records in written blocks
+        self.lost = 0  # number of records dropped on write errors
         self.torn: Torn | None = None
-        self.segment_number = 0  # of the current segment
+        self.segment_number = 0  # number of the segment that is being written
         self.file: BinaryIO
         folder.mkdir(parents=True, exist_ok=True)
         numbers = segment_numbers(folder)
@@ -77,13 +77,13 @@
         self.delete_old_segments()
 
     def flush_file(self) -> None:
-        """Flush the file to the operating system and, with ``sync``, to the disk."""
+        """Flush the segment file to the operating system and, with ``sync``, to the disk."""
         self.file.flush()
         if self.sync:
             os.fsync(self.file.fileno())
 
     def delete_old_segments(self) -> None:
-        """Delete the oldest segments while a limit of size or age is exceeded; never the last one."""
+        """Delete the oldest segments while the limit of size or age is exceeded; keep the newest always."""
         stats = [
             (segment_number, segment_path(self.folder, segment_number).stat())
             for segment_number in segment_numbers(self.folder)
@@ -103,9 +103,9 @@
         self.unwritten.append((time_us, kind, payload))
 
     def flush(self) -> None:
-        """Write the buffered records as one block.
+        """Write any buffered records as one block; create a new segment if the current one is full.
 
-        On a write error they are dropped and counted in ``lost``, and ``FullError`` is raised.
+        On a write error the records are dropped and counted in ``lost``, and ``FullError`` is raised.
         """
         if not self.unwritten:
             return
@@ -130,16 +130,17 @@
         self.file.write(data)
 
     def roll_back(self, start: int) -> None:
-        """Truncate the segment to ``start``, so that no partial block precedes the next one."""
+        """Truncate the segment to the offset ``start``, so that no partial block precedes the next one."""
         with contextlib.suppress(OSError):
-            self.file.close()  # its buffer may hold a part of the block, so errors are ignored
+            # Flushes the rest of the block, which may fail again. The file is truncated in either case.
+            self.file.close()
         path = segment_path(self.folder, self.segment_number)
         self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
         self.file.truncate(start)
         self.file.seek(start)
 
     def close(self) -> None:
-        """Flush and close the file; ``FullError`` as for ``flush``."""
+        """Flush the buffered records and close the segment file; ``FullError`` as for ``flush``."""
         try:
             self.flush()
         finally:
--- a/rainpick/store/reader.py
+++ b/rainpick/store/reader.py
@@ -34,7 +34,7 @@
 class Torn(NamedTuple):
     """An incomplete block at the end of a segment, for example after a crash. It contains no records."""
 
-    segment: int
+    segment: int  # number of the segment
     at: int  # offset in the segment
     size: int  # bytes
 
@@ -42,21 +42,21 @@
 class Damage(NamedTuple):
     """Damaged bytes within a segment. The records in them are skipped."""
 
-    segment: int
+    segment: int  # number of the segment
     at: int  # offset in the segment
     size: int  # bytes
     why: str
 
 
 class Gap(NamedTuple):
-    """A range of missing segments, from ``first`` to ``last``."""
+    """A range of missing segments, from number ``first`` to number ``last``, both included."""
 
     first: int
     last: int
 
 
 class Block(NamedTuple):
-    """A complete and undamaged block."""
+    """A complete and undamaged block with its records."""
 
     at: int  # offset in the segment
     rows: list[Row]
@@ -95,8 +95,9 @@
 ) -> Iterator[Block | Damage | Torn]:
     """Yield the blocks of a segment in order, with ``Damage`` or ``Torn`` in place of invalid bytes.
 
-    Invalid bytes are ``Torn`` if no complete block follows them, otherwise ``Damage``. Block headers serve as
-    the index by time: a block entirely outside the range is skipped, and its content is not checked.
+    Invalid bytes are reported as ``Torn`` if no complete block follows them, otherwise as ``Damage``. Block
+    headers serve as the index by time: a block entirely outside the range is skipped without a check of its
+    content.
     ``StoreError`` if the segment has another format.
     """
     data = segment_path(folder, number).read_bytes()
--- a/tests/publish/test_pins.py
+++ b/tests/publish/test_pins.py
@@ -1,4 +1,4 @@
-"""Pinned table versions: the entries of an earlier version that may still be published."""
+"""Pinned table versions: the entries that are published, and the conditions of a pin."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 class PinnedFleet:
-    """A table of four servers with pins, and the server states that the pins query."""
+    """A table of four servers that can be pinned, and the server states that the pins query."""
 
     def __init__(self):
         self.tables = Tables(Scale(16.0), lambda _: 1.0)
--- a/tests/publish/test_table_updates.py
+++ b/tests/publish/test_table_updates.py
@@ -28,7 +28,11 @@
 
 
 class TableDistribution:
-    """A table at the director and a proxy that follows it. ``next_update`` stands in for the engine."""
+    """A table at the director and a proxy that follows it.
+
+    ``next_update`` returns the update that the director would send now. ``base`` is the version from which it
+    makes a delta; None if it must send a snapshot.
+    """
 
     def __init__(self, servers=12):
         self.tables = Tables(Scale(16.0), lambda _: 1.0)
@@ -81,7 +85,7 @@
     distribution = TableDistribution()
     for number in (1, 2):
         distribution.set_weight(number, 2.0)
-        distribution.next_update()  # lost
+        distribution.next_update()  # the delta does not reach the proxy
     distribution.set_weight(3, 0.0)
     fault = distribution.follower.apply(distribution.next_update())
     assert fault.cause == "gap" and "127.0.0.1:9003" not in distribution.follower.weights, (
--- a/tests/record/test_clock.py
+++ b/tests/record/test_clock.py
@@ -30,11 +30,11 @@
 def test_two_records_are_merged_by_wall_clock_and_each_keeps_its_order(tmp_path):
     write_record(tmp_path / "a", 1_000, *ticks(0, 10, 20))
     write_record(tmp_path / "b", 1_005, *ticks(0, 10, 20), director=1)
-    found = [
+    merged = [
         (timed_step.wall_us, timed_step.incarnation.director)
         for timed_step in merge_by_wall_clock([tmp_path / "a", tmp_path / "b"])
     ]
-    assert found == [(1_000, 0), (1_005, 1), (1_010, 0), (1_015, 1), (1_020, 0), (1_025, 1)]
+    assert merged == [(1_000, 0), (1_005, 1), (1_010, 0), (1_015, 1), (1_020, 0), (1_025, 1)]
 
 
 def test_two_directors_are_replayed_in_wall_clock_order_and_up_to_a_point_in_time(tmp_path):
@@ -59,7 +59,7 @@
     assert calls == [("a", 0), ("b", 0), ("a", 10), ("b", 10), ("a", 20), ("b", 20)]
     found = [(result.incarnation.director, result.steps, result.differing) for result in results]
     assert found == [(0, 3, 0), (1, 3, 0)]
-    # 12 us after the first step of all, director 0 has run its second step and director 1 its first.
+    # 12 us after the earliest step of both records, director 0 has run two steps and director 1 one.
     assert [replay.last_step.now for replay in replay_until(folders, 12e-6)] == [10, 0]
     assert [replay.last_step.now for replay in replay_until(folders, 2e-6)] == [0]
     assert [replay.last_step.now for replay in replay_until(folders, None)] == [20, 20]
@@ -69,8 +69,8 @@
     write_record(tmp_path / "a", 5_000, *ticks(0, 10))
     write_record(tmp_path / "a", 1_000, *ticks(0, 10))
     write_record(tmp_path / "b", 5_005, *ticks(0, 100), director=1)
-    found = list(merge_by_wall_clock([tmp_path / "a", tmp_path / "b"]))
-    assert [timed_step.position for timed_step in found if timed_step.record == 0] == [1, 2, 3, 4]
+    merged = list(merge_by_wall_clock([tmp_path / "a", tmp_path / "b"]))
+    assert [timed_step.position for timed_step in merged if timed_step.record == 0] == [1, 2, 3, 4]
     assert [timed_step.wall_us for timed_step in read_timed_steps(tmp_path / "a")] == [
         5_000,
         5_010,
@@ -78,7 +78,7 @@
         1_010,
     ]
     # The second incarnation follows the first one in spite of its earlier wall clock times.
-    assert [(timed_step.record, timed_step.position) for timed_step in found] == [
+    assert [(timed_step.record, timed_step.position) for timed_step in merged] == [
         (0, 1),
         (1, 1),
         (0, 2),
@@ -88,8 +88,8 @@
     ]
 
 
-def load_report(span_us):
-    return model.ServerLoadReport(("10.0.0.1", 1), 0, 3, 0, 5, span_us, ())
+def load_report(interval_us):
+    return model.ServerLoadReport(("10.0.0.1", 1), 0, 3, 0, 5, interval_us, ())
 
 
 def test_reports_received_out_of_order_have_both_positions():
--- a/tests/record/test_compare.py
+++ b/tests/record/test_compare.py
@@ -84,13 +84,13 @@
         ],
     )
     view.apply_events(5_800_000, [])
-    found = view.counts
-    assert (found["ejections"], found["returns"], found["drains and losses told"]) == (1, 1, 1)
-    assert (found["lines laid"], found["weights lowered"], found["weights raised"]) == (2, 1, 1)
-    assert found["messages"] == 5 and found["throttled further"] == 1 and view.throttled_us == 3_000_000
+    counts = view.counts
+    assert (counts["ejections"], counts["returns"], counts["drains and losses told"]) == (1, 1, 1)
+    assert (counts["lines laid"], counts["weights lowered"], counts["weights raised"]) == (2, 1, 1)
+    assert counts["messages"] == 5 and counts["throttled further"] == 1 and view.throttled_us == 3_000_000
     assert (
         view.limits.approaches["messages"].fraction == 5 / 4
-        and view.limits.approaches["queue"].fraction == view.waiting / 100 > 0
+        and view.limits.approaches["queue"].fraction == view.unacknowledged_lines / 100 > 0
     )
 
 
@@ -100,7 +100,7 @@
         20_000_000, [model.EndpointUpdate(model.UpdateKind.DELTA, (entry(TWO, started_us=20_000_000),), 2)]
     )
     view.apply_commands(20_000_000, [])
-    # The full weight at a fifth of the capacity.
+    # The full weight is published at a fifth of the capacity, five times what the server can handle.
     assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)
     view.apply_commands(20_000_000, [model.SetWeight(0, TWO, 0.1)])
     assert view.limits.approaches["cold"].fraction == pytest.approx(5.0)
@@ -145,7 +145,7 @@
     for second in range(21, 40):
         comparison.apply(second * 1_000_000, [], [], [])
     found = comparison.result()
-    # Half of the requests are diverted, so the mean of ten seconds exceeds a fifth after five seconds.
+    # Half of the requests are diverted from 20 s on. The mean over 10 s exceeds a fifth with 5 such samples.
     assert found.valid_until_s == 24 and 0.2 < found.diverted < 0.3
     assert {row.server for row in found.share_changes} == {"10.0.0.1:1", "10.0.0.1:2"}
 
@@ -176,7 +176,7 @@
     cold = dict(inspect.server(director, "127.0.0.1:9009")["because"])
     assert 0 < cold["it has just started"] < 1 and cold["the server is eased"] == 1.0
     assert dict(inspect.server(director, "127.0.0.1:9001")["because"])["its state on the list"] == 0.0
-    # Inspection must not change a server, although computing its percentage ends a complete recovery.
+    # Inspection must not change a server: computing the percentage would end a complete recovery.
     assert all(
         vars(server_state) == before[address] for address, server_state in director.fleet.servers.items()
     )
--- a/tests/record/test_days.py
+++ b/tests/record/test_days.py
@@ -58,8 +58,8 @@
     rows = [line.split()[:3] for line in found.stdout.splitlines()]
     times = [float(second) for second, _, _ in rows]
     assert times == sorted(times) and {director for _, director, _ in rows} == {"0", "1"}
-    # Replayed together, both records give the same results as alone. The fleet is inspected while no proxy
-    # connects: half a second after the streams broke, the number of reconnected proxies was random.
+    # Replayed together, both records give the same results as alone. The fleet is inspected at 3 s, when no
+    # proxy connects: half a second after the streams break, the number of reconnected proxies is random.
     command = [
         sys.executable,
         "-m",
--- a/tests/record/test_load.py
+++ b/tests/record/test_load.py
@@ -140,7 +140,7 @@
 
 
 def test_an_edited_module_is_loaded_without_the_bytecode_cache(tmp_path):
-    """Guards against stale code: a cached file matches by size and modification second only."""
+    """Guards against stale code: the cache identifies a source by its size and modification second only."""
     text = "from .words import TEXT\nfrom rainpick.model import LogMessage\nclass Director:\n"
     text += "    def step(self, now, events):\n        return [LogMessage(TEXT)]\n"
     found = [
@@ -149,7 +149,8 @@
         )
         for number in range(3)
     ]
-    assert found == [0, 1, 2]  # although all three have the same size and may be written within one second
+    # All three sources have the same size and may be written within one second.
+    assert found == [0, 1, 2]
 
 
 @pytest.mark.parametrize(
--- a/tests/record/test_recorder.py
+++ b/tests/record/test_recorder.py
@@ -48,7 +48,7 @@
 
 
 def test_a_disk_that_fills_up_within_a_block_loses_that_block(tmp_path):
-    """The core continues, lost steps are counted, and a replay of the incarnation ends at the gap."""
+    """The later step is recorded, and the record shows where and how many steps are missing."""
     recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
     recorder.step(1, [model.TimerFired(1)], [])
     until(lambda: recorder.store.written >= 1)
--- a/tests/record/test_replay.py
+++ b/tests/record/test_replay.py
@@ -47,7 +47,7 @@
     assert share_changes["127.0.0.1:9009"].replayed < share_changes["127.0.0.1:9009"].recorded
 
 
-def test_a_setting_that_affects_the_first_commands(tmp_path):
+def test_a_setting_that_affects_the_first_commands_differs_from_the_first_steps_on(tmp_path):
     record_day(tmp_path)
     (result,) = replay_all(tmp_path, setting_overrides={"proxies.pending_max": 1})
     assert (
--- a/tests/record/test_steps.py
+++ b/tests/record/test_steps.py
@@ -53,7 +53,7 @@
 
 
 def test_a_record_of_another_version_is_decoded_by_field_names():
-    """Fields may have another order, an unknown field is skipped, and a missing field is an error."""
+    """Stored fields may have another order or be unknown to this program; a missing field is an error."""
     declarations = [list(row) for row in TYPE_DECLARATIONS]
     withdraw = next(index for index, row in enumerate(declarations) if row[0] == "Withdraw")
     declarations[withdraw] = ["Withdraw", "why", "on", "server"]
--- a/tests/store/test_log.py
+++ b/tests/store/test_log.py
@@ -1,4 +1,4 @@
-"""The store after truncation, flipped bits and a full disk, and its limits of size and age."""
+"""Reading of a store after truncation, flipped bits and a full disk, and its limits of size and age."""
 
 import errno
 import os
@@ -148,7 +148,7 @@
 
 
 def test_blocks_outside_the_time_range_are_not_decoded(tmp_path, monkeypatch):
-    """Block headers are the index by time: blocks outside the range are skipped, other records are kept."""
+    """Guards against a slow read of a time range: only blocks whose header overlaps the range are decoded."""
     log = Log(tmp_path, sync=False)
     for second in range(50):
         log.append(second * 10, 1, b"a")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 from rainpick.simulated_peers.ports import free_ports
 from tests.loopback.help import MemberEnd, ProxyEnd, running
 
-RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # has two segments
+RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # a record in two segments
 FRONTS = "sasp", "otlp", "status"
 MINIMAL = '{routes: [{name: "a", slo_time: "1s", time_limit: "2s"}]}'
 
@@ -120,7 +120,7 @@
 
 
 def start_director(tmp_path, **parts):
-    """Start a director in a process of its own."""
+    """Start a director in a process of its own. ``parts`` override or extend its settings file."""
     listen = {front: f"127.0.0.1:{port}" for front, port in zip(FRONTS, free_ports(3), strict=True)}
     path = tmp_path / "director.json5"
     path.write_text(
