--- a/rainpick/director/tables.py
+++ b/rainpick/director/tables.py
@@ -60,8 +60,8 @@
         self.snapshots: dict[int, Snapshot] = {}  # newest version by table; removed when the table changes
         self.history: dict[int, deque[Snapshot]] = {}  # retained versions by table, oldest first
         self.admission = AdmissionRates()
-        # Maps a table's number and lines to the lines to publish; replaced by ``TablePins.overlay``.
-        self.overlay: Callable[[int, Lines], Lines] = lambda _, lines: lines
+        # Maps a table's number and lines to the lines to publish; replaced by ``TablePins.lines_to_publish``.
+        self.lines_to_publish: Callable[[int, Lines], Lines] = lambda _, lines: lines
 
     # Proxies
 
@@ -182,7 +182,7 @@
             server: (0, WITHDRAWN) if server in self.withdrawn else (self.scale(weight), OPEN)
             for server, weight in self.lines.get(table, {}).items()
         }
-        lines = self.overlay(table, lines)
+        lines = self.lines_to_publish(table, lines)
         history = self.history.setdefault(table, deque(maxlen=MAX_VERSIONS))
         if not history or history[-1].lines != lines:
             version = history[-1].version + 1 if history else 1
