--- a/rainpick/decisions/admission.py
+++ b/rainpick/decisions/admission.py
@@ -1,8 +1,9 @@
-"""Admission control: under congestion proxies admit only what is answered, routes of high priority first.
+"""Admission control: under congestion, limits the requests that proxies admit to those that servers answer.
 
-It prevents congestion that client retries sustain after its cause has ended. The limit never falls below a
-fraction of the requests answered at first. It is relative to the usual request rate of the joined proxies,
-since more of them may join.
+Routes of high priority are admitted first. Without a limit, client retries can sustain congestion after its
+cause has ended. The limit starts at the rate of answered attempts, and never falls below a fixed fraction of
+this initial limit. It is stored as a ratio to the usual request rate of the joined proxies, because further
+proxies may join.
 """
 
 from __future__ import annotations
@@ -16,18 +17,22 @@
 from rainpick.decisions.sliding_window import BUCKETS, RECENT_BUCKETS
 from rainpick.model import RetryPolicy
 
-OVERLOAD_LATENCY_RATIO = 0.5  # requests are limited above this fraction of the latency objective
-LIMIT_MIN = 0.6  # of the initial limit
-LIMIT_DECREASE = 0.9
-LIMIT_INCREASE = 1.1
-LIMIT_INCREASE_FAST = LIMIT_INCREASE**3  # while latency is far below the overload ratio
-LIMIT_INCREASE_SLOW = 1.02  # above the last excessive limit
-SILENT, RATIO = "silent", "ratio"  # admission modes of proxies, beside a rate for each proxy
+OVERLOAD_LATENCY_RATIO = 0.5  # admission is limited if latency exceeds this fraction of the objective
+LIMIT_MIN = 0.6  # minimum of the limit, as a fraction of the initial limit
+LIMIT_DECREASE = 0.9  # factor applied to the limit under overload
+LIMIT_INCREASE = 1.1  # factor applied to the limit without overload
+LIMIT_INCREASE_FAST = LIMIT_INCREASE**3  # while the latency ratio is at most half of the overload ratio
+LIMIT_INCREASE_SLOW = 1.02  # at or above the limit of the last overload
+# Admission modes of proxies: without admission control, or by a fraction of requests. In any other mode the
+# admission rate is a number of requests per second at each proxy.
+SILENT, RATIO = "silent", "ratio"
 UNLIMITED_RATE = 1e6
 
 
 def max_min_fair_limit(demands: Sequence[float], limit: float) -> float:
-    """Return the limit at which larger demands are cut so that all demands together use ``limit``.
+    """Return the maximum of each demand with which the demands add up to ``limit``: max-min fairness.
+
+    Smaller demands are met in full. The sum of the demands must exceed ``limit``.
 
     >>> max_min_fair_limit([1, 2, 9], 7)
     4.0
@@ -42,29 +47,32 @@
 class AdmissionControl:
     """Computes the admission rate of each route, once a tick.
 
-    ``limit`` is the admitted requests per usual request, None while nothing is limited.
+    ``limit`` is the total rate of admitted requests divided by the usual request rate of the joined proxies;
+    None while no requests are limited.
     """
 
     def __init__(self, fleet: Fleet, load: FleetLoad, capacity: WarmCapacity):
         self.fleet = fleet
         self.load = load
         self.capacity = capacity
-        self.rates: dict[int, float] = {}  # by route, as they should be published
+        self.rates: dict[int, float] = {}  # target admission rate by route
         self.limit: float | None = None
         self.initial_limit = 0.0
-        self.settled_us = 0  # from when on the limit may be lowered again
-        self.excessive_limit_per_weight = 1.0  # the last limit that caused overload, per warm weight
+        self.settled_us = 0  # time from which the limit may be lowered again
+        # The limit of the last overload, divided by the warm weight of the fleet at that time.
+        self.excessive_limit_per_weight = 1.0
 
     def update(self) -> None:
         """Recompute the admission rates."""
         self.rates = self.admission_rates()
 
     def admission_rates(self) -> dict[int, float]:
-        """Return the admission rate of each route; empty if nothing needs to be published."""
+        """Return the target admission rate by route; empty if no rate needs to be published."""
         settings = self.fleet.settings
         routes = range(len(settings.routes))
         if settings.admission == SILENT:
-            # Proxies ignore rates; only their retries, if they retry by default, have to be switched off.
+            # Proxies without admission control ignore rates. If they retry by default, a rate is published
+            # nevertheless, because the same command disables retries.
             if settings.default_retry_policy == RetryPolicy.NO_RETRY:
                 return {}
             return dict.fromkeys(routes, UNLIMITED_RATE)
@@ -84,12 +92,12 @@
         return 1.0 if self.fleet.settings.admission == RATIO else UNLIMITED_RATE
 
     def is_overloaded(self) -> bool:
-        """Return whether latency is high relative to the objective; failures lower the threshold."""
+        """Return whether the latency ratio exceeds its limit; failures lower this limit by up to one half."""
         answered = self.load.success_ratio + self.load.typical_success_ratio - 1
         return self.load.latency_ratio > OVERLOAD_LATENCY_RATIO * max(0.5, answered)
 
     def demands(self) -> dict[int, list[float]]:
-        """Return, by route, the requests per microsecond that reach each proxy."""
+        """Return, by route, the rate of requests that reach each proxy, in requests per microsecond."""
         demands: dict[int, list[float]] = {route: [] for route in range(len(self.fleet.settings.routes))}
         for proxy in self.fleet.proxies.values():
             for route, window in proxy.requests.items():
@@ -98,9 +106,10 @@
         return demands
 
     def reported_request_rate(self) -> float:
-        """Return the usual request rate of the proxies that joined long enough ago to be in the reports.
+        """Return the total usual request rate of the proxies that joined before the window of load reports.
 
-        A limit computed from proxies with few reports would reject nearly all requests.
+        The initial limit is divided by this rate. With proxies of which few attempts have been reported so
+        far, the limit would be so low that it rejected nearly all requests.
         """
         clock = self.fleet.clock
         since_us = clock.now - (BUCKETS + RECENT_BUCKETS) * clock.bucket_us
@@ -108,7 +117,10 @@
         return sum(proxy.request_rate for proxy in proxies if proxy.joined_us <= since_us)
 
     def adjusted_limit(self, reported_rate: float) -> float:
-        """Return the limit of this tick: initialized, lowered under overload, or raised again."""
+        """Return the limit for this tick: initialized, lowered under overload, or raised without overload.
+
+        Under overload, the limit remains unchanged for two ticks after it was initialized or lowered.
+        """
         clock = self.fleet.clock
         if self.limit is None:
             attempts, failures = self.load.totals.sums(clock.bucket)[:2]
@@ -124,14 +136,17 @@
         return max(LIMIT_MIN * self.initial_limit, LIMIT_DECREASE * self.limit)
 
     def increase_factor(self, limit: float) -> float:
-        """Return the factor by which the limit rises: small near the last excessive limit."""
+        """Return the factor by which the limit rises: small at or above the limit of the last overload."""
         if limit >= self.excessive_limit_per_weight * self.capacity.warm_weight:
             return LIMIT_INCREASE_SLOW
         slow = self.load.latency_ratio > OVERLOAD_LATENCY_RATIO / 2
         return LIMIT_INCREASE if slow else LIMIT_INCREASE_FAST
 
     def allocate(self, capacity: float, demands: dict[int, list[float]]) -> dict[int, float]:
-        """Allocate a capacity to the routes, the highest priority first; returns their admission rates."""
+        """Allocate a capacity to the routes, the highest priority first; returns their admission rates.
+
+        The capacity is in requests per microsecond, like the demands.
+        """
         routes, ratio = self.fleet.settings.routes, self.fleet.settings.admission == RATIO
         rates = {}
         for route in sorted(demands, key=lambda number: -routes[number].priority_weight):
--- a/rainpick/decisions/binding.py
+++ b/rainpick/decisions/binding.py
@@ -1,4 +1,8 @@
-"""Binds proxies to their tables, the earliest deadline first, then the proxies with the most requests."""
+"""Binds proxies to their tables.
+
+Tables with the earliest deadline are processed first, among these the tables with the busiest proxies. The
+proxies of a table are bound in descending order of their request rate.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +21,8 @@
 class Binding:
     """Binds the proxies that are not bound to a table yet.
 
-    A table is sent as a whole with each bind, so its draining servers are removed before proxies are bound to
-    it.
+    Each bind sends all servers of the table. Therefore terminating servers, which are draining or gone, are
+    removed from a table before proxies are bound to it, and withdrawn servers if this saves lines.
     """
 
     def __init__(
@@ -33,7 +37,7 @@
         """Bind as many proxies as the send queue has capacity for."""
         waiting: dict[Table, list[ProxyState]] = defaultdict(list)
         for proxy in self.fleet.unbound_proxies():
-            waiting[self.assignment.home(proxy)].append(proxy)
+            waiting[self.assignment.home_table(proxy)].append(proxy)
         if not waiting:
             return
         quotas, withdrawals = self.publisher.quotas, self.withdrawals
@@ -57,27 +61,28 @@
     def urgency(
         self, table: Table, waiting: Sequence[ProxyState], terminating: Sequence[ServerState]
     ) -> tuple[int, float, int]:
-        """Return the sort key of a table: its deadline class, then the request rate of its busiest proxy."""
+        """Return the sort key of a table: its deadline class, then its busiest unbound proxy."""
         busiest = max((proxy.request_rate for proxy in waiting), default=0.0)
         return self.withdrawals.deadline(terminating, waiting), -busiest, table.number
 
     def table_lines(self) -> Counter[int]:
-        """Return, by table, the lines of a bind: one for each server, and another for each withdrawn one."""
+        """Return, by table number, the lines of its servers in a bind: one for each, two if withdrawn."""
         servers = self.fleet.servers.values()
         sizes = Counter(number for server in servers for number in server.published_weights)
         sizes.update(number for server in servers if server.withdrawn for number in server.published_weights)
         return sizes
 
     def saves_lines(self, table: Table, waiting: Sequence[ProxyState]) -> bool:
-        """Return whether removing a server from a table takes fewer lines than binding proxies with it.
+        """Return whether removing a withdrawn server from a table takes fewer lines than binding with it.
 
-        In a takeover more proxies are expected than have joined so far.
+        It always does in a takeover of the proxies of a failed director, because more of them are expected
+        to join than those in ``waiting``.
         """
         lines = 1 if table.pending_lines else 1 + self.publisher.head_lines
         return self.withdrawals.is_takeover or len(table.proxies) * lines < 2 * len(waiting)
 
     def bind_to(self, table: Table, waiting: Sequence[ProxyState], table_lines: int) -> None:
-        """Bind proxies to a table while there is capacity, those with the most requests first."""
+        """Bind proxies to a table while there is capacity, in descending order of their request rate."""
         lines = self.publisher.head_lines + 1 + len(table.published_admission) + table_lines
         for proxy in sorted(waiting, key=lambda proxy: (-proxy.request_rate, proxy.number)):
             if self.publisher.can_bind(proxy, lines):
--- a/rainpick/decisions/capacity.py
+++ b/rainpick/decisions/capacity.py
@@ -1,4 +1,4 @@
-"""The warm capacity in use, and the reduction of servers that warm up once little of it is left."""
+"""Tracks the warm capacity in use, and reduces servers that warm up when little of this capacity is left."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.servers import ServerState
 
-LOW_WARM_WEIGHT_FRACTION = 0.75  # of the peak warm weight; below it servers that warm up get less
+LOW_WARM_WEIGHT_FRACTION = 0.75  # fraction of the peak warm weight below which warming servers are reduced
 
 
 class WarmCapacity:
@@ -15,7 +15,7 @@
 
     When few warm servers are left, proxies would send the requests of the lost ones to servers that warm up.
     Therefore the percentage of servers that warm up is multiplied by ``warming_fraction`` in the whole fleet,
-    and additionally by the fraction of each table.
+    and in each table by the ``warming_fraction`` of that table as well. Without any warm server, both are 1.
     """
 
     def __init__(self, fleet: Fleet):
@@ -27,7 +27,8 @@
     def update_fleet(self, warm: Collection[ServerState]) -> None:
         """Update the warm weight of the fleet.
 
-        Servers that have returned but are not published yet receive no requests and do not count.
+        Ejected and withdrawn servers receive no requests and do not count, nor does a server that has
+        returned but is not readmitted yet.
         """
         in_use = (
             server.endpoint.weight for server in warm if not (server.ejected_until_us or server.withdrawn)
@@ -38,7 +39,7 @@
         self.warming_fraction = min(1.0, remaining / LOW_WARM_WEIGHT_FRACTION)
 
     def update_tables(self) -> None:
-        """Update the warm weight of each table, after the servers' percentages have been set."""
+        """Update the warm weight of each table from the servers' percentages, which must be set before."""
         for table in self.fleet.tables:
             table.warm_weight = 0.0
         for server in self.fleet.servers.values():
@@ -48,5 +49,5 @@
         for table in self.fleet.tables:
             table.peak_warm_weight = max(table.peak_warm_weight, table.warm_weight)
             remaining = (table.warm_weight or table.peak_warm_weight) / table.peak_warm_weight
-            # The servers' percentages already include the fraction of the fleet.
+            # The servers' percentages already include the warming fraction of the fleet.
             table.warming_fraction = min(1.0, remaining / LOW_WARM_WEIGHT_FRACTION / self.warming_fraction)
--- a/rainpick/decisions/clock.py
+++ b/rainpick/decisions/clock.py
@@ -11,7 +11,8 @@
 class StepClock:
     """The time of the current step, and the numbers of its buckets.
 
-    ``bucket`` counts buckets of load reports, ``overload_bucket`` those of the overload observations.
+    ``bucket`` is the number of the bucket for load reports, ``overload_bucket`` the number of the bucket for
+    the observations of overload protection.
     """
 
     __slots__ = ("bucket", "bucket_us", "now", "overload_bucket_us", "settings")
@@ -28,14 +29,14 @@
 
     @property
     def overload_bucket(self) -> int:
-        """The current bucket of the overload observations."""
+        """The number of the current bucket for the observations of overload protection."""
         return self.now // self.overload_bucket_us
 
     def fit_buckets(self, servers: int, zones: int) -> None:
-        """Set the length of buckets so that the recent ones contain a report on every server.
+        """Set the length of buckets so that ``RECENT_BUCKETS`` of them contain a report on every server.
 
-        The rate of report lines is limited. A window shorter than one round of reports would contain no
-        reports on most servers.
+        Load reports reach a director at a limited rate, so a round with a report on every server may take
+        longer than the report interval. A shorter window would contain no reports on most servers.
         """
         settings = self.settings
         zones = max(settings.directors, zones)
--- a/rainpick/decisions/concentration.py
+++ b/rainpick/decisions/concentration.py
@@ -1,7 +1,7 @@
 """Protects servers that warm up from the tables of a few busy proxies.
 
-Each director knows only its own proxies, and some of them are far busier than the others. Their tables could
-send a server that has just started several times its share of all requests.
+Each director knows only its own proxies, and some of them are far busier than the others. The proxies of one
+table could send a server that has just started several times its fair share of all requests.
 """
 
 from __future__ import annotations
@@ -14,7 +14,10 @@
 
 
 def update_concentration(fleet: Fleet, assignment: TableAssignment) -> None:
-    """Set the concentration factor of each server that warms up so that it receives at most its share."""
+    """Set the concentration factor of each server that warms up, so that it receives at most its fair share.
+
+    The fair share is the part of all requests that corresponds to the server's part of the usable weight.
+    """
     for server in fleet.servers.values():
         server.concentration_factor = 1.0
     rates = {table: sum(proxy.request_rate for proxy in table.proxies.values()) for table in fleet.tables}
--- a/rainpick/decisions/director.py
+++ b/rainpick/decisions/director.py
@@ -1,9 +1,8 @@
 """The decisions of one director: events in, commands out.
 
-Create one ``Director`` per instance. Call ``step`` with the current time and the new events; it returns the
-commands to carry out. The first event is ``Started``. Each concern has a module of its own, which owns its
-state; ``docs/design.md`` lists the parts of the design that were kept, the changes to it, and the conditions
-of each exception:
+Call ``Director.step`` with the current time and the new events; it returns the commands to carry out. The
+first event is ``Started``. ``docs/design.md`` lists the parts of the design that were kept, the changes to
+it, and the conditions of each exception. Each concern has a module of its own, which owns its state:
 
 - ``endpoint_list``, ``proxy_membership``, ``fleet_load``: apply events to the state;
 - ``slow_start``, ``capacity``, ``outlier_detection``, ``overload``, ``concentration``: determine the
@@ -45,7 +44,7 @@
 
 
 class Director:
-    """One director instance; it shares no state with others. The event ``Started`` creates its components."""
+    """A director. Instances share no state; the event ``Started`` creates all components of an instance."""
 
     fleet: Fleet
     load: FleetLoad
@@ -92,7 +91,7 @@
         return commands
 
     def start(self, now: int, event: model.Started) -> list[model.Subscribe]:
-        """Create all components with empty state; returns the first commands."""
+        """Create all components with empty state; returns a subscription if the settings require one."""
         settings = read_settings(event.settings)
         self.fleet = fleet = Fleet(settings, now)
         self.load = FleetLoad(fleet)
@@ -141,17 +140,20 @@
             self.endpoint_list.apply(event)
 
     def timer_fired(self, event: model.TimerFired) -> None:
-        """Subscribe again after a failed update; the update timer only has to trigger a step."""
+        """Subscribe again if the subscription timer fired.
+
+        The update timer needs no handling here, because any event causes a step.
+        """
         if event.token == SUBSCRIBE_TIMER:
             self.publisher.commands.append(model.Subscribe(True))
 
     def proxy_joined(self, event: model.ProxyJoined) -> None:
-        """Add a proxy, which is unbound at first, and request an update."""
+        """Add a proxy, which is unbound at first, and publish in this step."""
         self.proxy_membership.joined(event)
         self.update_due = True
 
     def retransmitted(self, event: model.Retransmitted) -> None:
-        """Account for a reply that is sent again because it may have been applied without an answer."""
+        """Count a reply again that is sent again because its first transmission was not answered."""
         self.publisher.retransmitted(event.nonce)
 
     def server_reported(self, event: model.ServerLoadReport) -> None:
@@ -159,14 +161,14 @@
         self.load.record(event, self.overload.settled_us)
 
     def key_range_assigned(self, event: model.KeyRangeAssigned) -> None:
-        """Add a key range that was assigned to this director, or remove one that was taken from it."""
+        """Add a newly assigned key range, or remove one that is no longer assigned to this director."""
         self.update_due = True
         self.key_ranges.assigned(event)
 
     # Decisions
 
     def publish(self) -> None:
-        """Compute the target state, and publish as much of the difference as there is capacity for."""
+        """Compute the target state, and publish changes towards it as far as the channel has capacity."""
         if self.fleet.settings.uses_key_ranges:
             conditions = self.conditions()
             self.publisher.commands += self.key_ranges.publish(
@@ -176,9 +178,10 @@
             self.update_tables()
 
     def update_tables(self) -> None:
-        """Publish changes of tables, in the order of their priority.
+        """Recompute the decisions, and publish changes of tables in the order of their priority.
 
-        Changes that the rules require come first, then those with a deadline, then weight updates.
+        The order is: withdrawals, servers for empty tables, admission rates, binds, urgent weight changes,
+        and the weight updates of the tick. Earlier changes may use up the capacity for later ones.
         """
         fleet, publisher, quotas = self.fleet, self.publisher, self.publisher.quotas
         publisher.begin()
@@ -196,11 +199,12 @@
         populated, warm_populated = populated_tables(fleet.servers.values()), populated_tables(warm)
         self.weight_updates.fill_empty_tables(populated, quotas.rule)
         self.publish_admission()
-        # Binds precede the rest because an unbound proxy may still use a draining server.
+        # Binds precede weight changes because an unbound proxy may still use a draining server.
         self.binding.publish()
         self.weight_updates.protect_warming_servers(warm, populated, warm_populated, overdue)
-        # Weight updates leave one message more in reserve: when a zone returns, its servers' starts are
-        # discovered one after another, and this takes several messages.
+        # Weight updates need more available messages at each proxy than other commands do: when a zone
+        # returns, the starts of its servers are discovered one after another, and their weights take several
+        # messages.
         if not fleet.unbound_proxies():
             self.weight_updates.publish_batch(quotas.update)
         publisher.finish()
@@ -221,13 +225,13 @@
 
     @staticmethod
     def readmit_if_all_are_ejected(warm: dict[ServerState, None]) -> None:
-        """End all ejections if no other warm server is left: any server is better than none."""
+        """End the ejections of warm servers if all of them are ejected: any server is better than none."""
         if all(server.ejected_until_us for server in warm):
             for server in warm:
                 server.ejected_until_us = 0
 
     def conditions(self) -> Conditions:
-        """Return the fleet-wide inputs of the servers' percentages in this step."""
+        """Return the fleet-wide values on which the servers' percentages depend in this step."""
         return Conditions(
             machine_type_factors=self.overload.machine_type_factors,
             success_ratio=self.load.success_ratio,
@@ -236,7 +240,7 @@
         )
 
     def update_percentages(self, warm: dict[ServerState, None]) -> None:
-        """Set each server's percentage, and update the warm capacity in use."""
+        """Set the percentage of each server and whether it is warm, and update the warm capacity in use."""
         self.capacity.update_fleet(warm)
         conditions = self.conditions()
         for server in self.fleet.servers.values():
@@ -245,7 +249,10 @@
         self.capacity.update_tables()
 
     def publish_admission(self) -> None:
-        """Publish admission rates to the tables whose published rates differ."""
+        """Publish the changed admission rates to each used table.
+
+        A table to which they cannot be sent for lack of capacity is tried again in later steps.
+        """
         rates = self.admission.rates
         for table in self.fleet.tables:
             published = table.published_admission
--- a/rainpick/decisions/endpoint_list.py
+++ b/rainpick/decisions/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Applies the endpoint list to the fleet: which servers exist, and which are draining, gone or missing."""
+"""Applies the endpoint list to the fleet: adds servers, and marks them as draining, gone or missing."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from rainpick.decisions.sliding_window import SlidingWindow
 from rainpick.model import Address, Endpoint, EndpointUpdate, UpdateKind
 
-FORGET_TICKS = 30  # ticks after which a gone server is forgotten
-FORGOTTEN_MAX = 4096  # forgotten servers that are remembered as withdrawn
+FORGET_TICKS = 30  # ticks after which the state of a gone server is deleted
+FORGOTTEN_MAX = 4096  # maximum number of addresses that are kept of such servers
 
 
 class EndpointList:
@@ -16,7 +16,8 @@
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
-        # Forgotten servers that are still withdrawn at the proxies, the newest last.
+        # Addresses of servers whose state was deleted, the newest last. Proxies still have these servers as
+        # withdrawn, so a server that returns to the list has to be readmitted.
         self.forgotten: dict[Address, bool] = {}
 
     def apply(self, update: EndpointUpdate) -> None:
@@ -33,7 +34,7 @@
             self.fleet.clock.fit_buckets(len(present), zones)
 
     def apply_entry(self, entry: Endpoint) -> None:
-        """Apply one entry of the list."""
+        """Apply one entry of the list: add, update or drop its server."""
         if entry.state == GONE and entry.address in self.forgotten:
             return
         server = self.fleet.servers.setdefault(entry.address, ServerState(entry))
@@ -53,7 +54,11 @@
         server.presumed_gone = False
 
     def drop(self, server: ServerState) -> None:
-        """Mark a server that the list dropped as missing if that is not final, else as gone."""
+        """Mark a server as missing or gone that the list reports as gone or no longer contains.
+
+        A ready server becomes missing if, by the settings, a server that the list dropped may still serve. A
+        missing server remains missing; any other becomes gone.
+        """
         if server.status == READY and self.fleet.settings.gone_is_not_final:
             server.status = MISSING
             server.observations = SlidingWindow(OBSERVATION_COLUMNS)
@@ -63,10 +68,10 @@
             server.status = GONE
 
     def forget_gone(self) -> None:
-        """Forget servers that have been gone for long; called once a tick.
+        """Delete the state of servers that have been gone for ``FORGET_TICKS`` ticks; called once a tick.
 
-        Servers are replaced continuously: neither memory nor the time of a step may grow with the number of
-        servers that have left.
+        Servers are replaced continuously, and neither memory nor the time of a step may grow with the number
+        of servers that have left. Servers that are still assigned to a table are kept.
         """
         servers = self.fleet.servers
         for address, server in list(servers.items()):
--- a/rainpick/decisions/fleet.py
+++ b/rainpick/decisions/fleet.py
@@ -15,9 +15,9 @@
 class Fleet:
     """The state that several decisions read; ``docs/architecture.md`` lists which module writes what.
 
-    ``unbound`` contains proxies that are not bound to a table and may use any servers. Each table has its own
-    group of unbound proxies that may still use the servers another director published under the table's
-    number.
+    ``unbound`` contains the unbound proxies that may use any server, because the director does not know their
+    default tables. An unbound proxy that joined from another director may still use the servers which that
+    director published; it is in the group ``unbound`` of the table that it will be bound to.
     """
 
     def __init__(self, settings: DecisionSettings, now: int):
@@ -29,7 +29,7 @@
         self.unbound = ProxyGroup()
 
     def is_warm(self, server: ServerState) -> bool:
-        """Return whether a server is serving and old enough for its full capacity."""
+        """Return whether a server is serving and has run long enough to have its full capacity."""
         started_us = server.endpoint.started_us
         old = not started_us or self.clock.now - started_us >= self.settings.warm_after_us
         return server.is_serving and old
@@ -47,6 +47,7 @@
     def unbound_holders(self, server: ServerState) -> list[ProxyGroup]:
         """Return the groups of unbound proxies that may use a server.
 
-        A proxy may use it because an earlier director published it, or because it is in its default table.
+        An earlier director may have published the server to such proxies, or it may be in their default
+        tables.
         """
         return [self.unbound, *(table.unbound for table in server.tables or self.tables)]
--- a/rainpick/decisions/fleet_load.py
+++ b/rainpick/decisions/fleet_load.py
@@ -1,4 +1,4 @@
-"""The load of the whole fleet, from load reports: latency, success ratio, congestion."""
+"""The latency and the success ratio of the whole fleet, computed from load reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rainpick.decisions.sliding_window import RECENT_BUCKETS, SlidingWindow
 from rainpick.model import ServerLoadReport
 
-SUCCESS_RATIO_ATTEMPTS_MIN = 4  # fewer attempts do not represent the fleet
+SUCCESS_RATIO_ATTEMPTS_MIN = 4  # minimum divisor: the failure of fewer attempts does not represent the fleet
 HEALTHY_SUCCESS_RATIO = 0.7  # a fleet that answers a smaller fraction of its attempts is not healthy
 CONGESTED_LATENCY_RATIO = 0.6  # a fleet is congested above this ratio of median latency to the objective
 
@@ -21,7 +21,7 @@
 
     attempts: int
     failures: int
-    latency_us: int  # sum over answered attempts
+    latency_us: int  # total latency of answered attempts
 
     @property
     def answered(self) -> int:
@@ -32,8 +32,9 @@
 class FleetLoad:
     """Aggregated load reports of all servers.
 
-    ``latency_ratio`` is the median latency of servers over the latency objective, ``success_ratio`` the
-    recent fraction of answered attempts, and ``typical_success_ratio`` that fraction at the median server.
+    ``latency_ratio`` is the mean latency of the median server divided by the latency objective.
+    ``success_ratio`` is the fraction of all recent attempts that were answered, ``typical_success_ratio`` the
+    same fraction at the median server.
     """
 
     def __init__(self, fleet: Fleet):
@@ -47,7 +48,11 @@
         self.mean_report_interval_us = 0.0
 
     def record(self, report: ServerLoadReport, capacity_settled_us: int) -> None:
-        """Record a report; it counts as an overload observation only from ``capacity_settled_us`` on."""
+        """Add a report to the totals, and to the observations of its server unless that is ejected.
+
+        Overload protection only uses reports from times after the last change of the server's own capacity
+        factor and of any machine type's factor have settled; the latter is ``capacity_settled_us``.
+        """
         clock = self.fleet.clock
         self.totals.add(clock.bucket, report.attempts, report.failures, report.interval_us, 1)
         server = self.fleet.servers.get(report.server)
@@ -62,13 +67,13 @@
         self.has_new_reports = True
 
     def update_totals(self) -> None:
-        """Update the ratios over all servers from the recent reports."""
+        """Update the success ratio of the fleet and the mean report interval from the recent reports."""
         attempts, failures, interval_us, reports = self.totals.sums(self.fleet.clock.bucket, RECENT_BUCKETS)
         self.success_ratio = 1 - failures / max(attempts, SUCCESS_RATIO_ATTEMPTS_MIN)
         self.mean_report_interval_us = interval_us / max(1, reports)
 
     def update_medians(self, recent: Mapping[ServerState, Observations]) -> None:
-        """Update the ratios of the median server from the recent observations of each server."""
+        """Update the latency and the success ratio of the median server from recent observations."""
         latencies = [row.latency_us / row.answered for row in recent.values() if row.answered > 0]
         failed = [row.failures / row.attempts for row in recent.values() if row.attempts]
         self.latency_ratio = median(latencies or [0]) / self.fleet.settings.latency_objective_us
--- a/rainpick/decisions/key_ranges.py
+++ b/rainpick/decisions/key_ranges.py
@@ -1,6 +1,7 @@
 """Assigns key ranges to servers.
 
-A key range stays where it is until it has lost all its servers; then a weighted hash selects its new server.
+The weights of a key range remain unchanged while any of its servers is available. A key range without an
+available server is moved to one server, selected by weighted hashing.
 """
 
 from __future__ import annotations
@@ -21,18 +22,21 @@
         self.weights: dict[int, dict[Address, float]] = {}
 
     def assigned(self, event: KeyRangeAssigned) -> None:
-        """Add a key range that was assigned to this director, or remove one that was taken from it."""
+        """Add a newly assigned key range, or remove one that is no longer assigned to this director."""
         self.weights.pop(event.key_range, None)
         if event.assigned:
             self.weights[event.key_range] = {}
 
     def stored(self, event: KeyRangeWeight) -> None:
-        """Record a weight that the store holds for a key range."""
+        """Record a weight that the store holds for a key range; ignored if the key range is not assigned."""
         if event.key_range in self.weights:
             self.weights[event.key_range][event.server] = event.weight
 
     def publish(self, percentage: Callable[[ServerState], float]) -> list[SetWithdrawn | SetWeight]:
-        """Return commands that update withdrawals, and move key ranges that have lost all their servers."""
+        """Return commands that withdraw or readmit servers, and move key ranges without an available server.
+
+        ``percentage`` returns the current percentage of a server.
+        """
         servers = self.fleet.servers
         usable = [server for server in servers.values() if percentage(server) > 0]
         commands: list[SetWithdrawn | SetWeight] = []
@@ -52,7 +56,11 @@
     def move(
         self, number: int, weights: dict[Address, float], usable: list[ServerState]
     ) -> list[SetWithdrawn | SetWeight]:
-        """Move a key range to a usable server, selected by weighted hashing."""
+        """Move a key range to a usable server, selected by weighted hashing.
+
+        The weights of its previous servers are set to 0, unless the settings allow a key range only one
+        server, which the new weight replaces.
+        """
         new_owner = max(usable, key=lambda server: server.endpoint.weight * tie_break(server, number))
         address = new_owner.endpoint.address
         commands: list[SetWithdrawn | SetWeight] = [SetWeight(number, address, 1.0)]
--- a/rainpick/decisions/locality.py
+++ b/rainpick/decisions/locality.py
@@ -9,13 +9,14 @@
 from rainpick.decisions.servers import ServerState
 from rainpick.decisions.tables import Table
 
-SPILL_STEP = 0.25  # spill-over changes in steps of this size
+SPILL_STEP = 0.25  # spill-over is a multiple of this fraction
 
 
 class Locality:
-    """The fraction of their weight that servers of other zones have in the tables of each zone.
+    """Determines the spill-over of each zone.
 
-    0: the zone has capacity for all its own requests; 1: its tables use all zones alike.
+    This is the fraction of its weight that a server of another zone gets in the tables of the zone. 0: the
+    zone has capacity for all its own requests; 1: its tables use the servers of all zones alike.
     """
 
     def __init__(self, fleet: Fleet):
@@ -23,17 +24,20 @@
         self.spill: dict[int | None, float] = {}
 
     def is_remote(self, server: ServerState, table: Table) -> bool:
-        """Return whether a server is in another zone than a table."""
+        """Return whether a server is in another zone than a table; false if the table serves all zones."""
         return table.zone not in (None, server.endpoint.zone)
 
     def update(self, zones: Iterable[int | None]) -> None:
-        """Update the spill-over of each zone that has tables, in steps."""
+        """Set the spill-over of zones whose target differs by more than one step, rounded to steps."""
         for zone, target in self.target_spill(zones).items():
             if abs(target - self.spill.setdefault(zone, 0.0)) > SPILL_STEP:
                 self.spill[zone] = round(target / SPILL_STEP) * SPILL_STEP
 
     def target_spill(self, zones: Iterable[int | None]) -> dict[int | None, float]:
-        """Return, by zone, the demand above the capacity of its usable servers, from 0 to 1."""
+        """Return, by zone, the demand in excess of its usable capacity as a fraction of that, from 0 to 1.
+
+        The demand is estimated from the usual request rates of the proxies that joined this director.
+        """
         fleet, settings = self.fleet, self.fleet.settings
         usable: dict[int | None, float] = defaultdict(float)
         requested: dict[int | None, float] = defaultdict(float)
--- a/rainpick/decisions/outlier_detection.py
+++ b/rainpick/decisions/outlier_detection.py
@@ -17,21 +17,23 @@
 from rainpick.decisions.sliding_window import BUCKETS, RECENT_BUCKETS, SlidingWindow
 
 FAILURES_MIN = 4  # a server with fewer failures is not ejected
-EXCESS_FRACTION = 0.3  # fraction of attempts that fail in excess of the failure ratio of the others
+EXCESS_FRACTION = 0.3  # an outlier fails more than this fraction of attempts beyond the others' failure ratio
 SIGNIFICANT_DEVIATIONS = 3  # standard deviations above the expected number of failures
 FAST_LATENCY_MULTIPLE = 2  # a failing server below this multiple of the median latency is not overloaded
 BROKEN_FAILURE_RATIO = 0.85  # a server that fails a larger fraction of its attempts is not merely overloaded
-# A server is unresponsive if this many attempts were expected within this many rounds of reports, but none
-# was reported.
+# A server is unresponsive if no attempts at it were reported for more than UNRESPONSIVE_REPORT_ROUNDS rounds
+# of reports, although more than UNRESPONSIVE_ATTEMPTS_MIN attempts were expected in this time.
 UNRESPONSIVE_ATTEMPTS_MIN = 8
 UNRESPONSIVE_REPORT_ROUNDS = 2
-EJECTED_FRACTION_MAX = 0.34  # of the listed weight that may be ejected
-UNREACHABLE_EJECTED_FRACTION_MAX = 0.6  # the same for servers that answer no attempts
-PARTITIONED_SERVERS_MIN = 3  # failing servers in a partitioned zone, where most reported servers must fail
-PROBATION_ATTEMPTS = 3  # a readmitted server that fails over half of this many or more is ejected again
+EJECTED_FRACTION_MAX = 0.34  # maximum fraction of the listed weight of warm servers that may be ejected
+UNREACHABLE_EJECTED_FRACTION_MAX = 0.6  # this maximum for the ejection of a server that answers no attempts
+PARTITIONED_SERVERS_MIN = 3  # a zone with fewer failing servers is not considered partitioned
+PROBATION_ATTEMPTS = 3  # minimum number of attempts by which a recovering or missing server is evaluated
 # The first ejection lasts one tick; each further one in a row lasts twice as long, up to this many doublings.
 BACKOFF_DOUBLINGS_MAX = 3
-MISSING_FAILURE_RATIO_MIN = 0.5  # a missing server that fails more than this fraction is treated as gone
+# A missing server is one that was dropped by an endpoint list that may be wrong. It is treated as gone if it
+# fails a larger fraction of its attempts than this; the limit is higher if the whole fleet fails attempts.
+MISSING_FAILURE_RATIO_MIN = 0.5
 
 
 def is_significant(excess: float, attempts: float, baseline_ratio: float) -> bool:
@@ -41,7 +43,11 @@
 
 
 class DetectionSnapshot:
-    """The load reports that one detection evaluates, on serving servers that are warm and not ejected."""
+    """The load reports that one detection evaluates: those on warm servers that are not ejected.
+
+    ``observed`` covers the whole window, ``recent`` its last ``RECENT_BUCKETS`` buckets, ``latest`` the
+    current bucket.
+    """
 
     def __init__(self, fleet: Fleet, load: FleetLoad):
         bucket = fleet.clock.bucket
@@ -67,14 +73,17 @@
 
 
 class OutlierDetector:
-    """Evaluates new load reports and marks servers as ejected."""
+    """Evaluates load reports, marks servers as ejected, and ends ejections."""
 
     def __init__(self, fleet: Fleet, load: FleetLoad):
         self.fleet = fleet
         self.load = load
 
     def detect(self) -> None:
-        """Eject the outliers by the reports so far, servers with the most failures first."""
+        """Eject the outliers that the load reports show, in descending order of their failures.
+
+        A server whose ejection would exceed the maximum ejected weight is skipped.
+        """
         self.load.update_totals()
         self.remove_failing_missing_servers()
         snapshot = DetectionSnapshot(self.fleet, self.load)
@@ -97,13 +106,19 @@
                 self.eject(server)
 
     def ejected_fraction_max(self, no_answers: bool) -> float:
-        """Return the maximum fraction of the listed weight that may be ejected, this server included."""
+        """Return the fraction of the listed weight that all ejected servers together may have.
+
+        It is larger for the ejection of a server that answers no attempts, and 0 under congestion.
+        """
         if self.load.is_congested:
             return 0
         return UNREACHABLE_EJECTED_FRACTION_MAX if no_answers else EJECTED_FRACTION_MAX
 
     def is_failing(self, server: ServerState, snapshot: DetectionSnapshot) -> bool:
-        """Return whether a server fails significantly more than the others, and not because of overload."""
+        """Return whether a server fails significantly more than the others, and not because of overload.
+
+        A server that recovers from an ejection is failing if it fails over half of its attempts.
+        """
         row = snapshot.observed[server]
         if (
             server.consecutive_ejections
@@ -121,20 +136,27 @@
         )
 
     def is_broken(self, server: ServerState, snapshot: DetectionSnapshot) -> bool:
-        """Return whether a failing server is broken rather than overloaded."""
+        """Return whether a failing server is broken rather than overloaded.
+
+        A broken server answers fast or not at all. In a healthy fleet a server is also broken if it fails
+        more than ``BROKEN_FAILURE_RATIO`` of its attempts, in the whole window or recently.
+        """
         row = snapshot.observed[server]
         fast_limit_us = min(
             FAST_LATENCY_MULTIPLE * snapshot.median_latency_us, self.fleet.settings.latency_objective_us
         )
         if snapshot.mean_latency_us.get(server, 0) < fast_limit_us or row.failures == row.attempts > 0:
             return True
-        # Attempts that it answered before it hung must not count in its favour.
+        # A server that hangs may have answered earlier attempts in the window; these must not hide the fault.
         recent = snapshot.recent[server]
         hangs = recent.failures >= FAILURES_MIN and recent.failures > BROKEN_FAILURE_RATIO * recent.attempts
         return self.load.is_healthy and (row.failures > BROKEN_FAILURE_RATIO * row.attempts or hangs)
 
     def is_unresponsive(self, server: ServerState, snapshot: DetectionSnapshot) -> bool:
-        """Return whether a server had no report for so long that attempts at it must be hanging."""
+        """Return whether a server had no report for so long that attempts at it must be hanging.
+
+        Always false unless the fleet as a whole is healthy.
+        """
         clock = self.fleet.clock
         unreported_us = clock.now - server.last_report_us if server.last_report_us else 0
         share = server.effective_weight() / snapshot.effective_weight
@@ -143,7 +165,7 @@
         return is_overdue and expected_attempts > UNRESPONSIVE_ATTEMPTS_MIN and self.load.is_healthy
 
     def eject(self, server: ServerState) -> None:
-        """Eject a server, for longer the more often it was ejected in a row."""
+        """Eject a server; the duration doubles with each ejection in a row, up to a maximum."""
         doublings = min(server.consecutive_ejections, BACKOFF_DOUBLINGS_MAX)
         server.ejected_until_us = self.fleet.clock.now + TICK_US * 2**doublings
         server.consecutive_ejections += 1
@@ -162,8 +184,9 @@
     def remove_failing_missing_servers(self) -> None:
         """Mark missing servers that fail as gone.
 
-        If the list may be wrong, servers that it dropped are kept while they answer. This delays the removal
-        of servers that have really failed, so the reports on all missing servers are also evaluated together.
+        A missing server was dropped by an endpoint list that may be wrong, and is used while it answers. This
+        delays the removal of servers that have really stopped. Therefore the reports on all missing servers
+        are evaluated together as well: if they show failures, each server that answers nothing is removed.
         """
         bucket = self.fleet.clock.bucket
         missing = {
@@ -171,7 +194,7 @@
             for server in self.fleet.servers.values()
             if server.status == MISSING
         }
-        # Under congestion servers that answer fail some attempts, too.
+        # Under congestion even servers that work fail some attempts.
         limit = max(MISSING_FAILURE_RATIO_MIN, 1 - self.load.success_ratio + EXCESS_FRACTION)
         attempts = PROBATION_ATTEMPTS + sum(row.attempts for row in missing.values())
         all_failing = sum(row.failures for row in missing.values()) > attempts * limit
@@ -184,7 +207,7 @@
 
 
 class ZoneObservations:
-    """The observations of the latest bucket for one zone."""
+    """The observations of the latest bucket, added up over the servers of one zone."""
 
     def __init__(self, rows: Iterable[Observations]):
         rows = list(rows)
@@ -209,7 +232,7 @@
 
 
 def partitioned_zone(latest: dict[ServerState, Observations]) -> int | None:
-    """Return the zone most of whose servers fail in the latest bucket while the others answer, or None.
+    """Return a zone most of whose servers fail in the latest bucket while other zones answer, or None.
 
     Reports also cover the time before the partition, so for seconds no single server has enough failures to
     be ejected. The latest bucket shows the partition when the servers of a zone are evaluated together.
--- a/rainpick/decisions/overload.py
+++ b/rainpick/decisions/overload.py
@@ -1,4 +1,7 @@
-"""Lowers the weight of overloaded servers and machine types, servers that warm up included."""
+"""Lowers the weight of overloaded servers, and of all servers of an overloaded machine type.
+
+Only warm servers are evaluated, but the reduction of a machine type also applies to servers that warm up.
+"""
 
 from __future__ import annotations
 
@@ -13,25 +16,25 @@
 from rainpick.decisions.sliding_window import SlidingWindow
 
 ATTEMPTS_MIN = 4  # a server with fewer attempts is not evaluated
-# A server is overloaded if the cost of its attempts is above each of these three limits.
-OVERLOAD_COST_MULTIPLE = 1.6  # of the median cost
-OVERLOAD_OBJECTIVE_FRACTION = 0.6  # of the latency objective
-OVERLOAD_DEVIATIONS = 2  # standard errors above the median cost
-REDUCED_SERVERS_FRACTION_MAX = 0.25  # of the servers; at least one may be reduced at once
+# A server is overloaded if the average cost of its attempts exceeds all of these three limits.
+OVERLOAD_COST_MULTIPLE = 1.6  # first limit, as a multiple of the median cost of all servers
+OVERLOAD_OBJECTIVE_FRACTION = 0.6  # second limit, as a fraction of the latency objective
+OVERLOAD_DEVIATIONS = 2  # third limit, in standard errors above the median cost of all servers
+REDUCED_SERVERS_FRACTION_MAX = 0.25  # maximum fraction of servers reduced in a tick, but at least one server
 TYPE_ATTEMPTS_MIN = 40  # a machine type with fewer attempts is not evaluated
-# A machine type is overloaded if the median cost of its servers is above both of these limits.
-TYPE_OVERLOAD_COST_MULTIPLE = 1.6  # of the cost of the best machine type
-TYPE_OBJECTIVE_FRACTION = 0.5  # of the latency objective
+# A machine type is overloaded if the median cost of its servers exceeds both of these limits.
+TYPE_OVERLOAD_COST_MULTIPLE = 1.6  # first limit, as a multiple of the cost of the best machine type
+TYPE_OBJECTIVE_FRACTION = 0.5  # second limit, as a fraction of the latency objective
 # A machine type is evaluated once more than this fraction of its servers was reported on, because the servers
 # that fail most are reported on first.
 TYPE_REPORTED_FRACTION = 0.75
-FAILURE_COST = 2  # cost of a failed attempt in latency objectives
-REDUCTION_POWER = 0.33  # a reduction is the ratio of costs to this power
+FAILURE_COST = 2  # cost of a failed attempt, as a multiple of the latency objective
+REDUCTION_POWER = 0.33  # exponent that dampens the ratio of costs in a reduction
 REDUCTION_STEP_MIN = 0.5  # minimum factor of a single reduction
 CAPACITY_FACTOR_MIN = 0.3  # minimum capacity factor after all reductions
-SETTLE_TICKS = 2  # ticks before a reduced server or machine type is evaluated again
-RECOVERY_TICKS = 8  # ticks before the weight of a reduced server is raised again
-RECOVERY_STEP = 0.125
+SETTLE_TICKS = 2  # minimum number of ticks before a reduced server or machine type is evaluated again
+RECOVERY_TICKS = 8  # ticks after a reduction has settled before the weight of the server is raised again
+RECOVERY_STEP = 0.125  # added to the capacity factor when it is raised
 
 
 def reduced(factor: float, ratio: float) -> float:
@@ -41,7 +44,11 @@
 
 
 class ServerCost(NamedTuple):
-    """The average cost of an attempt at a server."""
+    """The average cost of an attempt at a server.
+
+    The cost of an answered attempt is its latency, the cost of a failed one a multiple of the latency
+    objective.
+    """
 
     cost_us: float
     attempts: int
@@ -51,16 +58,16 @@
 class OverloadProtection:
     """Lowers the capacity factors of overloaded servers and machine types.
 
-    It compensates for wrong listed weights and for any fault that slows some of the servers.
+    This compensates for wrong listed weights and for any fault that slows some of the servers.
     """
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
         self.machine_type_factors: dict[int, float] = {}
-        self.settled_us = 0  # from when on reports count after a machine type was reduced
+        self.settled_us = 0  # time from which reports are used again after a machine type was adjusted
 
     def update(self) -> None:
-        """Reduce the most overloaded machine type, or else the overloaded servers; called once a tick."""
+        """Adjust a machine type if the costs of types differ too much, else servers; called once a tick."""
         eligible = [
             server
             for server in self.fleet.servers.values()
@@ -73,7 +80,7 @@
             self.adjust_servers(costs)
 
     def server_costs(self, servers: list[ServerState]) -> dict[ServerState, ServerCost]:
-        """Return the costs of the servers that have enough attempts."""
+        """Return the costs of the servers that have at least ``ATTEMPTS_MIN`` attempts."""
         clock, objective_us = self.fleet.clock, self.fleet.settings.latency_objective_us
         costs = {}
         for server in servers:
@@ -87,7 +94,11 @@
     def machine_type_costs(
         self, eligible: list[ServerState], costs: dict[ServerState, ServerCost]
     ) -> dict[int, float]:
-        """Return the median cost of each machine type for which most servers were reported on."""
+        """Return the median cost of each machine type with enough reports.
+
+        A type needs ``TYPE_ATTEMPTS_MIN`` attempts and a cost of at least two of its eligible servers, and of
+        more than the fraction ``TYPE_REPORTED_FRACTION`` of them.
+        """
         rows = defaultdict(list)
         for server, cost in costs.items():
             rows[server.endpoint.machine_type].append(cost)
@@ -100,7 +111,10 @@
         }
 
     def adjust_machine_types(self, costs: dict[int, float]) -> bool:
-        """Raise the best machine type or reduce the worst if they differ too much; return whether they do."""
+        """Adjust a machine type if the best and the worst type differ too much; return whether they do.
+
+        The best type is raised if it was reduced earlier; otherwise the worst type is reduced.
+        """
         if not costs:
             return False
         worst = max(costs, key=lambda machine_type: costs[machine_type])
@@ -120,7 +134,7 @@
         return True
 
     def adjust_servers(self, costs: dict[ServerState, ServerCost]) -> None:
-        """Reduce the most overloaded servers, and raise reduced ones that are overloaded no longer."""
+        """Reduce the most overloaded servers, and raise reduced ones whose cost is below the median again."""
         now, objective_us = self.fleet.clock.now, self.fleet.settings.latency_objective_us
         median_us = median([cost.cost_us for cost in costs.values()] or [0])
         max_reduced = max(1, int(REDUCED_SERVERS_FRACTION_MAX * len(costs)))
@@ -139,5 +153,5 @@
                 server.capacity_settled_us = now
 
     def settling_time_us(self) -> int:
-        """Return the time for a reduction to take effect in the load reports."""
+        """Return the time until the effect of a reduction is visible in the load reports."""
         return max(SETTLE_TICKS * TICK_US, 2 * self.fleet.clock.bucket_us)
--- a/rainpick/decisions/proxies.py
+++ b/rainpick/decisions/proxies.py
@@ -1,4 +1,4 @@
-"""The state that a director keeps of each joined proxy, and the limit of messages to a proxy."""
+"""The state that a director keeps of each joined proxy, and the limit on messages to a proxy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rainpick.decisions.sliding_window import SlidingWindow
 from rainpick.model import ProxyJoined
 
-BURST_FRACTION = 0.4  # of the message cap that may be sent at once
+BURST_FRACTION = 0.4  # fraction of the message cap that may be sent at once
 
 
 class SentMessage(NamedTuple):
@@ -30,14 +30,17 @@
         self.joined_us = now
         self.requests: dict[int, SlidingWindow] = {}  # by route: requests, report intervals in us
         self.unacknowledged: deque[SentMessage] = deque()
-        self.message_tokens = 1e9  # reduced to the burst size at the first use
+        self.message_tokens = 1e9  # see MessageLimit; reduced to the burst size when it is first read
         self.tokens_filled_us = now
 
-    def inherit(self, former: ProxyState) -> None:
-        """Copy the message state from before an unnoticed rejoin: messages may still be in the channel."""
-        self.unacknowledged = former.unacknowledged
-        self.message_tokens = former.message_tokens
-        self.tokens_filled_us = former.tokens_filled_us
+    def inherit(self, previous: ProxyState) -> None:
+        """Copy the message state from before the proxy rejoined without a notice that it had left.
+
+        Its earlier messages may still be in the channel.
+        """
+        self.unacknowledged = previous.unacknowledged
+        self.message_tokens = previous.message_tokens
+        self.tokens_filled_us = previous.tokens_filled_us
 
     def unacknowledged_lines(self) -> int:
         """Return the number of lines in unacknowledged messages."""
@@ -47,7 +50,8 @@
 class ProxyGroup:
     """Proxies that receive the same commands.
 
-    ``pending_lines`` counts the lines that the current step writes to each of them, without the message head.
+    ``pending_lines`` is the number of lines that the current step has written to each proxy of the group so
+    far, without the message head.
     """
 
     def __init__(self) -> None:
@@ -58,8 +62,8 @@
 class MessageLimit:
     """The cap on messages to one proxy within a time window, as a token bucket.
 
-    A small burst may be sent at once; further messages are spaced evenly, so that no time window of that
-    length contains more messages than the cap. One message is kept in reserve.
+    A small burst may be sent at once; further messages are spaced evenly, so that no window of
+    ``messages_window_us`` contains more messages than the cap. One message of the cap is kept in reserve.
     """
 
     def __init__(self, settings: DecisionSettings):
@@ -68,7 +72,7 @@
         self.tokens_per_us = (self.cap - self.burst) / settings.messages_window_us
 
     def available(self, proxy: ProxyState, now: int) -> float:
-        """Return the number of messages that may be sent to a proxy now."""
+        """Return the number of messages that may be sent to a proxy now; constant if there is no cap."""
         if self.cap <= 0:
             return self.burst
         filled = proxy.message_tokens + (now - proxy.tokens_filled_us) * self.tokens_per_us
--- a/rainpick/decisions/proxy_membership.py
+++ b/rainpick/decisions/proxy_membership.py
@@ -19,15 +19,19 @@
         self.queue = queue
 
     def joined(self, event: ProxyJoined) -> None:
-        """Add a proxy, unbound, which may have rejoined without a notice that it left."""
-        former = self.fleet.proxies.get(event.proxy)
+        """Add a proxy as unbound.
+
+        If it is already joined, it has rejoined without a notice that it had left; its unacknowledged lines
+        continue to be counted.
+        """
+        previous = self.fleet.proxies.get(event.proxy)
         proxy = ProxyState(event, self.fleet.clock.now, self.fleet.unbound)
         self.remove(event.proxy)
-        if former:
-            proxy.inherit(former)
+        if previous:
+            proxy.inherit(previous)
             self.queue.restore(proxy.unacknowledged_lines())
         if not event.newly_started and self.fleet.tables:
-            proxy.group = self.assignment.home(proxy).unbound
+            proxy.group = self.assignment.home_table(proxy).unbound
         self.fleet.proxies[event.proxy] = proxy
         proxy.group.proxies[event.proxy] = proxy
 
@@ -36,7 +40,7 @@
         self.remove(event.proxy)
 
     def remove(self, number: int) -> None:
-        """Remove a proxy, and stop counting the lines sent to it."""
+        """Remove a proxy if it is joined, and stop counting its unacknowledged lines."""
         proxy = self.fleet.proxies.pop(number, None)
         if proxy:
             self.queue.forget(proxy.unacknowledged_lines())
--- a/rainpick/decisions/publisher.py
+++ b/rainpick/decisions/publisher.py
@@ -1,7 +1,7 @@
-"""Writes the commands of a step, within the send queue's limit and each proxy's message limit.
+"""Writes the commands of a step, as far as the send queue and the message limit of each proxy allow.
 
-The reply of a step is one message to each proxy that it reaches. A message takes the lines of its head and of
-its commands, and counts as waiting until the proxy has acknowledged it.
+The reply of a step is one message to each proxy that it reaches. A message consists of the lines of its head
+and of its commands. These lines count as waiting until the proxy has acknowledged the message.
 """
 
 from __future__ import annotations
@@ -24,15 +24,17 @@
 )
 
 NONCE_COUNT = 65536
-# The send window covers this many update intervals, since a step may be late, plus this many delivery delays,
-# for lines in transit and for those not acknowledged yet.
+# The send window is the number of lines that the channel sends during WINDOW_UPDATE_INTERVALS update
+# intervals, since a step may be late, plus WINDOW_DELIVERY_DELAYS delivery delays, for lines in transit and
+# for lines that were delivered but are not acknowledged yet.
 WINDOW_UPDATE_INTERVALS = 1.5
 WINDOW_DELIVERY_DELAYS = 2
-# Binds and weight updates fill the queue with at most the lines that leave within this fraction of the grace.
+# The queue capacity for binds, ejections and weight updates is the number of lines that leave the channel
+# within QUEUE_GRACE_FRACTION of the drain grace. Weight updates fill at most UPDATE_QUEUE_FRACTION of this
+# capacity and of the send window; binds and ejections fill half of the remaining capacity as well.
 QUEUE_GRACE_FRACTION = 0.5
-# Weight updates leave this fraction of those lines, and of the send window, to other commands.
 UPDATE_QUEUE_FRACTION = 0.5
-# Messages that a proxy must have available to be sent a command of each kind.
+# A command of one of these kinds is sent to a proxy only if this many messages are available to the proxy.
 UPDATE_MESSAGES_MIN = 3
 EJECTION_MESSAGES_MIN = 2
 ADMISSION_MESSAGES_MIN = 2
@@ -41,7 +43,7 @@
 
 
 def make_quotas(settings: DecisionSettings) -> Quotas:
-    """Return the part of the send queue that each kind of command may fill."""
+    """Return the quota of the send queue for each kind of command."""
     limit = settings.channel_lines_max
     capacity = min(limit, QUEUE_GRACE_FRACTION * settings.grace_lines)
     bind = Quota(1, limit - (1 + UPDATE_QUEUE_FRACTION) / 2 * capacity, 1.0)
@@ -70,7 +72,7 @@
         self.message_limit = MessageLimit(settings)
         self.nonce = 0
         self.commands: list[object] = []
-        self.written: list[tuple[ProxyState, int]] = []  # proxies and the lines of their messages
+        self.written: list[tuple[ProxyState, int]] = []  # proxies, and the number of lines sent to each
 
     # Events
 
@@ -82,7 +84,10 @@
             self.queue.acknowledge(message.nonce, message.lines)
 
     def retransmitted(self, nonce: int) -> None:
-        """Count a repeated reply: its lines may wait twice, and each proxy it reached has a message less."""
+        """Count a reply that is sent again.
+
+        Its lines may be in the channel twice, and each proxy that it reached is sent a further message.
+        """
         for proxy in self.fleet.proxies.values():
             lines = next((sent.lines for sent in proxy.unacknowledged if sent.nonce == nonce), 0)
             if lines:
@@ -101,13 +106,16 @@
         return self.message_limit.available(proxy, self.fleet.clock.now)
 
     def cost(self, groups: Iterable[ProxyGroup], lines: int) -> int:
-        """Return the queue lines, message heads included, for ``lines`` lines to each proxy of the groups."""
+        """Return the number of lines needed in the queue to send ``lines`` lines to each proxy of the groups.
+
+        This includes a message head for each proxy that receives no message in this step yet.
+        """
         return sum(
             len(group.proxies) * (lines + (0 if group.pending_lines else self.head_lines)) for group in groups
         )
 
     def is_allowed(self, groups: Iterable[ProxyGroup], quota: Quota) -> bool:
-        """Return whether each proxy may receive a message, or already receives one in this step."""
+        """Return whether each proxy of the groups may receive a message, or already does in this step."""
         needed = min(quota.messages, self.message_limit.burst)
         return all(
             self.available_messages(proxy) >= needed
@@ -121,7 +129,8 @@
     ) -> bool:
         """Write commands that take ``lines`` lines in the message to each proxy of the groups.
 
-        Returns False, and writes nothing, if there is no capacity.
+        Returns False, and writes nothing, if the send queue or the message limit of a proxy does not allow
+        it.
         """
         cost = self.cost(groups, lines)
         if not self.queue.fits(cost, quota) or not self.is_allowed(groups, quota):
@@ -145,7 +154,10 @@
         self.queue.plan(lines)
 
     def finish(self) -> None:
-        """Request an acknowledgement of the reply, and count its messages until they are acknowledged."""
+        """Request an acknowledgement of the reply, and record its messages until they are acknowledged.
+
+        Only advances the nonce if the reply has no messages.
+        """
         for group in (*self.fleet.tables, *self.fleet.unbound_groups()):
             lines = group.pending_lines
             group.pending_lines = 0
--- a/rainpick/decisions/servers.py
+++ b/rainpick/decisions/servers.py
@@ -15,12 +15,15 @@
 
 
 class ServerStatus(IntEnum):
-    """The state of a server: a state of the endpoint list, with the same number, or ``MISSING``."""
+    """The status of a server: ``MISSING``, or its state in the endpoint list.
+
+    The numbers of the states are those of ``EndpointState``.
+    """
 
     GONE = EndpointState.GONE
     READY = EndpointState.READY
     DRAINING = EndpointState.DRAINING
-    MISSING = 3  # dropped from the list, but not withdrawn as long as it answers
+    MISSING = 3  # dropped by a list that may be wrong; not withdrawn as long as it answers attempts
 
 
 GONE, READY, DRAINING, MISSING = ServerStatus
@@ -29,8 +32,9 @@
 class ServerState:
     """One server.
 
-    ``percentage`` and ``is_warm`` are recomputed in each step. ``withdrawn`` and ``published_weights`` are
-    the values last sent to proxies; a server that must be withdrawn has percentage 0.
+    ``percentage`` and ``is_warm`` are recomputed in each step that publishes. ``withdrawn`` and
+    ``published_weights`` are the values last sent to proxies; a server that must be withdrawn has percentage
+    0.
     """
 
     def __init__(self, endpoint: Endpoint):
@@ -41,32 +45,35 @@
         self.is_warm = True
         self.withdrawn = False
         self.published_weights: dict[int, float] = {}  # by table number
-        self.gone_ticks = 0  # ticks for which it has been gone and in no table
-        self.drain_started_us = 0  # when the list first reported it as draining or gone
-        self.presumed_gone = False  # gone by a list that may be wrong; never reported as draining
-        self.withdrawal_deferred = False  # its withdrawal was not published at once
+        self.gone_ticks = 0  # number of ticks since it has been gone and in no table
+        self.drain_started_us = 0  # time at which the list first reported it as draining or gone
+        self.presumed_gone = False  # gone because it failed while it was missing; never reported as draining
+        self.withdrawal_deferred = False  # whether its withdrawal was not published at once
         self.reset()
 
     def reset(self) -> None:
-        """Discard all observations, since the server has just started."""
+        """Discard observations, ejections and reductions, since the server has just started."""
         self.observations = SlidingWindow(OBSERVATION_COLUMNS)
         self.overload_observations = SlidingWindow(OBSERVATION_COLUMNS)
         self.ejected_until_us = 0
         self.consecutive_ejections = 0
         self.recovering_since_us: int | None = None
-        self.capacity_factor = 1.0  # lowered after an overload
-        self.capacity_settled_us = 0  # from when on its capacity may be evaluated again
+        self.capacity_factor = 1.0  # lowered by overload protection
+        self.capacity_settled_us = 0  # time from which its capacity may be evaluated again
         self.last_report_us = 0
-        self.concentration_factor = 1.0  # lowered while it warms up in tables of busy proxies
+        self.concentration_factor = 1.0  # lowered while the server warms up in tables of busy proxies
 
     @property
     def is_serving(self) -> bool:
-        """Whether the endpoint list allows requests to the server."""
+        """Whether the server may receive attempts: it is ready, or missing and possibly still serving."""
         return self.status in (READY, MISSING)
 
     @property
     def is_terminating(self) -> bool:
-        """Whether the endpoint list states for certain that the server is draining or gone."""
+        """Whether the list no longer has the server as ready, unless the server is only presumed gone.
+
+        Such a server has to be withdrawn within the drain grace.
+        """
         return self.status != READY and not self.presumed_gone
 
     def effective_weight(self) -> float:
--- a/rainpick/decisions/settings.py
+++ b/rainpick/decisions/settings.py
@@ -1,7 +1,7 @@
 """The settings that the decisions read, typed, from the flat map in ``Started``.
 
-Durations are microseconds, sizes are lines of the paced channel. The default of each setting is a value at
-which its mechanism never takes effect.
+Durations are in microseconds. Sizes of messages and of the queue are in lines of the paced channel. The
+default of each setting is a value at which its mechanism never takes effect.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 TICK_US = 2_000_000  # the tick of the design: weights change by at most one step a tick
 UPDATE_INTERVAL_US = TICK_US // 8  # interval at which deferred updates are retried
 INITIAL_FRACTION = 0.25  # the first percentage of a server that recovers from a drain or an ejection
-SEVERE_LATENCY_RATIO = 2.7  # see slow_start; also the default of rules.fall_multiple
+DEFAULT_FALL_MULTIPLE = 2.7  # with it, latency above the objective is severe congestion, see slow_start
 UNLIMITED = 1e9
 
 
@@ -36,27 +36,27 @@
     default_retry_policy: int | None
     proxies_by_zone: bool  # proxies join a director of their own zone
     expected_proxies: int
-    default_table_size: float | None  # servers in the default table of a proxy
+    default_table_size: float | None  # number of servers in the default table of a proxy
     proxies_eject: bool  # proxies eject failing servers themselves
-    message_head_lines: int  # lines of a message in addition to its commands
+    message_head_lines: int  # number of lines of a message in addition to its commands
     reports_per_s: float  # maximum rate of load reports to a director
     delivery_delay_us: int
     channel_lines_per_s: float
-    channel_lines_max: float  # maximum of lines waiting in the channel
-    messages_max: int  # maximum of messages to a proxy within messages_window_us; 0: unlimited
+    channel_lines_max: float  # maximum number of lines waiting in the channel
+    messages_max: int  # maximum number of messages to a proxy within messages_window_us; 0: unlimited
     messages_window_us: int
     report_interval_us: int
     uses_key_ranges: bool
     key_range_single_owner: bool
     drain_grace_us: float
-    fall_multiple: float
+    fall_multiple: float  # the latency ratio of severe congestion is proportional to it
     gone_is_not_final: bool  # a server that the list dropped may continue to serve
     start_capacity: float  # fraction of its capacity that a server is guaranteed to have at its start
     warm_after_us: int  # age from which a server has its full capacity
 
     @property
     def grace_lines(self) -> float:
-        """The lines that leave the channel within the drain grace."""
+        """The number of lines that leave the channel within the drain grace."""
         return self.channel_lines_per_s * self.drain_grace_us / 1e6
 
 
@@ -91,7 +91,7 @@
         uses_key_ranges=bool(get("proxies.slices", 0)),
         key_range_single_owner=get("proxies.one_owner", False),
         drain_grace_us=get("rules.drain_grace_us", UNLIMITED),
-        fall_multiple=get("rules.fall_multiple", SEVERE_LATENCY_RATIO),
+        fall_multiple=get("rules.fall_multiple", DEFAULT_FALL_MULTIPLE),
         gone_is_not_final=get("rules.gone_does_not_bind", False),
         start_capacity=get("rules.start_capacity", INITIAL_FRACTION),
         warm_after_us=get("rules.warm_after_us", 0),
--- a/rainpick/decisions/sliding_window.py
+++ b/rainpick/decisions/sliding_window.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 BUCKETS = 4  # buckets in a window
-RECENT_BUCKETS = 2  # buckets of the current state: long enough for a report on every server
+RECENT_BUCKETS = 2  # the newest buckets of a window, which together contain a report on every server
 
 
 class SlidingWindow:
--- a/rainpick/decisions/slow_start.py
+++ b/rainpick/decisions/slow_start.py
@@ -1,7 +1,8 @@
 """The percentage of its weight that a server gets: slow start, recovery ramp, ejection, reduced capacity.
 
-A server that recovers from a drain or an ejection climbs one step a tick. A server that has just started
-never gets more than its guaranteed capacity at its age, so that it is not overloaded while it warms up.
+The percentage of a server that recovers from a drain or an ejection rises by one step a tick. A server that
+has just started never gets more than the capacity guaranteed at its age, so that it is not overloaded while
+it warms up.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from rainpick.decisions.fleet import Fleet
 from rainpick.decisions.fleet_load import HEALTHY_SUCCESS_RATIO
 from rainpick.decisions.servers import ServerState
-from rainpick.decisions.settings import INITIAL_FRACTION, SEVERE_LATENCY_RATIO, TICK_US
+from rainpick.decisions.settings import DEFAULT_FALL_MULTIPLE, INITIAL_FRACTION, TICK_US
 
 STEP_FRACTION = 0.25  # added to the percentage of a recovering server each tick
 SEVERE_SUCCESS_RATIO = 0.35  # a lower fraction of answered attempts is severe congestion
@@ -28,13 +29,16 @@
 
 
 class SlowStart:
-    """Computes percentages; docs/design.md states which part is the ramp of the design."""
+    """Computes the percentages of servers; docs/design.md states which part is the ramp of the design."""
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
 
     def advance(self, server: ServerState, conditions: Conditions) -> float:
-        """Return the current percentage of a server, from 0 to 1; ends its recovery once that is complete."""
+        """Return the current percentage of a server, from 0 to 1.
+
+        Also ends the recovery of a server whose recovery ramp has reached its full percentage.
+        """
         if not server.is_serving or server.ejected_until_us:
             return 0.0
         machine_type = server.endpoint.machine_type
@@ -49,9 +53,10 @@
         return percentage
 
     def recovery_fraction(self, server: ServerState, since_us: int) -> float:
-        """Return the position of a server on its recovery ramp.
+        """Return the percentage of a server on its recovery ramp.
 
-        After an ejection the second step waits until load reports on the server have arrived.
+        After an ejection, the first increase is delayed by the time that load reports on the server need to
+        arrive.
         """
         clock = self.fleet.clock
         probation_us = max(TICK_US, 2 * clock.bucket_us) if server.consecutive_ejections else 0
@@ -61,7 +66,8 @@
     def warming_percentage(self, server: ServerState, full: float, conditions: Conditions) -> float:
         """Return the maximum percentage of a server that has just started."""
         settings = self.fleet.settings
-        # Proxies that eject failing servers themselves send all requests to the rest, whatever their weight.
+        # Proxies that eject failing servers themselves send all attempts to the remaining servers, whatever
+        # the weights of these are.
         if conditions.success_ratio < HEALTHY_SUCCESS_RATIO and settings.proxies_eject:
             return 0.0
         age_us = self.fleet.clock.now - server.endpoint.started_us
@@ -73,7 +79,7 @@
 
 def severe_congestion_factor(conditions: Conditions, fall_multiple: float) -> float:
     """Return the factor by which severe congestion reduces servers that warm up; 1.0 without congestion."""
-    latency_limit = fall_multiple / SEVERE_LATENCY_RATIO
+    latency_limit = fall_multiple / DEFAULT_FALL_MULTIPLE
     return min(
         1.0,
         conditions.success_ratio / SEVERE_SUCCESS_RATIO,
--- a/rainpick/decisions/table_assignment.py
+++ b/rainpick/decisions/table_assignment.py
@@ -1,6 +1,7 @@
 """Creates tables, assigns servers to tables, and selects the table of each proxy.
 
-Tables depend on settings and endpoint list alone, so that all directors of a zone have the same ones.
+The number and the zones of the tables depend only on the settings and the endpoint list, so that all
+directors of a zone create the same tables.
 """
 
 from __future__ import annotations
@@ -15,24 +16,25 @@
 from rainpick.decisions.servers import GONE, READY, ServerState
 from rainpick.decisions.tables import Table
 
-PROXIES_PER_TABLE = 7  # with fewer expected proxies there is one table for all
-TABLE_SIZE_MULTIPLE = 2.5  # servers in a table relative to the default table of a proxy
-CROSS_ZONE_PENALTY_MIN = 0.03  # from this penalty on each table is for one zone
-TABLES_PER_SERVER_MIN = 2
-UNDERFILLED_FRACTION = 0.5  # a table below this fraction of the mean weight gets more servers
+PROXIES_PER_TABLE = 7  # expected proxies for each table; with fewer in total there is a single table
+TABLE_SIZE_MULTIPLE = 2.5  # servers in a table, as a multiple of those in the default table of a proxy
+CROSS_ZONE_PENALTY_MIN = 0.03  # with a smaller penalty, tables serve all zones
+TABLES_PER_SERVER_MIN = 2  # minimum number of tables of each server, unless there are too few tables
+UNDERFILLED_FRACTION = 0.5  # a table below this fraction of the mean usable weight gets more servers
 UNLIMITED_SERVERS = 1e9
 
 
 def tie_break(server: ServerState, number: int) -> int:
-    """Return a hash that orders servers alike in every process, and differently for each number."""
+    """Return a hash that orders servers in the same way in every process, but differently for each number."""
     return crc32(b"%d %s" % (number, repr(server.endpoint.address).encode()))
 
 
 class AssignedWeights:
-    """Weights in tables: usable ones by table, listed ones by table, machine type and locality."""
+    """The total weights of the servers that are assigned to tables."""
 
     def __init__(self) -> None:
-        self.usable: dict[Table, float] = defaultdict(float)
+        self.usable: dict[Table, float] = defaultdict(float)  # total target weight
+        # Total listed weight by table, machine type, and whether the servers are in other zones.
         self.listed: dict[tuple[Table, int, bool], float] = defaultdict(float)
 
 
@@ -46,7 +48,10 @@
         self.tables_per_server = 1
 
     def create_tables(self) -> None:
-        """Create one table for all proxies, or several; called once, when the endpoint list is known."""
+        """Create the tables: for each zone, or else for all zones together, one or several.
+
+        Called once, when the endpoint list is known.
+        """
         settings, servers, tables = self.fleet.settings, self.fleet.servers, self.fleet.tables
         default_size = settings.default_table_size
         table_size = TABLE_SIZE_MULTIPLE * (UNLIMITED_SERVERS if default_size is None else default_size)
@@ -65,21 +70,25 @@
             self.tables_by_zone[zone] = group
             tables += group
 
-    def home(self, proxy: ProxyState) -> Table:
+    def home_table(self, proxy: ProxyState) -> Table:
         """Return the table that a proxy is to be bound to."""
         group = self.tables_by_zone.get(proxy.zone) or self.fleet.tables
         return group[proxy.number % len(group)]
 
     def weight(self, server: ServerState, table: Table) -> float:
-        """Return the weight of a server in a table that should be published."""
+        """Return the target weight of a server in a table."""
         locality = self.locality.spill[table.zone] if self.locality.is_remote(server, table) else 1
         warming = 1 if server.is_warm else table.warming_fraction * server.concentration_factor
         return server.effective_weight() * locality * warming
 
     def update(self) -> None:
-        """Assign new servers to tables, remove gone ones, and refill tables that lost much weight."""
+        """Assign new servers to tables, and add servers to tables that have lost much of their weight.
+
+        Also marks the tables of unbound proxies as used, and ends the assignment of gone servers that proxies
+        no longer use.
+        """
         for proxy in self.fleet.unbound_proxies():
-            self.home(proxy).used = True
+            self.home_table(proxy).used = True
         weights, unassigned = AssignedWeights(), []
         for server in self.fleet.servers.values():
             if server.status == GONE and server.withdrawn and not server.published_weights:
@@ -90,14 +99,16 @@
                 key = table, server.endpoint.machine_type, self.locality.is_remote(server, table)
                 weights.listed[key] += server.endpoint.weight * (server.status != GONE)
                 weights.usable[table] += self.weight(server, table)
-        for server in sorted(unassigned, key=lambda it: (it.endpoint.machine_type, tie_break(it, 0))):
+        for server in sorted(
+            unassigned, key=lambda server: (server.endpoint.machine_type, tie_break(server, 0))
+        ):
             self.assign(server, weights)
         self.fill_underfilled_tables(weights)
 
     def assign(self, server: ServerState, weights: AssignedWeights) -> None:
         """Assign a server to the tables with the least weight of its machine type.
 
-        Tables of its own zone and tables of other zones are selected separately.
+        These are selected separately among the tables of the server's zone and among those of other zones.
         """
         machine_type = server.endpoint.machine_type
         for remote in (False, True):
@@ -118,14 +129,17 @@
 
     @staticmethod
     def reserve_order(table: Table, server: ServerState) -> tuple[float, int, int]:
-        """Return a sort key by which servers are taken from the end of the list.
+        """Return the sort key of servers that may be added to a table; the last one is added first.
 
-        Servers with a high percentage and in few tables come last.
+        Servers with a higher percentage come later; with equal percentages, those in fewer tables.
         """
         return server.percentage, -len(server.tables), tie_break(server, table.number)
 
     def fill_underfilled_tables(self, weights: AssignedWeights) -> None:
-        """Add servers to tables that lost much of their weight, those with a high percentage first."""
+        """Add servers to tables whose usable weight is far below the mean of all tables.
+
+        Servers with a high percentage are added first.
+        """
         tables, usable = self.fleet.tables, weights.usable
         mean = sum(usable[table] for table in tables) / max(1, len(tables))
         for table in [table for table in tables if usable[table] < UNDERFILLED_FRACTION * mean]:
@@ -138,5 +152,6 @@
             while others and usable[table] < UNDERFILLED_FRACTION * mean:
                 server = others.pop()
                 server.tables.append(table)
-                # A server without a weight in this table counts as the mean, else all others would be added.
+                # A server whose target weight in this table is 0 counts with the mean usable weight of the
+                # tables. Otherwise all other servers would be added as well.
                 usable[table] += self.weight(server, table) or mean
--- a/rainpick/decisions/tables.py
+++ b/rainpick/decisions/tables.py
@@ -1,4 +1,4 @@
-"""Shared tables: all proxies bound to one use the same servers at the same weights."""
+"""Shared tables: all proxies bound to a table use the same servers with the same weights."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 
 
 class Table(ProxyGroup):
-    """A table shared by the proxies that are bound to it; with ``zone`` None it serves all zones."""
+    """A table and the proxies that are bound to it; with ``zone`` None it serves all zones."""
 
     def __init__(self, number: int, zone: int | None):
         super().__init__()
         self.number = number
         self.zone = zone
-        self.used = False  # whether any proxy has been or will be bound to it
+        self.used = False  # whether any proxy has been bound to the table or is to be bound to it
         self.published_admission: dict[int, float] = {}  # by route
         self.warm_weight = 0.0  # total listed weight of its warm servers in use
         self.peak_warm_weight = 1e-9  # maximum of warm_weight so far
         self.warming_fraction = 1.0  # factor for the percentage of servers that warm up
-        self.unbound = ProxyGroup()  # proxies to be bound to it that may still use it from another director
+        # Proxies that will be bound to the table. They joined from another director, and may still use the
+        # servers that it published in a table with this number.
+        self.unbound = ProxyGroup()
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -1,4 +1,8 @@
-"""Publishes weights: of empty tables, of servers that warm up, and slow start steps in batches."""
+"""Publishes weights of servers in tables.
+
+Servers for empty tables, weights that have to fall at once and warm servers for tables that have none are
+published in any step; all other changes, such as the steps of a slow start, in batches once a tick.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 def populated_tables(servers: Iterable[ServerState]) -> set[int]:
-    """Return the numbers of the tables in which any of these servers is published and not withdrawn."""
+    """Return the numbers of the tables in which any of the servers is published without being withdrawn."""
     return {number for server in servers if not server.withdrawn for number in server.published_weights}
 
 
@@ -30,8 +34,9 @@
         self.assignment = assignment
         self.publisher = publisher
         self.pending_readmissions: list[ServerState] = []
-        self.pending_tables: list[Table] = []  # tables whose weights are due, in turn
-        self.batch_due = False  # whether the weights of all tables are due
+        # Tables whose new weights are not published yet, those that have waited longest first.
+        self.pending_tables: list[Table] = []
+        self.batch_due = False  # whether all tables are to be added to pending_tables
 
     def schedule(self) -> None:
         """Schedule weight updates of all tables; called once a tick."""
@@ -39,7 +44,7 @@
         self.batch_due = True
 
     def fill_empty_tables(self, populated: Collection[int], quota: Quota) -> None:
-        """Publish servers to used tables without any; ``populated`` has the numbers of the other tables."""
+        """Publish servers to used tables without servers; ``populated`` are the numbers of the others."""
         for server in self.fleet.servers.values():
             empty = [table for table in server.tables if table.used and table.number not in populated]
             if empty:
@@ -52,10 +57,10 @@
         warm_populated: Collection[int],
         overdue: Collection[Table],
     ) -> None:
-        """Lower weights without waiting for the tick, and publish warm servers to tables that have none.
+        """Lower excessive weights before the next tick, and publish warm servers to tables that have none.
 
-        ``populated`` and ``warm_populated`` are the numbers of tables that have a server, or a warm one;
-        ``overdue`` are tables that still use a terminating server.
+        ``populated`` are the numbers of tables that have a server, ``warm_populated`` the numbers of tables
+        that have a warm one. ``overdue`` are the tables in which a terminating server is still published.
         """
         for server in [server for server in self.fleet.servers.values() if server.percentage]:
             # An unused table needs no warm server, unless the server has to be readmitted anyway.
@@ -65,11 +70,12 @@
                 if server in warm and table.number not in warm_populated and (table.used or server.withdrawn)
             ]
             lowered = [table for table in server.tables if self.is_lowered(server, table)]
-            # Lowered weights may use the message and the capacity reserved for drains, and each table is
-            # sent one message as soon as its own proxies can receive it. Otherwise half a zone that returned
-            # within a second, in six list updates, waited until all proxies of its tables could receive a
-            # message. The same holds for warm servers in a table that has only servers that warm up: such a
-            # table waited 3 s, and then the other zone was lost.
+            # Lowered weights of servers that warm up may use the message and the capacity reserved for
+            # drains, and each table is sent a message as soon as its own proxies can receive it. Before, when
+            # half a zone returned within a second, in six list updates, its servers waited until all proxies
+            # of their tables could receive a message. A warm server for a table that has only servers that
+            # warm up may use the same capacity: such a table once waited 3 s for a warm server, until the
+            # other zone was lost. Tables with a terminating server leave the capacity to its removal.
             for table in dict.fromkeys((*lowered, *without_warm)):
                 urgent = table in without_warm and table.number in populated
                 deferrable = table in overdue or server in warm and not urgent
@@ -77,16 +83,19 @@
                 self.publish(server, quotas.ejection if deferrable else quotas.rule, [table])
 
     def is_lowered(self, server: ServerState, table: Table) -> bool:
-        """Return whether the target weight of a server is far below the published one."""
+        """Return whether the published weight exceeds ``IMMEDIATE_LOWERING_MULTIPLE`` times the target.
+
+        Never true for a withdrawn server.
+        """
         published = server.published_weights.get(table.number, 0.0)
         limit = IMMEDIATE_LOWERING_MULTIPLE * self.assignment.weight(server, table)
         return not server.withdrawn and published > limit
 
     def target_weights(self, server: ServerState, only: Sequence[Table] | None) -> dict[int, float]:
-        """Return the weights of a server by table number after it is published.
+        """Return the weights that a server will have after it is published, by table number.
 
-        Only the tables in ``only`` get their target weights; all tables do if it is None or the server is
-        withdrawn.
+        If ``only`` is None or the server is withdrawn, it gets its target weight in all its tables. Otherwise
+        it gets its target weight only in the tables in ``only``.
         """
         target = {}
         for table in server.tables:
@@ -95,9 +104,9 @@
                 target[table.number] = weight
         if only is None or server.withdrawn:
             return target
-        # Other tables keep their published weights: filling a table for proxies that have just joined must
-        # not trigger early updates of all others, which waited in the channel ahead of the binds of a failed
-        # director's proxies.
+        # The server keeps its published weights in other tables: filling a table for proxies that have just
+        # joined must not cause early updates of all other tables. Such updates once waited in the channel
+        # ahead of the binds of a failed director's proxies.
         numbers = {table.number for table in only}
         weights = {number: weight for number, weight in target.items() if number in numbers}
         return weights | {
@@ -105,11 +114,12 @@
         }
 
     def publish(self, server: ServerState, quota: Quota, only: Sequence[Table] | None = None) -> bool:
-        """Publish the weight of a server to tables, and readmit it if it was withdrawn.
+        """Publish the weights of a server to tables, and readmit it if it was withdrawn.
 
-        Returns False if there is no capacity. The weights of a gone server that is withdrawn are removed as
-        well. During a deployment they would otherwise fill the tables, and each takes two lines of a bind:
-        binding the proxies of a failed director took longer than the drain grace.
+        Returns False if there is no capacity, True also if nothing has to be published. A gone server that is
+        withdrawn is removed from its tables instead. During a deployment such servers would otherwise fill
+        the tables, and each takes two lines of a bind: binding the proxies of a failed director once took
+        longer than the drain grace.
         """
         removable = server.withdrawn and server.status == GONE
         readmitted = server.withdrawn and server.status != GONE
@@ -139,10 +149,10 @@
         return True
 
     def publish_batch(self, quota: Quota) -> None:
-        """Readmit servers, and publish new weights to tables, all of a table in one message.
+        """Readmit servers, and publish the new weights of each table in one message.
 
-        The tables take turns, so that each gets its message eventually when the queue has no capacity for
-        all.
+        If the queue has no capacity for all tables, the remaining ones come first in the next batch, so that
+        each table is updated eventually.
         """
         self.pending_readmissions = [
             server
@@ -161,7 +171,10 @@
         ]
 
     def stale_weights(self) -> dict[Table, dict[ServerState, float]]:
-        """Return, by table, the servers whose published weight differs from the target, with the target."""
+        """Return, by table, the servers whose published weight differs from the target, with target weights.
+
+        Servers that are withdrawn or have to be are not included, except gone ones, whose target weight is 0.
+        """
         stale: dict[Table, dict[ServerState, float]] = defaultdict(dict)
         for server in self.fleet.servers.values():
             removable = server.withdrawn and server.status == GONE
@@ -175,7 +188,7 @@
         return stale
 
     def publish_table(self, table: Table, weights: dict[ServerState, float], quota: Quota) -> bool:
-        """Publish new weights of a table in one message; returns False if there is no capacity."""
+        """Publish new weights in a table in one message; returns False if there is no capacity."""
         commands = [
             SetWeight(table.number, server.endpoint.address, weight) for server, weight in weights.items()
         ]
--- a/rainpick/decisions/withdrawals.py
+++ b/rainpick/decisions/withdrawals.py
@@ -1,9 +1,12 @@
-"""Withdraws draining, gone and ejected servers, so that no proxy uses one longer than the drain grace.
+"""Withdraws draining, gone and ejected servers; no proxy may use a terminating one beyond the drain grace.
 
-Withdrawals are published at once while the send window has capacity for all proxies that they reach.
-Otherwise each table removes its draining servers when its deadline comes, all in one message. This saves
-lines: proxies that are bound soon need not be sent the withdrawals, and each proxy of the table is sent fewer
-message heads.
+Terminating servers are those that are draining or gone. A withdrawal is published at once if the send window
+has capacity for all proxies that may use the server. Otherwise it is deferred: all terminating servers of a
+table are removed from the table in one message, tables with the earliest deadline first. This saves lines:
+proxies that are bound later need no withdrawal, and each proxy of the table is sent fewer message heads.
+
+When another director fails, its proxies join this one and have to be bound. During such a takeover,
+withdrawals are deferred for most of the drain grace to leave the channel to the binds.
 """
 
 from __future__ import annotations
@@ -20,15 +23,19 @@
 from rainpick.decisions.tables import Table
 from rainpick.model import SetWeight, SetWithdrawn
 
-TAKEOVER_FRACTION = 0.5  # binds that take more than this fraction of the send window are a takeover
-DEFERRED_GRACE_FRACTION = 0.8  # of the drain grace for which a withdrawal is deferred in favour of binds
-DEADLINE_CLASSES = 8  # per drain grace; within one deadline class the busiest proxies go first
+TAKEOVER_FRACTION = 0.5  # a takeover begins when the pending binds exceed this fraction of the send window
+DEFERRED_GRACE_FRACTION = 0.8  # fraction of the drain grace for which a takeover defers a withdrawal
+DEADLINE_CLASSES = 8  # deadline classes per drain grace; within a class the busiest proxies are bound first
 
 ServersByTable = dict[Table, list[ServerState]]
 
 
 class Withdrawals:
-    """Publishes withdrawals; owns the takeover state: more proxies are unbound than can be bound at once."""
+    """Publishes withdrawals, and detects takeovers.
+
+    ``is_takeover`` is true while the binds of all unbound proxies exceed ``TAKEOVER_FRACTION`` of the send
+    window.
+    """
 
     def __init__(self, fleet: Fleet, publisher: Publisher):
         self.fleet = fleet
@@ -36,7 +43,7 @@
         self.is_takeover = False
 
     def publish(self) -> set[Table]:
-        """Withdraw draining, gone and ejected servers; return the tables that still use a terminating one."""
+        """Withdraw terminating and ejected servers; return the tables that still have a terminating one."""
         quotas = self.publisher.quotas
         unpublished = [
             server
@@ -46,17 +53,20 @@
         self.is_takeover = self.binds_exceed_window()
         self.withdraw_terminating([server for server in unpublished if server.is_terminating])
         self.remove_terminating(quotas.drain)
-        # Ejections, and servers that only a possibly wrong list reports as gone, leave capacity and a message
-        # to drains. When they filled the queue, drains went out one by one, each with its own message heads.
+        # The withdrawals of ejected servers, and of servers that are only presumed gone, leave queue capacity
+        # and one message to each proxy for drains. When they filled the queue, drains were sent one by one,
+        # each with its own message heads.
         others = [server for server in unpublished if not server.is_terminating]
         for server in sorted(others, key=lambda server: server.presumed_gone):
             self.withdraw(server, quotas.ejection)
         return set(self.terminating_by_table())
 
     def withdraw_terminating(self, terminating: list[ServerState]) -> None:
-        """Withdraw servers that are draining or gone.
+        """Withdraw terminating servers, or defer their withdrawals.
 
-        In a takeover servers in tables wait for their deadlines.
+        During a takeover, a withdrawal is deferred for ``DEFERRED_GRACE_FRACTION`` of the drain grace. The
+        withdrawal of a server that is published in tables is also deferred while any other such withdrawal
+        is, so that each table can remove these servers in one message.
         """
         now, grace_us = self.fleet.clock.now, self.fleet.settings.drain_grace_us
         earlier_deferred = any(
@@ -69,7 +79,7 @@
             earlier_deferred = earlier_deferred or server.withdrawal_deferred
 
     def binds_exceed_window(self) -> bool:
-        """Return whether binding all unbound proxies takes more than half of the send window."""
+        """Return whether the binds of all unbound proxies exceed ``TAKEOVER_FRACTION`` of the send window."""
         settings, publisher = self.fleet.settings, self.publisher
         table_lines = TABLE_SIZE_MULTIPLE * (settings.default_table_size or 0)
         lines = publisher.head_lines + 1 + len(settings.routes) + table_lines
@@ -78,8 +88,9 @@
     def withdraw(self, server: ServerState, quota: Quota) -> bool:
         """Withdraw a server from all proxies that may use it; returns False if there is no capacity.
 
-        If no known proxy uses it, no command is published: it would cost a message to each proxy that has
-        joined but is not known yet, and those proxies are bound without the server.
+        No command is published if the withdrawal was deferred and no proxy that has joined may use the server
+        any more. The command would cost a message to each proxy whose join is not known to the director yet,
+        and such proxies are bound without the server.
         """
         address, gone = server.endpoint.address, server.status == GONE
         tables = [table for table in server.tables if table.number in server.published_weights]
@@ -97,7 +108,7 @@
         return True
 
     def terminating_by_table(self) -> ServersByTable:
-        """Return, by table, the draining or gone servers that its proxies still use."""
+        """Return, by table, the terminating servers that are still published in it and not withdrawn."""
         return self.by_table(
             server
             for server in self.fleet.servers.values()
@@ -105,7 +116,7 @@
         )
 
     def withdrawn_by_table(self) -> ServersByTable:
-        """Return, by table, withdrawn servers that are draining or gone; a bind has two lines for each."""
+        """Return, by table, the withdrawn servers that are draining or gone; each has two lines in a bind."""
         return self.by_table(
             server
             for server in self.fleet.servers.values()
@@ -123,14 +134,20 @@
         return result
 
     def deadline(self, terminating: Sequence[ServerState], waiting: Sequence[ProxyState]) -> int:
-        """Return the deadline class of a table: of its terminating servers and the proxies waiting for it."""
+        """Return the deadline class of a table; a lower class has an earlier deadline.
+
+        It is determined by the earliest drain of its terminating servers or join of its unbound proxies.
+        """
         since_us = [server.drain_started_us for server in terminating] + [
             proxy.joined_us for proxy in waiting
         ]
         return int(min(since_us) // (self.fleet.settings.drain_grace_us / DEADLINE_CLASSES))
 
     def remove_terminating(self, quota: Quota) -> None:
-        """Remove terminating servers from tables, the earliest deadline first, unless proxies are unbound."""
+        """Remove terminating servers from tables, tables with the earliest deadline first.
+
+        Does nothing while proxies are unbound: ``Binding`` then removes these servers before it binds.
+        """
         if self.fleet.unbound_proxies():
             return
         terminating = self.terminating_by_table()
@@ -149,7 +166,7 @@
         return True
 
     def channel_state(self) -> ChannelState:
-        """Return the load of the send queue, and how near pending drains and binds are to their deadlines."""
+        """Return the state of the send queue, of binds and of drains, for logs and metrics."""
         unbound, terminating = self.fleet.unbound_proxies(), self.terminating_by_table()
         since_us = [proxy.joined_us for proxy in unbound]
         since_us += [server.drain_started_us for group in terminating.values() for server in group]
--- a/rainpick/model/__init__.py
+++ b/rainpick/model/__init__.py
@@ -1,8 +1,8 @@
 """Events and commands of a director, and the values in them, as typed values.
 
 Events are passed to ``Director.step``, which returns commands. This package makes no decisions. Times are
-whole microseconds. A server is identified by its address, an opaque hashable value that is returned
-unchanged.
+whole microseconds. A server is identified by its address, an opaque hashable value: commands contain the
+addresses as they are in events.
 
 The names under which records store these types and their fields are in ``rainpick.record.schema``.
 """
--- a/rainpick/model/commands.py
+++ b/rainpick/model/commands.py
@@ -7,15 +7,15 @@
 
 from rainpick.model.endpoints import Address
 
-ALL_TABLES = 65535  # table number in SetAdmission that stands for all joined proxies
-ALL_ROUTES = 0  # route bit mask that stands for every route
+ALL_TABLES = 65535  # table number in SetAdmission that selects all joined proxies
+ALL_ROUTES = 0  # route bit mask that selects all routes
 
 
 class RetryPolicy(IntEnum):
     """The failures after which a proxy retries a request at another server."""
 
     NO_RETRY = 0
-    ON_PROOF = 1  # proof that the failed attempt had no effect
+    ON_PROOF = 1  # only failures that prove that the attempt had no effect
     ANY_FAILURE = 2
     ANY_FAILURE_TWICE = 3
 
@@ -42,7 +42,7 @@
 
 
 class RequestAcknowledgement(NamedTuple):
-    """Request an ``Acknowledged`` event from each proxy that receives this reply.
+    """Request an ``Acknowledged`` event from each proxy to which this reply sends a command.
 
     ``all_proxies`` extends the request to all joined proxies, including those that receive no other command.
     """
@@ -62,7 +62,8 @@
 class SetAdmission(NamedTuple):
     """Set the admission rate and the retry policy of a set of routes for the proxies of a table.
 
-    ``rate`` is a ratio or requests per second, depending on the setting ``proxies.admit``.
+    ``rate`` is the admitted fraction of requests, or a number of requests per second at each proxy; the
+    setting ``proxies.admit`` selects which.
     """
 
     table: int
--- a/rainpick/model/endpoints.py
+++ b/rainpick/model/endpoints.py
@@ -22,15 +22,15 @@
 
     DELTA = 0  # only the entries that changed
     FULL = 1
-    CACHED = 2  # the complete list as last known before the start
+    CACHED = 2  # the last complete list from before the director started
     FAILED = 3  # no entries: the list could not be fetched
 
 
 class Endpoint(NamedTuple):
     """An entry of the endpoint list: one server.
 
-    ``started_us`` is 0 for a server that started long ago. ``machine_type`` is an index into the settings.
-    ``pod`` is the number of the failure domain that the server belongs to.
+    ``started_us`` is 0 for a server that started long ago. ``machine_type`` is the index of the machine type
+    in the settings. ``pod`` is the number of the failure domain that the server belongs to.
     """
 
     weight: float
--- a/rainpick/model/events.py
+++ b/rainpick/model/events.py
@@ -20,7 +20,7 @@
 
 
 class Started(NamedTuple):
-    """The instance starts without state; a cached endpoint list follows.
+    """The director starts without state; the next event contains the cached endpoint list, if there is one.
 
     ``settings`` is the flat map of the settings by dotted path, for example ``rules.drain_grace_us``.
     """
@@ -30,13 +30,16 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer that the instance has set is due."""
+    """A timer that the director set with ``SetTimer`` is due."""
 
     token: int
 
 
 class ProbeCompleted(NamedTuple):
-    """A health check completed; ``load`` has the values listed in the setting ``load.names``, or is empty."""
+    """A health check completed.
+
+    ``load`` contains the load values of the server, in the order of the setting ``load.names``, or is empty.
+    """
 
     server: Address
     outcome: ProbeOutcome | int
@@ -55,7 +58,7 @@
     """A proxy joined this director.
 
     ``newly_started``: the proxy has only its default table, and no state from an earlier director.
-    ``request_rate``: the usual rate of its requests per second.
+    ``request_rate``: the usual number of requests per second that the proxy receives.
     """
 
     proxy: int
@@ -79,15 +82,19 @@
 
 
 class Retransmitted(NamedTuple):
-    """The commands with this nonce are sent again, since they may have been applied without an answer."""
+    """The commands with this nonce are sent again, since their first transmission was not answered.
+
+    Proxies may therefore receive them twice.
+    """
 
     nonce: int
 
 
 class ServerLoadReport(NamedTuple):
-    """The attempts of the joined proxies of a zone at a server over an interval.
+    """The attempts of the joined proxies of a zone at a server during an interval.
 
-    ``mean_latency_us`` is the mean over answered attempts; ``load`` is as in ``ProbeCompleted``.
+    ``mean_latency_us`` is the mean over answered attempts; ``load`` has the format of that field in
+    ``ProbeCompleted``.
     """
 
     server: Address
@@ -100,7 +107,7 @@
 
 
 class RouteLoadReport(NamedTuple):
-    """The requests of a route that reached a proxy over an interval."""
+    """The requests of a route that reached a proxy during an interval."""
 
     proxy: int
     route: int
@@ -110,7 +117,7 @@
 
 
 class KeyRangeLoadReport(NamedTuple):
-    """The requests of a route for a key range over an interval."""
+    """The requests of a route for a key range during an interval."""
 
     key_range: int
     route: int
@@ -120,7 +127,7 @@
 
 
 class KeyRangeAssigned(NamedTuple):
-    """A key range was assigned to this instance, or taken from it."""
+    """A key range was assigned to this director, or is no longer assigned to it."""
 
     key_range: int
     assigned: bool
--- a/rainpick/record/inspect.py
+++ b/rainpick/record/inspect.py
@@ -223,7 +223,7 @@
         "proxy": number,
         "zone": state.zone,
         "table": state.group.number if isinstance(state.group, Table) else None,
-        "home": director.assignment.home(state).number if fleet.tables else None,
+        "home": director.assignment.home_table(state).number if fleet.tables else None,
         "joined_ago_s": (fleet.clock.now - state.joined_us) / 1e6,
         "usual_calls_per_s": state.request_rate,
         "messages_left": None if fleet.settings.messages_max <= 1 else available,
--- a/tests/node/paced_relay.py
+++ b/tests/node/paced_relay.py
@@ -13,7 +13,7 @@
 
 from rainpick import model
 from tests.node.stub_relay import StubRelay
-from tests.takeover.channel import Channel, Held
+from tests.takeover.channel import Channel, ProxyTables
 
 ROUTES = {"lookup": 0, "commit": 1}
 LATENCY_US = 60_000
@@ -50,9 +50,9 @@
         names = [f"s-{number:04x}" for number in range(servers)]
         self.proxies = {}
         for proxy in range(proxies):
-            state = Held("ab"[proxy % 2], 10.0)
+            state = ProxyTables("ab"[proxy % 2], 10.0)
             own_zone = names[proxy % 2 :: 2]
-            state.lines = dict.fromkeys(
+            state.weights = dict.fromkeys(
                 (own_zone[(proxy + 7 * step) % len(own_zone)] for step in range(SERVERS_PER_PROXY)), 1.0
             )
             self.proxies[proxy] = state
@@ -65,7 +65,7 @@
             for server in servers:
                 self.drained_us[server] = now_us()
 
-    def apply(self, proxy: int, changes: list[Callable[[Held], None]]) -> None:
+    def apply(self, proxy: int, changes: list[Callable[[ProxyTables], None]]) -> None:
         with self.lock:
             state = self.proxies[proxy]
             before = state.usable() & self.drained_us.keys()
@@ -74,7 +74,7 @@
             for server in before - state.usable():
                 self.longest_use_us = max(self.longest_use_us, self.age_us(state, server))
 
-    def age_us(self, state: Held, server: str) -> int:
+    def age_us(self, state: ProxyTables, server: str) -> int:
         return now_us() - max(self.drained_us[server], state.joined_us)
 
     def uses_no_draining_server(self) -> bool:
@@ -99,7 +99,7 @@
 
     @property
     def peak_queue_fraction(self) -> float:
-        return self.channel.waiting_most / self.pending
+        return self.channel.peak_waiting / self.pending
 
     def join_proxy(self, proxy: int) -> None:
         """Join a proxy to this director."""
@@ -142,9 +142,9 @@
                 _, _, message = heapq.heappop(self.deliveries)
             self.fleet.apply(message.proxy, message.changes)
             self.fleet.bound.add(message.proxy)
-            if message.mark is not None:
+            if message.nonce is not None:
                 with contextlib.suppress(OSError):
-                    self.notify("done", node=message.proxy, nonce=message.mark, latency=1.0)
+                    self.notify("done", node=message.proxy, nonce=message.nonce, latency=1.0)
 
     def close(self):
         self.closed = True
--- a/tests/record/test_load.py
+++ b/tests/record/test_load.py
@@ -16,7 +16,7 @@
 from tests.record.recorded_day import record_day, replay_all
 
 INSTALLED = Path(decisions.__file__).parent
-NEVER_FITS = "\n\nSendQueue.fits = lambda queue, lines, claim: False\n"
+NEVER_FITS = "\n\nSendQueue.fits = lambda queue, lines, quota: False\n"
 
 
 def copy_installed(folder):
--- a/tests/takeover/channel.py
+++ b/tests/takeover/channel.py
@@ -16,20 +16,20 @@
 
 
 @dataclass
-class Held:
+class ProxyTables:
     """The servers that one proxy may use, according to the messages that it has applied."""
 
     zone: int
     rate: float
     joined_us: int = 0
-    lines: dict[str, float] = field(default_factory=dict)
+    weights: dict[str, float] = field(default_factory=dict)  # by server
     withdrawn: set[str] = field(default_factory=set)
 
     def can_use(self, server: str) -> bool:
-        return server in self.lines and server not in self.withdrawn
+        return server in self.weights and server not in self.withdrawn
 
     def usable(self) -> set[str]:
-        return self.lines.keys() - self.withdrawn
+        return self.weights.keys() - self.withdrawn
 
 
 @dataclass
@@ -38,8 +38,8 @@
 
     proxy: int
     cost: int
-    changes: list = field(default_factory=list)  # callables that modify the proxy's Held
-    mark: int | None = None
+    changes: list = field(default_factory=list)  # callables that modify the proxy's ProxyTables
+    nonce: int | None = None
 
 
 class Channel:
@@ -52,14 +52,14 @@
         self.proxies: dict[int, set[int]] = defaultdict(set)
         self.bound: dict[int, int] = {}
         self.withdrawn: set[str] = set()
-        self.joined: dict[int, Held] = {}
+        self.joined: dict[int, ProxyTables] = {}
         self.idle_us = 0.0  # time at which all written messages will have been sent
-        self.waiting_most = 0.0
+        self.peak_waiting = 0.0
         self.lines_sent = 0
         self.messages_sent = 0
 
-    def join(self, proxy: int, held: Held) -> None:
-        self.joined[proxy] = held
+    def join(self, proxy: int, proxy_tables: ProxyTables) -> None:
+        self.joined[proxy] = proxy_tables
 
     def waiting(self, now: float) -> float:
         """Return the number of lines that have not been sent yet."""
@@ -75,7 +75,7 @@
         def add_lines(proxy: int, lines: int, change) -> None:
             message = messages.get(proxy)
             if message is None:
-                message = messages[proxy] = Message(proxy, self.head_lines + (nonce is not None), mark=nonce)
+                message = messages[proxy] = Message(proxy, self.head_lines + (nonce is not None), nonce=nonce)
             message.cost += lines
             if change is not None:
                 message.changes.append(change)
@@ -90,7 +90,7 @@
             sent.append((sent_us + self.delivery_delay_us, message))
         self.messages_sent += len(messages)
         self.idle_us = sent_us
-        self.waiting_most = max(self.waiting_most, self.waiting(now))
+        self.peak_waiting = max(self.peak_waiting, self.waiting(now))
         return sent
 
     def apply(self, command: object, add_lines) -> None:
@@ -112,11 +112,11 @@
         else:
             self.tables[table].pop(server, None)
 
-        def change(held: Held) -> None:
+        def change(proxy_tables: ProxyTables) -> None:
             if weight:
-                held.lines[server] = weight
+                proxy_tables.weights[server] = weight
             else:
-                held.lines.pop(server, None)
+                proxy_tables.weights.pop(server, None)
 
         for proxy in self.proxies[table]:
             add_lines(proxy, 1, change)
@@ -124,12 +124,12 @@
     def set_withdrawn(self, server: str, withdrawn: bool, add_lines) -> None:
         (self.withdrawn.add if withdrawn else self.withdrawn.discard)(server)
 
-        def change(held: Held) -> None:
-            (held.withdrawn.add if withdrawn else held.withdrawn.discard)(server)
+        def change(proxy_tables: ProxyTables) -> None:
+            (proxy_tables.withdrawn.add if withdrawn else proxy_tables.withdrawn.discard)(server)
 
-        for proxy, held in self.joined.items():
+        for proxy, proxy_tables in self.joined.items():
             table = self.bound.get(proxy)
-            uses_server = server in (held.lines if table is None else self.tables[table])
+            uses_server = server in (proxy_tables.weights if table is None else self.tables[table])
             if uses_server:
                 add_lines(proxy, 1, change)
 
@@ -139,10 +139,10 @@
             self.proxies[previous].discard(proxy)
         self.bound[proxy] = table
         self.proxies[table].add(proxy)
-        lines = dict(self.tables[table])
-        withdrawn = self.withdrawn & lines.keys()
+        weights = dict(self.tables[table])
+        withdrawn = self.withdrawn & weights.keys()
 
-        def change(held: Held) -> None:
-            held.lines, held.withdrawn = dict(lines), set(withdrawn)
+        def change(proxy_tables: ProxyTables) -> None:
+            proxy_tables.weights, proxy_tables.withdrawn = dict(weights), set(withdrawn)
 
-        add_lines(proxy, BIND_LINES + len(lines) + len(self.admissions[table]) + len(withdrawn), change)
+        add_lines(proxy, BIND_LINES + len(weights) + len(self.admissions[table]) + len(withdrawn), change)
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -10,7 +10,7 @@
 from rainpick import model
 from rainpick.decisions.director import Director
 from rainpick.director.stepper import Stepper
-from tests.takeover.channel import Channel, Held
+from tests.takeover.channel import Channel, ProxyTables
 
 
 @dataclass(frozen=True)
@@ -125,12 +125,12 @@
             self.day.schedule(max(due, now + 1), lambda: self.step(self.day.now))
 
     def message_applied(self, message) -> None:
-        held = self.channel.joined.get(message.proxy)
-        if not self.alive or held is None:
+        proxy_tables = self.channel.joined.get(message.proxy)
+        if not self.alive or proxy_tables is None:
             return
-        self.day.apply(message.proxy, held, message.changes)
-        if message.mark is not None:
-            self.receive(model.Acknowledged(message.proxy, message.mark, 0))
+        self.day.apply(message.proxy, proxy_tables, message.changes)
+        if message.nonce is not None:
+            self.receive(model.Acknowledged(message.proxy, message.nonce, 0))
 
     def receive(self, *events) -> None:
         self.stepper.pending_events += events
@@ -141,14 +141,14 @@
     """Plays a ``DayConfig`` on the real decisions."""
 
     def __init__(self, config: DayConfig):
-        self.config, self.now, self.heap, self.numbers = config, 0, [], count()
+        self.config, self.now, self.heap, self.sequence_numbers = config, 0, [], count()
         self.random = random.Random(config.seed)
         self.endpoints = {
             name: self.server(name, 0) for name in (f"s-{number:04x}" for number in range(config.servers))
         }
         self.server_numbers = count(config.servers)
         self.drained_us: dict[str, int] = {}  # time at which a server's drain was announced
-        self.proxies: dict[int, Held] = {}
+        self.proxies: dict[int, ProxyTables] = {}
         self.changes: dict[str, model.Endpoint] = {}  # entries of the next list update
         self.longest_drain = 0.0
         self.late_drains = 0
@@ -162,24 +162,26 @@
         return model.Endpoint(3.0 if large else 2.0, zone, started_us, int(large), 0, name, state)
 
     def schedule(self, time_us: float, callback) -> None:
-        heappush(self.heap, (int(time_us), next(self.numbers), callback))
+        heappush(self.heap, (int(time_us), next(self.sequence_numbers), callback))
 
-    def apply(self, proxy: int, held: Held, changes: list) -> None:
-        used = {server for server in held.usable() if server in self.drained_us}
+    def apply(self, proxy: int, proxy_tables: ProxyTables, changes: list) -> None:
+        used = {server for server in proxy_tables.usable() if server in self.drained_us}
         for change in changes:
-            change(held)
-        for server in used - held.usable():
-            self.record_drain(held, server, self.now)
-        if held.usable():
+            change(proxy_tables)
+        for server in used - proxy_tables.usable():
+            self.record_drain(proxy_tables, server, self.now)
+        if proxy_tables.usable():
             self.longest_empty_us = max(
                 self.longest_empty_us, self.now - self.empty_since.pop(proxy, self.now)
             )
         else:
             self.empty_since.setdefault(proxy, self.now)
 
-    def record_drain(self, held: Held, server: str, until_us: int) -> bool:
+    def record_drain(self, proxy_tables: ProxyTables, server: str, until_us: int) -> bool:
         """Record the use of a server after its drain was announced; returns whether it exceeded the grace."""
-        duration = (until_us - max(self.drained_us[server], held.joined_us)) / self.config.drain_grace_us
+        duration = (
+            until_us - max(self.drained_us[server], proxy_tables.joined_us)
+        ) / self.config.drain_grace_us
         self.longest_drain = max(self.longest_drain, duration)
         self.late_drains += duration > 1
         return duration > 1
@@ -218,11 +220,11 @@
             self.schedule(self.now + notice_us + 500_000, lambda new=new: self.change(new))
 
     def join(self, proxy: int, director: DirectorInstance) -> None:
-        held = self.proxies[proxy]
-        held.joined_us = self.now
-        director.channel.join(proxy, held)
-        newly_started = not held.lines
-        director.receive(model.ProxyJoined(proxy, newly_started, held.rate, held.zone))
+        proxy_tables = self.proxies[proxy]
+        proxy_tables.joined_us = self.now
+        director.channel.join(proxy, proxy_tables)
+        newly_started = not proxy_tables.weights
+        director.receive(model.ProxyJoined(proxy, newly_started, proxy_tables.rate, proxy_tables.zone))
 
     def kill(self) -> None:
         """Kill all directors but the last one; their proxies reconnect to that one."""
@@ -238,15 +240,19 @@
     def play(self) -> Outcome:
         config = self.config
         for proxy in range(config.proxies):
-            held = Held(self.random.randrange(config.zones), self.random.lognormvariate(0, 0.8))
-            local = [name for name, endpoint in self.endpoints.items() if endpoint.zone == held.zone]
-            held.lines = dict.fromkeys(
+            proxy_tables = ProxyTables(
+                self.random.randrange(config.zones), self.random.lognormvariate(0, 0.8)
+            )
+            local = [name for name, endpoint in self.endpoints.items() if endpoint.zone == proxy_tables.zone]
+            proxy_tables.weights = dict.fromkeys(
                 self.random.sample(local or list(self.endpoints), config.default_table_size), 1.0
             )
-            self.proxies[proxy] = held
+            self.proxies[proxy] = proxy_tables
             director = self.directors[proxy % config.directors]
-            director.channel.join(proxy, held)
-            director.stepper.pending_events.append(model.ProxyJoined(proxy, True, held.rate, held.zone))
+            director.channel.join(proxy, proxy_tables)
+            director.stepper.pending_events.append(
+                model.ProxyJoined(proxy, True, proxy_tables.rate, proxy_tables.zone)
+            )
         for director in self.directors:
             self.schedule(0, lambda director=director: director.step(self.now))
         for wave in config.waves:
@@ -260,15 +266,15 @@
     def outcome(self) -> Outcome:
         self.now = self.config.end_us
         unapplied = 0
-        for held in self.proxies.values():
-            for server in held.usable() & self.drained_us.keys():
-                unapplied += self.record_drain(held, server, self.now)
+        for proxy_tables in self.proxies.values():
+            for server in proxy_tables.usable() & self.drained_us.keys():
+                unapplied += self.record_drain(proxy_tables, server, self.now)
         last = self.directors[-1].channel
         return Outcome(
             round(self.longest_drain, 3),
             self.late_drains,
             unapplied,
-            round(last.waiting_most / self.config.pending_lines_max, 3),
+            round(last.peak_waiting / self.config.pending_lines_max, 3),
             self.longest_empty_us,
             last.lines_sent,
             last.messages_sent,
