--- a/rainpick/decisions/admission.py
+++ b/rainpick/decisions/admission.py
@@ -30,7 +30,7 @@
 
 
 def max_min_fair_limit(demands: Sequence[float], limit: float) -> float:
-    """Return the maximum of each demand with which the demands add up to ``limit``: max-min fairness.
+    """Return the maximum to which demands are cut so that they add up to ``limit`` (max-min fairness).
 
     Smaller demands are met in full. The sum of the demands must exceed ``limit``.
 
@@ -108,8 +108,8 @@
     def reported_request_rate(self) -> float:
         """Return the total usual request rate of the proxies that joined before the window of load reports.
 
-        The initial limit is divided by this rate. With proxies of which few attempts have been reported so
-        far, the limit would be so low that it rejected nearly all requests.
+        The initial limit is divided by this rate. If the rate included proxies with few reported attempts so
+        far, the limit would be so low that nearly all requests would be rejected.
         """
         clock = self.fleet.clock
         since_us = clock.now - (BUCKETS + RECENT_BUCKETS) * clock.bucket_us
--- a/rainpick/decisions/binding.py
+++ b/rainpick/decisions/binding.py
@@ -61,7 +61,7 @@
     def urgency(
         self, table: Table, waiting: Sequence[ProxyState], terminating: Sequence[ServerState]
     ) -> tuple[int, float, int]:
-        """Return the sort key of a table: its deadline class, then its busiest unbound proxy."""
+        """Return the sort key of a table: its deadline class, then its highest rate of an unbound proxy."""
         busiest = max((proxy.request_rate for proxy in waiting), default=0.0)
         return self.withdrawals.deadline(terminating, waiting), -busiest, table.number
 
@@ -75,7 +75,7 @@
     def saves_lines(self, table: Table, waiting: Sequence[ProxyState]) -> bool:
         """Return whether removing a withdrawn server from a table takes fewer lines than binding with it.
 
-        It always does in a takeover of the proxies of a failed director, because more of them are expected
+        Always true during a takeover of the proxies of a failed director, because more of them are expected
         to join than those in ``waiting``.
         """
         lines = 1 if table.pending_lines else 1 + self.publisher.head_lines
--- a/rainpick/decisions/director.py
+++ b/rainpick/decisions/director.py
@@ -153,7 +153,7 @@
         self.update_due = True
 
     def retransmitted(self, event: model.Retransmitted) -> None:
-        """Count a reply again that is sent again because its first transmission was not answered."""
+        """Count the lines and messages of a reply that is sent again, since no answer to it arrived."""
         self.publisher.retransmitted(event.nonce)
 
     def server_reported(self, event: model.ServerLoadReport) -> None:
@@ -195,13 +195,13 @@
         self.locality.update(self.assignment.tables_by_zone)
         self.assignment.update()
         update_concentration(fleet, self.assignment)
-        overdue = self.withdrawals.publish()
+        draining_tables = self.withdrawals.publish()
         populated, warm_populated = populated_tables(fleet.servers.values()), populated_tables(warm)
         self.weight_updates.fill_empty_tables(populated, quotas.rule)
         self.publish_admission()
         # Binds precede weight changes because an unbound proxy may still use a draining server.
         self.binding.publish()
-        self.weight_updates.protect_warming_servers(warm, populated, warm_populated, overdue)
+        self.weight_updates.protect_warming_servers(warm, populated, warm_populated, draining_tables)
         # Weight updates need more available messages at each proxy than other commands do: when a zone
         # returns, the starts of its servers are discovered one after another, and their weights take several
         # messages.
--- a/rainpick/decisions/endpoint_list.py
+++ b/rainpick/decisions/endpoint_list.py
@@ -8,7 +8,7 @@
 from rainpick.model import Address, Endpoint, EndpointUpdate, UpdateKind
 
 FORGET_TICKS = 30  # ticks after which the state of a gone server is deleted
-FORGOTTEN_MAX = 4096  # maximum number of addresses that are kept of such servers
+FORGOTTEN_MAX = 4096  # maximum number of servers with deleted state whose addresses are kept
 
 
 class EndpointList:
@@ -21,7 +21,7 @@
         self.forgotten: dict[Address, bool] = {}
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply an update that did not fail."""
+        """Apply an update that did not fail; the cached list also determines the length of time buckets."""
         for entry in update.endpoints:
             self.apply_entry(entry)
         servers = self.fleet.servers
@@ -54,9 +54,9 @@
         server.presumed_gone = False
 
     def drop(self, server: ServerState) -> None:
-        """Mark a server as missing or gone that the list reports as gone or no longer contains.
+        """Mark a server that the list reports as gone or no longer contains as missing or gone.
 
-        A ready server becomes missing if, by the settings, a server that the list dropped may still serve. A
+        A ready server becomes missing if the setting ``gone_is_not_final`` allows that it still serves. A
         missing server remains missing; any other becomes gone.
         """
         if server.status == READY and self.fleet.settings.gone_is_not_final:
--- a/rainpick/decisions/fleet.py
+++ b/rainpick/decisions/fleet.py
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """The state that several decisions read; ``docs/architecture.md`` lists which module writes what.
+    """The state that several decisions read; ``docs/architecture.md`` lists which module writes which part.
 
     ``unbound`` contains the unbound proxies that may use any server, because the director does not know their
     default tables. An unbound proxy that joined from another director may still use the servers which that
--- a/rainpick/decisions/fleet_load.py
+++ b/rainpick/decisions/fleet_load.py
@@ -11,7 +11,7 @@
 from rainpick.decisions.sliding_window import RECENT_BUCKETS, SlidingWindow
 from rainpick.model import ServerLoadReport
 
-SUCCESS_RATIO_ATTEMPTS_MIN = 4  # minimum divisor: the failure of fewer attempts does not represent the fleet
+SUCCESS_RATIO_ATTEMPTS_MIN = 4  # fewer attempts count as this many, since they do not represent the fleet
 HEALTHY_SUCCESS_RATIO = 0.7  # a fleet that answers a smaller fraction of its attempts is not healthy
 CONGESTED_LATENCY_RATIO = 0.6  # a fleet is congested above this ratio of median latency to the objective
 
@@ -48,10 +48,10 @@
         self.mean_report_interval_us = 0.0
 
     def record(self, report: ServerLoadReport, capacity_settled_us: int) -> None:
-        """Add a report to the totals, and to the observations of its server unless that is ejected.
+        """Add a report to the totals, and to the observations of its server if it is known and not ejected.
 
-        Overload protection only uses reports from times after the last change of the server's own capacity
-        factor and of any machine type's factor have settled; the latter is ``capacity_settled_us``.
+        Overload protection ignores reports until the last change of the server's capacity factor has taken
+        effect, and the last change of a machine type's factor, which it has at ``capacity_settled_us``.
         """
         clock = self.fleet.clock
         self.totals.add(clock.bucket, report.attempts, report.failures, report.interval_us, 1)
--- a/rainpick/decisions/locality.py
+++ b/rainpick/decisions/locality.py
@@ -34,7 +34,7 @@
                 self.spill[zone] = round(target / SPILL_STEP) * SPILL_STEP
 
     def target_spill(self, zones: Iterable[int | None]) -> dict[int | None, float]:
-        """Return, by zone, the demand in excess of its usable capacity as a fraction of that, from 0 to 1.
+        """Return, by zone, the excess of demand over usable capacity, divided by this capacity; at most 1.
 
         The demand is estimated from the usual request rates of the proxies that joined this director.
         """
--- a/rainpick/decisions/proxies.py
+++ b/rainpick/decisions/proxies.py
@@ -28,7 +28,7 @@
         self.request_rate = event.request_rate
         self.group = group
         self.joined_us = now
-        self.requests: dict[int, SlidingWindow] = {}  # by route: requests, report intervals in us
+        self.requests: dict[int, SlidingWindow] = {}  # by route: requests, report intervals in microseconds
         self.unacknowledged: deque[SentMessage] = deque()
         self.message_tokens = 1e9  # see MessageLimit; reduced to the burst size when it is first read
         self.tokens_filled_us = now
--- a/rainpick/decisions/slow_start.py
+++ b/rainpick/decisions/slow_start.py
@@ -23,8 +23,8 @@
     """The inputs of a percentage other than the state of the server itself."""
 
     machine_type_factors: Mapping[int, float]  # lowered for overloaded machine types
-    success_ratio: float  # of the fleet
-    latency_ratio: float  # of the fleet
+    success_ratio: float  # fraction of recent attempts that the fleet answered
+    latency_ratio: float  # median latency of servers divided by the latency objective
     warming_fraction: float  # reduces servers that warm up while few warm ones are left
 
 
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -55,12 +55,13 @@
         warm: Collection[ServerState],
         populated: Collection[int],
         warm_populated: Collection[int],
-        overdue: Collection[Table],
+        draining_tables: Collection[Table],
     ) -> None:
         """Lower excessive weights before the next tick, and publish warm servers to tables that have none.
 
         ``populated`` are the numbers of tables that have a server, ``warm_populated`` the numbers of tables
-        that have a warm one. ``overdue`` are the tables in which a terminating server is still published.
+        that have a warm one. ``draining_tables`` are the tables in which a terminating server is still
+        published.
         """
         for server in [server for server in self.fleet.servers.values() if server.percentage]:
             # An unused table needs no warm server, unless the server has to be readmitted anyway.
@@ -71,14 +72,14 @@
             ]
             lowered = [table for table in server.tables if self.is_lowered(server, table)]
             # Lowered weights of servers that warm up may use the message and the capacity reserved for
-            # drains, and each table is sent a message as soon as its own proxies can receive it. Before, when
-            # half a zone returned within a second, in six list updates, its servers waited until all proxies
-            # of their tables could receive a message. A warm server for a table that has only servers that
-            # warm up may use the same capacity: such a table once waited 3 s for a warm server, until the
-            # other zone was lost. Tables with a terminating server leave the capacity to its removal.
+            # drains, and each table is sent a message as soon as its own proxies can receive it. Without
+            # this, half a zone that returned within a second, in six list updates, waited until all proxies
+            # of its tables could receive a message. A warm server for a table that has only servers that warm
+            # up may use the reserve as well: such a table once waited 3 s, and then the other zone was lost.
+            # In a table with a terminating server, the reserve is left to the removal of that server.
             for table in dict.fromkeys((*lowered, *without_warm)):
                 urgent = table in without_warm and table.number in populated
-                deferrable = table in overdue or server in warm and not urgent
+                deferrable = table in draining_tables or server in warm and not urgent
                 quotas = self.publisher.quotas
                 self.publish(server, quotas.ejection if deferrable else quotas.rule, [table])
 
--- a/tests/decisions/scenario_player.py
+++ b/tests/decisions/scenario_player.py
@@ -1,26 +1,28 @@
 """Plays scenarios: small text files about one director. ``play(text)`` raises AssertionError if one fails.
 
-A line is either ``MS: EVENT; EVENT ...``, one batch of events at that millisecond, or a check of the state
-after it. Timers that are due before the batch fire first. ``#`` begins a comment. Servers have short names.
-In an endpoint list, ``a:new`` is a server that starts at that time, ``a:drain`` and ``a:gone`` give its
-state, ``a:*2`` gives its listed weight, and ``A`` has another machine type than ``a``.
+A line is either ``MS: EVENT; EVENT ...``, a batch of events at that time in milliseconds, or a check of the
+state after the batches so far. Timers that are due before a batch fire first. ``#`` begins a comment. Servers
+have short names. In an endpoint list, ``a:new`` is a server that starts at the time of the batch, ``a:drain``
+and ``a:gone`` are servers in these states, ``a:*2`` is a server with the listed weight 2, and a name in upper
+case is a server of another machine type.
 
     set NAME=VALUE ...        settings, before the start
-    MS: start | cached a b | full a b | list a:drain     a director starts; its cached, full or changed list
+    MS: start                                            a director starts without state
+    MS: cached a b | full a b | list a:drain             a cached or complete list, or changed entries
     MS: join P [RATE [ZONE]] | left P                    a proxy joins or leaves
-    MS: rejoin P [RATE [ZONE]]                           a proxy joins that has the tables of another director
+    MS: rejoin P [RATE [ZONE]]                           a proxy joins that another director has bound
     MS: unresponsive P                                   a proxy acknowledges nothing from now on
     MS: report a ATTEMPTS FAILURES [MEAN_MS [INTERVAL_MS]]   a load report on a server
-    MS: retransmitted NONCE                              the reply with this nonce may have been applied twice
+    MS: retransmitted NONCE                              the reply with this nonce is sent again
     MS: requests P ROUTE N                               a load report: requests to a proxy in the last second
     MS: probed a OUTCOME                                 a health check ends, with the number of its outcome
-    MS: stall MS2                                        no step before MS2; then all events at once
-    expect COMMAND...         this command was given since the last batch line began; ``*`` matches anything
-    forbid COMMAND...         no such command was given
+    MS: stall MS2                                        no step before MS2; delayed events are then delivered
+    expect COMMAND...         this command was returned since the last batch line; ``*`` matches anything
+    forbid COMMAND...         no such command was returned since the last batch line
     usable P a b              proxy P may use these servers: those of its table that are not withdrawn
     usable_count P N          proxy P may use N servers
-    unchanged P               proxy P may use the same servers as at the first such check
-    weight a 0.25             the published weight of a over its listed weight
+    unchanged P               proxy P may use the same servers as at the first ``unchanged`` check of P
+    weight a 0.25             the published weight of server a divided by its listed weight
     messages N MS             no proxy was sent more than N messages within MS
 """
 
@@ -32,7 +34,7 @@
 from rainpick.decisions.director import Director
 from rainpick.operator_settings import translate_value
 
-# The names of the commands in scenarios.
+# The names of the commands in ``expect`` and ``forbid``.
 COMMAND_NAMES = {
     model.SetWeight: "set_weight",
     model.ClearTable: "clear_table",
@@ -56,20 +58,21 @@
 
 
 class ScenarioPlayer:
-    """One director, the commands that it gave, and the state of its proxies.
+    """One director, the commands that it returned, and the state of its proxies.
 
-    ``checks`` and ``events`` map the first words of scenario lines and events to the methods that play them.
+    ``checks`` maps the first word of a check line, and ``events`` the first word of an event, to the method
+    that plays it.
     """
 
     def __init__(self):
         self.settings = {"routes.count": 1, "routes.0.slo_time_us": 500_000}
         self.director = Director()
         self.now = 0
-        self.stalled_until = 0  # no step before that time
-        self.endpoints = {}  # the endpoint list, by name
+        self.stalled_until = 0  # time in microseconds before which no step is made
+        self.endpoints = {}  # entries of the endpoint list by name
         self.commands = []  # commands since the last line of events
         self.first_usable = {}  # by proxy, the usable servers at its first "unchanged" check
-        self.sent = {}  # by proxy, the times at which messages were sent to it
+        self.sent = {}  # by proxy, the times in microseconds at which messages were sent to it
         self.unresponsive = set()  # proxies that acknowledge nothing
         self.reset_director_state()
         self.checks = {
@@ -97,10 +100,10 @@
         }
 
     def reset_director_state(self):
-        """Discard all state that the director created."""
+        """Discard all state that the commands of a director created."""
         self.timers = []
-        self.bound = {}  # by joined proxy, its table
-        self.tables = {}  # by table, the weights in it
+        self.bound = {}  # by joined proxy, the number of its table or None
+        self.tables = {}  # by table number, the weights of its servers
         self.withdrawn = set()
 
     # Events
@@ -111,7 +114,7 @@
         return model.Started(7, dict(self.settings))
 
     def endpoint(self, word):
-        """Parse an entry of the endpoint list: ``a``, ``a:new``, ``a:drain*2``."""
+        """Parse an entry of the endpoint list, for example ``a``, ``a:new`` or ``a:drain*2``."""
         name, _, rest = word.partition(":")
         state, _, weight = rest.partition("*")
         old = self.endpoints.get(name)
@@ -148,7 +151,7 @@
     # Steps
 
     def step(self, events):
-        """Step the director, and apply its commands."""
+        """Step the director, apply its commands, and record them and the messages sent."""
         reached = set()
         for command in self.director.step(self.now, events):
             reached |= self.apply_command(command, frozenset(reached))
@@ -158,7 +161,10 @@
             self.sent[proxy].append(self.now)
 
     def apply_command(self, command, reached):
-        """Apply a command; returns the proxies that it reaches. ``reached``: those of earlier commands."""
+        """Apply a command; returns the proxies that it reaches.
+
+        ``reached`` are the proxies that earlier commands of the same reply reach.
+        """
         kind = type(command)
         if kind is model.SetTimer:
             heappush(self.timers, (self.now + command.delay_us, command.token))
@@ -182,7 +188,7 @@
         return set()
 
     def advance_to(self, time_us):
-        """Fire the timers and deliver the acknowledgements that are due by a time."""
+        """Fire the timers and deliver the acknowledgements that are due by a time in microseconds."""
         while self.timers and max(self.timers[0][0], self.stalled_until) <= time_us:
             due, token, *rest = heappop(self.timers)
             self.now = max(due, self.stalled_until, self.now)
@@ -191,7 +197,7 @@
         self.now = time_us
 
     def play_events(self, time_ms, text):
-        """Play a line of events at a time."""
+        """Play a line of events at a time in milliseconds."""
         self.commands.clear()
         self.advance_to(time_ms * 1000)
         events = []
@@ -245,7 +251,7 @@
                 assert len(recent) <= int(count), times_us
 
     def play_line(self, text):
-        """Play a line: events at a time, or a check."""
+        """Play a line of a scenario, which is a batch of events or a check."""
         verb, *words = text.split()
         if verb.endswith(":"):
             self.play_events(int(verb[:-1]), text.partition(":")[2])
--- a/tests/decisions/test_director.py
+++ b/tests/decisions/test_director.py
@@ -29,11 +29,11 @@
     return director, nonce
 
 
-def test_lines_of_a_proxy_that_rejoins_unnoticed_still_count_as_waiting():
-    """Guards against exceeding the queue limit after an unnoticed rejoin.
+def test_lines_of_a_proxy_that_rejoins_without_having_left_still_count_as_waiting():
+    """Guards against exceeding the queue limit after a proxy rejoins without a notice that it had left.
 
-    After a gap in the events a proxy is reported as joining anew, though its stream may never have ended. Its
-    earlier lines are still in the channel; when they were not counted, as many again were sent.
+    After a gap in the events, a proxy is reported as joining again although its stream may never have ended.
+    Its earlier lines are still in the channel; when they were not counted, the same number was sent again.
     """
     director, _ = started_director()
     lines = director.publisher.queue.waiting
@@ -56,7 +56,7 @@
 
 
 def replace_server(director, now, old, new):
-    """Drain and remove a server, and add another; returns the time afterwards and the commands given."""
+    """Drain and remove a server, and add another; returns the time afterwards and the director's commands."""
 
     def endpoint_update(name, state, started):
         return model.EndpointUpdate(
@@ -83,8 +83,9 @@
 def test_gone_servers_are_forgotten_but_remembered_as_withdrawn(monkeypatch):
     """Guards against steps that take longer with each replaced server.
 
-    Two thousand replaced servers made each step four times as slow. The relay keeps forgotten servers
-    withdrawn, so one that returns under its old id has to be readmitted, or no proxy would use it again.
+    Two thousand replaced servers made each step four times as slow, so the state of gone servers is deleted.
+    The relay keeps these servers withdrawn; one that returns under its old id has to be readmitted, or no
+    proxy would use it again.
     """
     monkeypatch.setattr(endpoint_list, "FORGOTTEN_MAX", 20)
     director, nonce = started_director()
--- a/tests/takeover/channel.py
+++ b/tests/takeover/channel.py
@@ -1,8 +1,8 @@
 """A simulated paced channel: applies a director's commands, and computes when each proxy has applied them.
 
-It follows the operators' page on the wire protocol. One reply is one message to each proxy that it reaches.
-A message takes a head and one line for each of its commands. Messages are sent one after another at a fixed
-pace.
+It follows the operators' page on the wire protocol. A reply of the director is sent as one message to each
+proxy that it reaches. A message consists of a head, which takes several lines, and the lines of its commands.
+Messages are sent one after another at a fixed number of lines per second.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from rainpick import model
 
-BIND_LINES = 1  # of a bind, in addition to the lines of its table
+BIND_LINES = 1  # number of lines of a bind, in addition to the lines for the contents of its table
 
 
 @dataclass
@@ -20,7 +20,7 @@
     """The servers that one proxy may use, according to the messages that it has applied."""
 
     zone: int
-    rate: float
+    rate: float  # requests per second that the proxy receives
     joined_us: int = 0
     weights: dict[str, float] = field(default_factory=dict)  # by server
     withdrawn: set[str] = field(default_factory=set)
@@ -34,27 +34,27 @@
 
 @dataclass
 class Message:
-    """The commands of one reply for one proxy."""
+    """The message of one reply to one proxy."""
 
     proxy: int
-    cost: int
-    changes: list = field(default_factory=list)  # callables that modify the proxy's ProxyTables
+    cost: int  # number of lines of the message, including its head
+    changes: list = field(default_factory=list)  # functions that apply the commands to a ProxyTables
     nonce: int | None = None
 
 
 class Channel:
-    """The tables, withdrawals and queue that the relay keeps for one director."""
+    """The tables, the withdrawals and the message queue that the relay keeps for one director."""
 
     def __init__(self, lines_per_s: float, head_lines: int, delivery_delay_us: int):
         self.lines_per_s, self.head_lines, self.delivery_delay_us = lines_per_s, head_lines, delivery_delay_us
         self.tables: dict[int, dict[str, float]] = defaultdict(dict)
-        self.admissions: dict[int, set[int]] = defaultdict(set)
-        self.proxies: dict[int, set[int]] = defaultdict(set)
-        self.bound: dict[int, int] = {}
+        self.admissions: dict[int, set[int]] = defaultdict(set)  # by table, route bit masks with a rate
+        self.proxies: dict[int, set[int]] = defaultdict(set)  # by table, the proxies bound to it
+        self.bound: dict[int, int] = {}  # by proxy, its table
         self.withdrawn: set[str] = set()
         self.joined: dict[int, ProxyTables] = {}
         self.idle_us = 0.0  # time at which all written messages will have been sent
-        self.peak_waiting = 0.0
+        self.peak_waiting = 0.0  # highest number of lines not sent yet, right after a reply was written
         self.lines_sent = 0
         self.messages_sent = 0
 
--- a/tests/takeover/day.py
+++ b/tests/takeover/day.py
@@ -1,4 +1,7 @@
-"""A day in virtual time: during a release all directors but one are killed, and the last one takes over."""
+"""A day in virtual time: during a release all directors but one are killed.
+
+The proxies of the killed directors then join the last director, which has to bind them all.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
     at_us: int
     servers: int
-    gone_after_us: int = 4_000_000
+    gone_after_us: int = 4_000_000  # time from the start of a server's drain until it is gone
 
 
 @dataclass(frozen=True)
@@ -39,7 +42,7 @@
     warm_after_us: int = 12_000_000
     delivery_delay_us: int = 180_000
     killed_us: int = 9_000_000
-    reconnect_us: int = 1_500_000  # all proxies of the killed directors have joined the last one by then
+    reconnect_us: int = 1_500_000  # maximum time from the kill until a proxy has joined the last director
     end_us: int = 30_000_000
     waves: tuple[Wave, ...] = (
         Wave(6_000_000, 30),
@@ -88,20 +91,20 @@
 
 @dataclass
 class Outcome:
-    """How near the day came to the limits."""
+    """The measurements of a day that are compared with the limits."""
 
     longest_drain: float  # longest use of a server after its drain was announced, in drain graces
-    late_drains: int  # number of such uses that exceeded the drain grace
-    unapplied_drains: int  # number of those that had not ended by the end of the day
-    peak_queue: float  # maximum queue length over its limit
+    late_drains: int  # number of uses after an announced drain that exceeded the drain grace
+    unapplied_drains: int  # number of the late drains that had not ended by the end of the day
+    peak_queue: float  # maximum queue length of the last director as a fraction of its limit
     longest_empty_us: int  # longest time for which a proxy had no usable server
-    lines: int
-    messages: int
-    unbound: int  # proxies that the last director had not bound to a table by the end
+    lines: int  # number of lines that the last director sent
+    messages: int  # number of messages that the last director sent
+    unbound: int  # number of proxies that the last director had not bound to a table by the end
 
 
 class DirectorInstance:
-    """One director with its decisions and its channel."""
+    """One director with its decisions and its paced channel."""
 
     def __init__(self, day: Day, number: int):
         config = day.config
@@ -138,7 +141,7 @@
 
 
 class Day:
-    """Plays a ``DayConfig`` on the real decisions."""
+    """Plays the day that a ``DayConfig`` describes, with the decisions of ``Director``."""
 
     def __init__(self, config: DayConfig):
         self.config, self.now, self.heap, self.sequence_numbers = config, 0, [], count()
@@ -152,7 +155,7 @@
         self.changes: dict[str, model.Endpoint] = {}  # entries of the next list update
         self.longest_drain = 0.0
         self.late_drains = 0
-        self.empty_since: dict[int, int] = {}
+        self.empty_since: dict[int, int] = {}  # by proxy without a usable server, the time when that began
         self.longest_empty_us = 0
         self.directors = [DirectorInstance(self, number) for number in range(config.directors)]
 
@@ -165,6 +168,7 @@
         heappush(self.heap, (int(time_us), next(self.sequence_numbers), callback))
 
     def apply(self, proxy: int, proxy_tables: ProxyTables, changes: list) -> None:
+        """Apply a message at a proxy, and record the drains that it ends and times without usable servers."""
         used = {server for server in proxy_tables.usable() if server in self.drained_us}
         for change in changes:
             change(proxy_tables)
@@ -187,6 +191,7 @@
         return duration > 1
 
     def change(self, endpoint: model.Endpoint) -> None:
+        """Add an entry to the next list update, which is published at the end of the list interval."""
         if not self.changes:
             interval_us = self.config.list_interval_us
             self.schedule((self.now // interval_us + 1) * interval_us, self.publish)
@@ -203,6 +208,7 @@
                 director.receive(model.EndpointUpdate(model.UpdateKind.DELTA, endpoints, 1))
 
     def replace(self, wave: Wave) -> None:
+        """Schedule the drain, the removal and the replacement of the servers of a wave."""
         ready = [
             endpoint for endpoint in self.endpoints.values() if endpoint.state == model.EndpointState.READY
         ]
--- a/tests/takeover/test_takeover.py
+++ b/tests/takeover/test_takeover.py
@@ -1,8 +1,9 @@
-"""One director takes over all proxies during a release: drains keep their grace and the queue stays short.
+"""One director takes over the proxies of all others during a release.
 
-Guards against a takeover in which binds delay withdrawals past the drain grace or fill the queue. Played on
-the decisions in virtual time, see ``day.py``. The full-size day has the size of the operators' fleet and the
-settings of one deployment; the small one has the same structure with a third of the drain grace.
+Guards against binds of these proxies that delay withdrawals past the drain grace or fill the queue. The day
+is played on the decisions in virtual time, see ``day.py``. The full-size day has the size of the operators'
+fleet and the settings of one deployment; the small one has the same structure, but a third of the drain
+grace.
 """
 
 import pytest
@@ -10,7 +11,7 @@
 from tests.takeover.day import Day, DayConfig, Wave
 
 SECOND = 1_000_000
-MARGIN = 0.9  # of the drain grace and of the queue: a tenth is kept in reserve
+MARGIN = 0.9  # fraction of the drain grace and of the queue limit that may be used: a tenth is in reserve
 
 SMALL = DayConfig(
     proxies=300,
