--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -93,7 +93,7 @@
 
 def status(place) -> dict:
     client = Client(*place)
-    found = json.loads(client.call("GET", "/status")[2])
+    found = json.loads(client.request("GET", "/status")[2])
     client.close()
     return found
 
--- a/rainpick/cli/status_front.py
+++ b/rainpick/cli/status_front.py
@@ -143,5 +143,5 @@
     """Send a request and return the status code and the body of the response."""
     from rainpick.http1.client import Client
 
-    code, _, response = Client(*parse_address(address)).call(method, path, body)
+    code, _, response = Client(*parse_address(address)).request(method, path, body)
     return code, response
--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -70,7 +70,7 @@
         """Whether a connection is open that the next request can reuse."""
         return self._connection is not None
 
-    def call(
+    def request(
         self,
         method: str,
         path: str,
--- a/rainpick/node/commit_client.py
+++ b/rainpick/node/commit_client.py
@@ -10,9 +10,9 @@
 import time
 from collections.abc import Callable, Sequence
 
-from rainpick.node.commit_answers import BUSY, Accepted, Rejected
 from rainpick.node.commit_calls import CommitCall, MergedNonces, UnconfirmedCall, merge_calls
 from rainpick.node.commit_connection import CommitConnection, UnconfirmedCallError
+from rainpick.node.commit_responses import BUSY, Accepted, Rejected
 from rainpick.node.configuration import SocketAddress
 from rainpick.node.log import log
 from rainpick.node.relay_socket import RECONNECT_PAUSE_S
--- a/rainpick/node/commit_connection.py
+++ b/rainpick/node/commit_connection.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from itertools import count
 
-from rainpick.node.commit_answers import Accepted, Rejected, parse_commit_response
 from rainpick.node.commit_calls import CommitCall
+from rainpick.node.commit_responses import Accepted, Rejected, parse_commit_response
 from rainpick.node.configuration import SocketAddress
 from rainpick.node.line_reader import LineReader
 from rainpick.node.relay_socket import READ_SIZE, connect_relay
--- a/rainpick/node/discovery_watch.py
+++ b/rainpick/node/discovery_watch.py
@@ -77,10 +77,10 @@
     def poll(self, client: Client) -> None:
         """Make one request and publish the response; ``ClientError`` or ``ValueError`` if it is unusable."""
         if self.fetch_full:
-            status, _, body = client.call("GET", PATH)
+            status, _, body = client.request("GET", PATH)
         else:
             path = f"{PATH}?from={self.version}&hold_ms={HOLD_MS}"
-            status, _, body = client.call("GET", path, timeout_s=HOLD_MS / 1000 + POLL_TIMEOUT_MARGIN_S)
+            status, _, body = client.request("GET", path, timeout_s=HOLD_MS / 1000 + POLL_TIMEOUT_MARGIN_S)
         if status != 200:
             raise ValueError(f"HTTP status {status} instead of 200")
         response = parse_discovery_response(load_json(body), self.vocabulary)
--- a/rainpick/simulated_peers/day.py
+++ b/rainpick/simulated_peers/day.py
@@ -88,7 +88,7 @@
         host, port = self.settings[number].listen.status
         try:
             client = Client(host, port, timeout_s=STATUS_TIMEOUT_S)
-            code, _, body = client.call("GET", "/status")
+            code, _, body = client.request("GET", "/status")
             client.close()
         except ClientError:
             return None
--- a/rainpick/simulated_peers/load_reporter.py
+++ b/rainpick/simulated_peers/load_reporter.py
@@ -101,7 +101,7 @@
         """Send a report and log its HTTP status; status 0 means that there was no response."""
         try:
             headers = (("content-type", "application/x-protobuf"),)
-            status, _, _ = self.client.call("POST", "/v1/metrics", body, headers)
+            status, _, _ = self.client.request("POST", "/v1/metrics", body, headers)
         except ClientError:
             status = 0
         self.log.write("report", p=self.proxy, status=status)
--- a/rainpick/simulated_peers/proxies.py
+++ b/rainpick/simulated_peers/proxies.py
@@ -88,7 +88,7 @@
         client, idle = self.table.acquire(server)
         try:
             headers = ("call", request), ("proxy", self.uid)
-            status, _, _ = client.call("POST", f"/{route.name}", b"", headers, limit_s)
+            status, _, _ = client.request("POST", f"/{route.name}", b"", headers, limit_s)
             outcome = OUTCOMES.get(status, "dropped")
         except ClientError:
             outcome = "dropped"
--- a/tests/compat/forms.py
+++ b/tests/compat/forms.py
@@ -15,8 +15,8 @@
 from rainpick.mqtt import codec as mqtt
 from rainpick.net import StreamEnded
 from rainpick.node import (
-    commit_answers,
     commit_calls,
+    commit_responses,
     configuration,
     endpoint_discovery,
     frame_codec,
@@ -61,8 +61,8 @@
     "platform: call": commit_calls.CommitCall,
     "platform: merged": commit_calls.MergedNonces,
     "platform: doubt": commit_calls.UnconfirmedCall,
-    "platform: taken": commit_answers.Accepted,
-    "platform: not taken": commit_answers.Rejected,
+    "platform: taken": commit_responses.Accepted,
+    "platform: not taken": commit_responses.Rejected,
     "platform: discovery": endpoint_discovery.DiscoveryResponse,
     "platform: names": configuration.Vocabulary,
     "platform: configuration": configuration.Configuration,
--- a/tests/compat/operations_platform.py
+++ b/tests/compat/operations_platform.py
@@ -9,9 +9,9 @@
 from rainpick.net import StreamEnded
 from rainpick.node import configuration, process
 from rainpick.node.command_rendering import render_command
-from rainpick.node.commit_answers import parse_commit_response
 from rainpick.node.commit_calls import CommitCall, commit_call, merge_calls
 from rainpick.node.commit_client import CommitClient
+from rainpick.node.commit_responses import parse_commit_response
 from rainpick.node.configuration import Vocabulary
 from rainpick.node.discovery_watch import DiscoveryWatch
 from rainpick.node.endpoint_discovery import parse_discovery_response
@@ -141,7 +141,7 @@
     def __init__(self, bodies):
         self.bodies, self.requests = list(bodies), []
 
-    def call(self, method, path, timeout_s=None):
+    def request(self, method, path, timeout_s=None):
         self.requests.append([method, path])
         return 200, {}, self.bodies.pop(0)
 
--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -24,7 +24,7 @@
 
 
 def send_request(client, method, path, fields=None):
-    status, _, body = client.call(method, path, b"" if fields is None else json.dumps(fields).encode())
+    status, _, body = client.request(method, path, b"" if fields is None else json.dumps(fields).encode())
     return status, json.loads(body)
 
 
@@ -88,7 +88,7 @@
     """Return status code, content type and body of the responses to invalid requests."""
 
     def query(client):
-        responses = [client.call(method, path, body) for method, path, body in requests]
+        responses = [client.request(method, path, body) for method, path, body in requests]
         return [[status, headers.get("content-type"), body] for status, headers, body in responses]
 
     return with_director(query)
--- a/tests/loopback/harness.py
+++ b/tests/loopback/harness.py
@@ -56,7 +56,7 @@
 def status(daemon):
     """Fetch a director's status, with empty lists of servers and proxies before its decisions begin."""
     client = Client(*daemon.status)
-    code, _, body = client.call("GET", "/status")
+    code, _, body = client.request("GET", "/status")
     client.close()
     assert code == 200
     return {"servers": [], "proxies": [], **json.loads(body)}
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -51,7 +51,7 @@
 
 def post(daemon, data, *headers, path="/v1/metrics", method="POST", content_type=CONTENT_TYPE):
     client = Client(*daemon.otlp)
-    response = client.call(method, path, data, (content_type, *headers))
+    response = client.request(method, path, data, (content_type, *headers))
     client.close()
     return response
 
--- a/tests/node/test_commit_calls.py
+++ b/tests/node/test_commit_calls.py
@@ -5,8 +5,8 @@
 import pytest
 
 from rainpick import model
-from rainpick.node.commit_answers import Accepted, Rejected, parse_commit_response
 from rainpick.node.commit_calls import CommitCall, MergedNonces, commit_call, merge_calls
+from rainpick.node.commit_responses import Accepted, Rejected, parse_commit_response
 from tests.node.platform_stubs import VOCABULARY
 
 ROUTES = list(VOCABULARY.routes)
--- a/tests/node/test_discovery_watch_races.py
+++ b/tests/node/test_discovery_watch_races.py
@@ -134,9 +134,9 @@
 
 def test_an_aborted_client_makes_no_more_requests(discovery):
     client = Client(*discovery.address)
-    assert client.call("GET", "/catalog/members")[0] == 200
+    assert client.request("GET", "/catalog/members")[0] == 200
     client.abort()
     for _ in range(2):
         with pytest.raises(ClientError):
-            client.call("GET", "/catalog/members")
+            client.request("GET", "/catalog/members")
     assert len(discovery.requests) == 1
