--- a/rainpick/http1/client.py
+++ b/rainpick/http1/client.py
@@ -12,7 +12,7 @@
 
 READ_SIZE = 65_536  # bytes
 MAX_BODY_BYTES = 16 << 20
-MIN_TIMEOUT_S = 1e-3  # a socket timeout of 0 would make it non-blocking
+MIN_TIMEOUT_S = 1e-3  # a timeout of 0 would make the socket non-blocking
 
 HeaderFields = tuple[tuple[str, str], ...]
 
@@ -60,7 +60,7 @@
         self.timeout_s = timeout_s
         self.max_body_bytes = max_body_bytes
         self.connect_timeout_s = connect_timeout_s
-        # The lock guards both: ``abort`` must not shut down a descriptor that has been closed and reused.
+        # Guards the two fields below: ``abort`` must not shut down a descriptor that was closed and reused.
         self._lock = threading.Lock()
         self._aborted = False
         self._connection: _Connection | None = None
@@ -161,7 +161,7 @@
         return event
 
     def _finish_exchange(self, protocol: h11.Connection) -> None:
-        """Prepare the connection for the next request, or close it if either side must close."""
+        """Prepare the connection for the next request, or close it if it cannot be reused."""
         if h11.MUST_CLOSE in (protocol.our_state, protocol.their_state):
             self.close()
         else:
--- a/rainpick/http1/messages.py
+++ b/rainpick/http1/messages.py
@@ -10,7 +10,7 @@
     """A complete request. Header names are lower-case; the body is decompressed."""
 
     method: str
-    path: str  # with the query string
+    path: str  # path and query string
     headers: dict[str, str]
     body: bytes
 
--- a/rainpick/mqtt/decoder.py
+++ b/rainpick/mqtt/decoder.py
@@ -27,7 +27,7 @@
 from rainpick.mqtt.properties import read_properties
 from rainpick.mqtt.wire import ByteReader
 
-_MAX_LENGTH_BYTES = 4  # encoded size of the remaining length in the fixed header
+_MAX_LENGTH_BYTES = 4  # maximum encoded size of the remaining length in the fixed header
 _PUBLISH = PacketType.PUBLISH.value
 
 
@@ -43,7 +43,7 @@
         self.buffer += data
 
     def next(self) -> Packet | None:
-        """Return the next packet, or None if it is incomplete; raise ``MqttError`` if it is malformed."""
+        """Return the next packet, None until it is complete; raise ``MqttError`` if it is malformed."""
         remaining_length = 0
         for position in range(1, _MAX_LENGTH_BYTES + 1):
             if position >= len(self.buffer):
@@ -134,7 +134,7 @@
         if flag_bits & flags.CONNECT_WILL_DETAILS:
             raise MqttError("flags of a will without a will")
         return None
-    read_properties(reader)  # validated, then ignored
+    read_properties(reader)  # the will's properties are validated, then ignored
     topic = reader.read_string()
     payload = reader.read_binary()
     qos = flag_bits >> flags.CONNECT_WILL_QOS_SHIFT & 3
--- a/rainpick/mqtt/server.py
+++ b/rainpick/mqtt/server.py
@@ -41,8 +41,8 @@
 from rainpick.mqtt.topics import SHARED_PREFIX, is_valid_filter, matches_filter
 from rainpick.mqtt.wire import MAX_VARIABLE_BYTE_INTEGER
 
-DEFAULT_RECEIVE_MAXIMUM = 65_535  # if CONNECT has no such property (section 3.1.2.11.3)
-MAX_FILTERS = 64  # topic filters of one connection
+DEFAULT_RECEIVE_MAXIMUM = 65_535  # of a client whose CONNECT does not set it (section 3.1.2.11.3)
+MAX_FILTERS = 64  # maximum topic filters of one connection
 MAX_REASON_LENGTH = 200  # characters of a reason string in DISCONNECT
 MAX_GRANTED_QOS = 1
 
@@ -57,8 +57,8 @@
     def receive(self, data: bytes) -> list[Packet | MqttError]:
         """Return the packets that ``data`` completes, followed by the ``MqttError`` if one is malformed.
 
-        The first byte is checked at once: a peer that uses another protocol may never send enough bytes to
-        complete what its first bytes announce as a packet.
+        The first byte is checked at once: a peer that uses another protocol may never send as many bytes as
+        the length that its first bytes represent in MQTT.
         """
         self.framer.feed(data)
         if not self.first_byte_checked and data:
@@ -75,7 +75,7 @@
 
 
 class ConnectionState(IntEnum):
-    """Progress of connection establishment; a closed connection receives nothing and has no state."""
+    """State of a connection. There is none for a closed connection, which receives no more packets."""
 
     AWAITING_CONNECT = auto()
     AWAITING_DECISION = auto()  # CONNECT was received; the application has not accepted or rejected it
@@ -83,7 +83,7 @@
 
 
 class ServerConnection:
-    """One client's connection; ``outgoing`` buffers the bytes to send to the client."""
+    """One client's connection; the caller sends the bytes that ``outgoing`` collects for the client."""
 
     def __init__(self) -> None:
         self.state = ConnectionState.AWAITING_CONNECT
@@ -110,7 +110,8 @@
     def disconnect(self, reason_code: int, reason: str) -> ConnectionClosed:
         """End the connection: with CONNACK before it was accepted, with DISCONNECT afterwards.
 
-        A peer that has not sent a valid CONNECT gets a response only if it may be an MQTT client.
+        Before a valid CONNECT, only errors that an MQTT client may have caused get a response, because the
+        peer may use another protocol.
         """
         if self.state is ConnectionState.CONNECTED:
             last_packet = Disconnect(reason_code, {"reason": reason[:MAX_REASON_LENGTH]})
@@ -130,7 +131,7 @@
             self.outgoing += encode_packet(Puback(publish.packet_id, reason_code))
 
     def granted_qos(self, topic: str) -> int | None:
-        """Return the highest granted QoS of the client's subscriptions to a topic, None without any."""
+        """Return the highest granted QoS of the client's subscriptions to a topic, None if it has none."""
         matching = (
             qos for topic_filter, qos in self.subscriptions.items() if matches_filter(topic, topic_filter)
         )
--- a/rainpick/mqtt/topics.py
+++ b/rainpick/mqtt/topics.py
@@ -11,6 +11,9 @@
 def matches_filter(topic: str, topic_filter: str) -> bool:
     """Whether a topic matches a filter.
 
+    ``+`` matches one level and ``#`` all remaining levels, including none. A wildcard in the first level
+    matches no topic that begins with ``$``.
+
     >>> matches_filter("a/b/c", "a/+/c"), matches_filter("a/b/c", "a/#"), matches_filter("a", "a/#")
     (True, True, True)
     >>> matches_filter("a/b", "a"), matches_filter("$SYS/a", "#")
--- a/rainpick/net/streams.py
+++ b/rainpick/net/streams.py
@@ -25,7 +25,7 @@
 NONBLOCKING_SEND = int(socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL)
 ACCEPT_RETRY_S = 0.02  # pause after a failed accept
 UNSENT_LIMIT = 1_048_576  # bytes queued in addition to the socket buffer; a reading peer stays far below it
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger: on, 0 s
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # ``struct linger`` with a timeout of 0 s
 
 
 class StreamParser(Protocol):
@@ -36,7 +36,7 @@
 
 
 class PendingDelivery(NamedTuple):
-    """A message whose delivery is tracked. Its last byte is byte number ``end`` of the stream's output."""
+    """A tracked message; ``end`` is the number of bytes written to the stream up to its last byte."""
 
     end: int
     message: int
@@ -65,7 +65,7 @@
         self.on_event = on_event
         self.unsent = bytearray()  # bytes that did not fit into the socket buffer
         self.written = 0  # bytes written in total, including ``unsent``
-        self.pending: deque[PendingDelivery] = deque()  # in the order in which they were written
+        self.pending: deque[PendingDelivery] = deque()  # tracked messages not yet delivered, oldest first
         self.closed = False
         self.reading = False
         self.close_lock = threading.Lock()  # guards ``closed`` and ``reading``
@@ -86,7 +86,7 @@
             raise
 
     def _read(self) -> None:
-        """Report events until the stream ends. Runs in the reading thread."""
+        """Report events, the last of which is ``StreamEnded``. Runs in the reading thread."""
         try:
             self._report_events()
         except OSError as error:
@@ -114,8 +114,9 @@
     def write(self, data: bytes, message: int | None = None) -> bool:
         """Send without blocking; return False if more than ``UNSENT_LIMIT`` bytes are queued for the peer.
 
-        If ``message`` is given, the delivery of the message with that number is tracked, see
-        ``newest_delivered``. A broken connection raises nothing here: the reading thread reports it.
+        Bytes that do not fit into the socket buffer are queued. If ``message`` is given, the delivery of the
+        message with that number is tracked, see ``newest_delivered``. A broken connection raises nothing
+        here: the reading thread reports it.
         """
         self.written += len(data)
         if message is not None:
@@ -174,7 +175,7 @@
                 return
             self.closed = True
             with contextlib.suppress(OSError):
-                if self.unsent:  # an orderly close would stay pending in the kernel if the peer does not read
+                if self.unsent:  # an orderly close would stay pending in the kernel if the peer never reads
                     self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 self.sock.shutdown(socket.SHUT_RDWR)
             if not self.reading:
--- a/rainpick/node/channel_monitor.py
+++ b/rainpick/node/channel_monitor.py
@@ -1,4 +1,8 @@
-"""Monitors the paced channel to the proxies and logs takeovers, imminent deadlines and peak values."""
+"""Monitors the paced channel to the proxies; logs takeovers, drains close to their deadline, and peaks.
+
+A takeover is a time during which more proxies are unbound than can be bound at once, as after the failure of
+another director.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
         self.peaks = dict.fromkeys(PEAK_FIELDS, 0)
 
     def observe(self, channel: ChannelState) -> None:
-        """Log the begin and end of a takeover, warn about imminent deadlines, and update the peaks."""
+        """Update the peaks, log begin and end of a takeover, and warn if the drain grace is nearly over."""
         for name in self.peaks:
             self.peaks[name] = max(self.peaks[name], getattr(channel, name))
         if channel.takeover != self.takeover:
--- a/rainpick/node/clock.py
+++ b/rainpick/node/clock.py
@@ -1,12 +1,12 @@
 """The director's clock, and the conversion of endpoints' start times to it, robust to wall clock steps.
 
-Discovery gives start times in Unix time, and the wall clock may be stepped at any moment. The decisions
-measure durations only. The director's clock is therefore the monotonic clock plus a constant: the offset of
-the wall clock to the monotonic clock when the director started.
+Discovery gives start times in Unix time, and the wall clock may be stepped at any moment. The decisions only
+need the time between events. The director's clock is therefore the monotonic clock plus a constant: the
+offset of the wall clock from the monotonic clock when the director started.
 
-The offset at the moment when a start time was stamped is not known. Of all offsets observed so far, the
-conversion uses the one that makes the endpoint youngest, because an endpoint that is warming up must not be
-treated as warm. A start time that lies in the future under every observed offset is treated as now.
+The offset at the moment when a start time was stamped is not known. Of the remembered offsets, the conversion
+uses the one that makes the endpoint youngest, because an endpoint that is warming up must not be treated as
+warm. A start time that lies in the future with every remembered offset is treated as now.
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 
 # A larger change of the offset between two checks is a step; slewing changes it far less.
 STEP_THRESHOLD_US = 100_000
-FUTURE_TOLERANCE_US = 1_000_000  # how far the clock of the machine that stamps a start time may be ahead
-OFFSET_LIMIT = 16  # offsets that are remembered
+# A start time may lie this far in the future, and is then treated as now: the clock of the machine that
+# stamped it may be ahead of this machine's clock.
+FUTURE_TOLERANCE_US = 1_000_000
+OFFSET_LIMIT = 16  # number of remembered offsets
 
 
 def unix_us() -> int:
@@ -31,7 +33,7 @@
 
 
 class Clock:
-    """A monotonic clock in microseconds that equals Unix time when it is created."""
+    """A monotonic clock in microseconds. At its creation it shows Unix time."""
 
     def __init__(self, wall: Callable[[], int] = unix_us, monotonic: Callable[[], int] = monotonic_us):
         self.wall = wall
--- a/rainpick/node/collector_listener.py
+++ b/rainpick/node/collector_listener.py
@@ -1,4 +1,7 @@
-"""Listener at the director's address for heartbeats and collectors, with limits on all other peers."""
+"""Accepts peers at the director's address: collectors, which send load reports, and others.
+
+Any peer may send heartbeats. Peers that do not join as collectors are limited in number and in time.
+"""
 
 from __future__ import annotations
 
@@ -23,18 +26,21 @@
 from rainpick.node.mailbox import Mailbox
 
 BACKLOG = 1_024
-JOIN_TIMEOUT_S = 1.2  # the platform allows closing a peer after 1 s and requires it within 3 s
-PENDING_LIMIT = 256  # simultaneous peers that have not joined; at most a quarter of the file descriptors
-COLLECTOR_LIMIT = 4  # per zone; the newest are kept, because an older one may be dead but still connected
+# A peer must join as a collector within this time after it connected. The platform allows the director to
+# close other peers after 1 s and requires this within 3 s.
+JOIN_TIMEOUT_S = 1.2
+PENDING_LIMIT = 256  # peers that have not joined; also limited to a quarter of the maximum open sockets
+COLLECTOR_LIMIT = 4  # connected collectors per zone; beyond it the oldest are closed, as they may be dead
 UNREAD_LIMIT = 4_096  # bytes of replies that a peer may leave unread
 LOAD_REPORT_TYPES = model.ServerLoadReport, model.RouteLoadReport
 
 
 class CollectorListener:
-    """Binds its port in the constructor; ``start`` begins to accept peers.
+    """Passes the load reports of collectors to the mailbox, and replies to the heartbeats of all peers.
 
-    Only a peer's own reading thread writes to it. A peer is *pending* until it joins as a collector. A
-    pending peer is closed after ``JOIN_TIMEOUT_S``; if there are too many, the oldest are closed earlier.
+    The constructor binds the port; ``start`` begins to accept peers. Only the thread that reads from a peer
+    writes to it. A peer is *pending* until it joins as a collector. A pending peer is closed after
+    ``JOIN_TIMEOUT_S``, or earlier if it is the oldest of more than ``pending_limit`` pending peers.
     """
 
     def __init__(self, listen: SocketAddress, vocabulary: Vocabulary, sockets: int, mailbox: Mailbox):
@@ -43,8 +49,8 @@
         self.lock = threading.Lock()  # guards ``pending`` and ``collectors``
         self.pending_limit = max(1, min(PENDING_LIMIT, sockets // 4))
         self.stream_numbers = count(1)
-        self.pending: OrderedDict[Stream, float] = OrderedDict()  # oldest first, with the deadline in seconds
-        self.collectors: dict[Stream, int] = {}  # oldest first, with the zone
+        self.pending: OrderedDict[Stream, float] = OrderedDict()  # oldest first, with the deadline to join
+        self.collectors: dict[Stream, int] = {}  # oldest first, with the zone of each
         # The keys appear in the log's ``status`` lines. "let_go" counts peers that the listener disconnected.
         names = "accepted", "heartbeats", "rejected", "let_go", "malformed", "reports"
         self.counts = dict.fromkeys(names, 0)
@@ -56,7 +62,7 @@
         self.listener.thread.start()
 
     def accept(self, sock: socket.socket, peer: str) -> None:
-        """Start to read a new peer's stream; close the oldest pending peer if there are too many."""
+        """Start to read a new peer's stream; close the oldest pending peer if the limit is exceeded."""
         stream = Stream(
             next(self.stream_numbers), sock, peer, FrameReader(self.vocabulary), self.handle_message
         )
@@ -73,7 +79,10 @@
             self.disconnect(stream)
 
     def remove_pending(self, streams: list[Stream]) -> None:
-        """Remove pending peers so that they can no longer join. The caller holds the lock and closes them."""
+        """Remove pending peers, so that they can no longer join.
+
+        The caller must hold the lock, and must close the streams after releasing it.
+        """
         for stream in streams:
             del self.pending[stream]
         self.counts["let_go"] += len(streams)
@@ -86,7 +95,7 @@
         stream.close()
 
     def close_overdue(self) -> None:
-        """Close peers that have not joined in time. Must be called several times per second."""
+        """Close the pending peers whose deadline has passed. Must be called several times per second."""
         now_s = time.monotonic()
         with self.lock:
             overdue = [stream for stream, deadline_s in self.pending.items() if deadline_s <= now_s]
@@ -115,7 +124,7 @@
             raise TypeError(f"unexpected message type from {stream.peer}: {type(message).__name__}")
 
     def join(self, stream: Stream, zone: int) -> None:
-        """Turn a pending peer into the newest collector of a zone."""
+        """Make a pending peer the newest collector of a zone; close the oldest beyond ``COLLECTOR_LIMIT``."""
         with self.lock:
             if self.pending.pop(stream, None) is None:
                 return  # another thread is closing the peer
--- a/rainpick/node/commit_calls.py
+++ b/rainpick/node/commit_calls.py
@@ -12,10 +12,11 @@
 
 
 class CommitCall(NamedTuple):
-    """The commands of one step in order, and the step's request for acknowledgement, if any.
+    """The commands of one step of the decisions, in order, and the step's request for acknowledgement.
 
-    The request is the first command on the wire. The relay stops at a command that it rejects, so if the
-    request came last, proxies that received the commands before the rejected one would never acknowledge.
+    The request is the first command on the wire. The relay does not execute the commands after a rejected
+    one. If the request were the last command, it could be lost in this way, and proxies that received the
+    commands before the rejected one would never acknowledge them.
     """
 
     acknowledgement: model.RequestAcknowledgement | None
@@ -32,16 +33,16 @@
         return len(self.commands) + (self.acknowledgement is not None)
 
     def wire_command(self, position: int) -> TableCommand | model.RequestAcknowledgement:
-        """Return the command at a position on the wire."""
+        """Return the command at a position of the encoded call; the request for acknowledgement is first."""
         if self.acknowledgement is None:
             return self.commands[position]
         return self.commands[position - 1] if position else self.acknowledgement
 
     def first_part(self, routes: Sequence[str], command_limit: int | None = None) -> CommitCall:
-        """Return the longest leading part of the call that the relay accepts, usually the whole call.
+        """Return the longest leading part of the call within the size limit, usually the whole call.
 
-        Each part has the request for acknowledgement. ``command_limit``: the maximum number of other
-        commands.
+        Each part includes the call's request for acknowledgement. ``command_limit``: the maximum number of
+        other commands in the part.
         """
         size = 0
         for position, command in enumerate(self.commands):
@@ -53,11 +54,12 @@
     def remaining(self, accepted: int, part: CommitCall) -> CommitCall | None:
         """Return the rest of the call after the relay accepted the first ``accepted`` commands of ``part``.
 
-        The rejected command, if any, is skipped, because its proxy may have left meanwhile. None if nothing
-        remains to be sent.
+        If a command follows these in ``part``, the relay rejected it. It is skipped, because its proxy may
+        have left meanwhile. None if nothing remains to be sent.
         """
         if self.acknowledgement is not None and not accepted:
-            return CommitCall(None, self.commands) if self.commands else None  # the request was rejected
+            # The relay rejected the request for acknowledgement.
+            return CommitCall(None, self.commands) if self.commands else None
         rejected = accepted < part.size
         sent = accepted - (self.acknowledgement is not None) + rejected
         commands = self.commands[sent:]
@@ -73,7 +75,7 @@
 class MergedNonces(NamedTuple):
     """An acknowledgement of ``nonce`` also acknowledges the ``earlier`` nonces.
 
-    The calls of the earlier nonces were merged into the call with this nonce and never sent by themselves.
+    The calls with the earlier nonces were merged into the call with ``nonce`` before they were sent.
     """
 
     nonce: int
@@ -81,7 +83,7 @@
 
 
 class UnconfirmedCall(NamedTuple):
-    """The call with this nonce got no response, may have been executed, and is sent again."""
+    """The call with this nonce got no valid response, may have been executed, and is sent again."""
 
     nonce: int
 
@@ -99,9 +101,9 @@
 
 
 def merge_calls(calls: Sequence[CommitCall]) -> tuple[list[CommitCall], MergedNonces | None]:
-    """Merge calls that waited for the relay into one or two calls; of two, the first has only withdrawals.
+    """Merge unsent calls into one call, or into two, the first of which has only withdrawals.
 
-    If sent separately, each call would cost a message to every proxy that it concerns. The withdrawals of the
+    Sent separately, each call would cost a message to every proxy that it concerns. The withdrawals of the
     last call would then wait in the paced channel behind weights that later commands have already superseded.
     """
     commands = without_superseded([command for call in calls for command in call.commands])
@@ -115,8 +117,8 @@
         merged = MergedNonces(nonce, tuple(earlier.nonce for earlier in requests[:-1]))
         request = model.RequestAcknowledgement(nonce, any(earlier.all_proxies for earlier in requests))
     if withdrawals and others and len(requests) != 1:
-        # The nonce of the first call must acknowledge the withdrawals only, because the other commands are
-        # still queued in the channel at that time.
+        # The first call needs a nonce of its own: when a proxy acknowledges the withdrawals, the other
+        # commands are still queued in the channel. With a single nonce the commands stay in one call.
         return [
             CommitCall(requests[0] if requests else None, withdrawals),
             CommitCall(request, others),
--- a/rainpick/node/commit_client.py
+++ b/rainpick/node/commit_client.py
@@ -1,6 +1,8 @@
 """Client that sends the decisions' commands to the relay, one call at a time.
 
-Each command is sent until it is accepted or, after repeated rejections, skipped.
+A call without a valid response is sent again. If the relay rejects a single command, that command is skipped.
+If the relay rejects a whole call, the call is sent again; after repeated rejections, the command that causes
+them is skipped.
 """
 
 from __future__ import annotations
@@ -17,21 +19,22 @@
 from rainpick.node.log import log
 from rainpick.node.relay_socket import RECONNECT_PAUSE_S
 
-RETRY_PAUSE_S = 0.02  # before a rejected call is sent again
-KEEP_ALIVE_S = 1.0  # idle time after which an empty call prevents the relay from closing the connection
-REJECTION_LIMIT = 5  # rejections of a whole call, other than BUSY, before a command is skipped
+RETRY_PAUSE_S = 0.02  # pause before a rejected call is sent again
+KEEP_ALIVE_S = 1.0  # idle time after which an empty call is sent, so that the relay keeps the connection open
+REJECTION_LIMIT = 5  # non-BUSY rejections of a call before it is halved or, if it has one command, skipped
 
 KEEP_ALIVE_CALL = CommitCall(None, ())
 
 
 class CommitClient:
-    """Sends calls strictly in order.
+    """Sends calls to the relay strictly in order.
 
-    A call that may have been executed although no response arrived is sent again, as a whole, before any
-    newer call. This is safe because commands are idempotent: each sets a value.
+    A call without a valid response may have been executed. It is sent again, as a whole, before any newer
+    call. This is safe because commands are idempotent: each sets a value.
 
-    Calls that wait are merged, see ``merge_calls``. ``notify`` receives a ``MergedNonces`` for merged calls
-    and an ``UnconfirmedCall`` for each call that is sent again.
+    Calls that are queued while another call is in progress or the relay is unreachable are merged, see
+    ``merge_calls``. If the calls have nonces, ``notify`` receives a ``MergedNonces`` for merged calls and an
+    ``UnconfirmedCall`` for each call that is sent again.
     """
 
     def __init__(
@@ -43,14 +46,15 @@
         self.address = address
         self.notify = notify
         self.queue: queue.SimpleQueue[CommitCall | threading.Event] = queue.SimpleQueue()
-        self.waiting: list[CommitCall] = []  # taken from the queue without a response yet, oldest first
-        self.flush_requests: list[threading.Event] = []  # set once no call waits
+        self.waiting: list[CommitCall] = []  # calls taken from the queue and not completed, oldest first
+        self.flush_requests: list[threading.Event] = []  # created by ``flush``, set when ``waiting`` is empty
         self.connection = CommitConnection(routes)
-        self.reachable = True  # result of the last attempt to connect
-        self.rejections = 0  # of the current part, other than BUSY
-        self.part_limit: int | None = None  # commands per part while the rejected command is located
-        # The keys appear in the log's ``status`` lines. "again" counts retransmissions, "dials" connections,
-        # "busy" rejections of whole calls and "refused" rejections of single commands.
+        self.reachable = True  # whether the last attempt to connect succeeded
+        self.rejections = 0  # rejections of the current part of a call, not counting BUSY
+        self.part_limit: int | None = None  # maximum commands per part while an invalid command is located
+        # The keys appear in the log's ``status`` lines. "again" counts calls without a valid
+        # response, "dials" connections, "orders" accepted commands, "busy" rejections of whole calls and
+        # "refused" rejections of single commands.
         self.counts = {"calls": 0, "orders": 0, "again": 0, "busy": 0, "refused": 0, "dials": 0, "merged": 0}
 
     # Methods for other threads
@@ -60,7 +64,10 @@
         self.queue.put(call)
 
     def flush(self, timeout_s: float) -> None:
-        """Wait until all queued calls have been processed, but no longer than ``timeout_s``."""
+        """Wait until all queued calls are completed: each command was accepted or skipped.
+
+        Returns after ``timeout_s`` seconds at the latest.
+        """
         done = threading.Event()
         self.queue.put(done)
         done.wait(timeout_s)
@@ -72,7 +79,7 @@
     # Methods for the thread that executes ``run``
 
     def run(self) -> None:
-        """Send calls forever."""
+        """Send queued calls forever, and an empty call whenever the client has been idle."""
         while True:
             received = self.collect(0.0 if self.waiting else KEEP_ALIVE_S)
             if not self.waiting:
@@ -86,9 +93,9 @@
                 self.waiting[:1] = [] if remaining is None else [remaining]
 
     def collect(self, timeout_s: float) -> bool:
-        """Take all queued items, waiting up to ``timeout_s`` for the first, and merge the waiting calls.
+        """Move queued calls to ``waiting`` and merge the calls there; move flushes to ``flush_requests``.
 
-        Returns whether there was any item.
+        Waits up to ``timeout_s`` seconds for the first queued item; returns whether there was one.
         """
         received = 0
         try:
@@ -109,7 +116,10 @@
         return received > 0
 
     def ensure_connected(self) -> bool:
-        """Try once to connect if the connection is unusable; return whether it is usable."""
+        """Connect to the relay if the connection is unusable; return whether it is usable now.
+
+        Makes one attempt, and pauses for ``RECONNECT_PAUSE_S`` if it fails.
+        """
         address = self.address
         if self.connection.is_usable(address):
             return True
@@ -128,14 +138,17 @@
         return True
 
     def keep_alive(self) -> None:
-        """Send an empty call; any response is acceptable."""
+        """Send an empty call and ignore its result; close the connection if there is no valid response."""
         try:
             self.connection.exchange(KEEP_ALIVE_CALL)
         except UnconfirmedCallError:
             self.connection.close()
 
     def send_first_part(self, call: CommitCall) -> CommitCall | None:
-        """Send the call, or its first part, once; return the rest that must still be sent."""
+        """Send the call once, or its first part if it must be split.
+
+        Returns a call with the commands that must still be sent, None if there are none.
+        """
         part = call.first_part(self.connection.routes, self.part_limit)
         try:
             response = self.connection.exchange(part)
@@ -152,7 +165,7 @@
         return call.remaining(accepted, part)
 
     def handle_unconfirmed(self, part: CommitCall, error: UnconfirmedCallError) -> None:
-        """Close the connection, and notify the decisions that the part may be executed twice."""
+        """Close the connection, and report the part's nonce, if any: its commands may be executed twice."""
         self.counts["again"] += 1
         log.warning("commit unconfirmed, sent again", reason=str(error), commands=part.size, nonce=part.nonce)
         self.connection.close()
@@ -162,8 +175,9 @@
     def handle_rejection(self, part: CommitCall, response: Rejected) -> bool:
         """Handle the rejection of a whole part; return True to send it again, False to skip it.
 
-        While the relay is busy, the part is retried without limit. Any other rejection must be caused by one
-        of the commands, which is located by halving the part, so that the other commands are not lost.
+        While the relay is busy, the part is sent again without limit. After ``REJECTION_LIMIT`` other
+        rejections, one of the commands must be the cause. It is located by halving the part repeatedly, so
+        that only this command is skipped.
         """
         self.counts["busy"] += 1
         self.rejections += response.code != BUSY
@@ -185,7 +199,7 @@
         return False
 
     def handle_accepted(self, part: CommitCall, accepted: int) -> None:
-        """Count the accepted commands of a part, and log the next one as rejected, if there is one."""
+        """Count the first ``accepted`` commands of a part; log the next command, if any, as rejected."""
         self.rejections = 0
         if self.part_limit is not None:
             self.part_limit *= 2
--- a/rainpick/node/commit_connection.py
+++ b/rainpick/node/commit_connection.py
@@ -1,4 +1,4 @@
-"""Connection for commit calls, with one call and its response at a time."""
+"""Connection to the relay for commit calls: the next call is sent after the response to the previous one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from rainpick.node.line_reader import LineReader
 from rainpick.node.relay_socket import READ_SIZE, connect_relay
 
-# The relay responds within 50 ms or not at all; the rest allows for scheduling delays on a shared CPU core.
+# The relay responds within 50 ms or not at all; 70 ms more allow for scheduling delays on a shared CPU core.
 RESPONSE_TIMEOUT_S = 0.12
 
 
@@ -22,17 +22,17 @@
 
 
 class CommitConnection:
-    """A connection to the relay that its owner opens again when it fails. Not thread-safe."""
+    """A connection to the relay. The owner must reconnect after a failure. Not thread-safe."""
 
     def __init__(self, routes: Sequence[str]):
         self.routes = routes  # route names by index
         self.sock: socket.socket | None = None
-        self.address: SocketAddress | None = None  # of the last attempt to connect
+        self.address: SocketAddress | None = None  # the relay's address at the last attempt to connect
         self.lines = LineReader()
         self.call_numbers = count(1)
 
     def is_usable(self, address: SocketAddress) -> bool:
-        """Return whether it is connected to this address and has received no unexpected data."""
+        """Return whether the connection is open to this address and no data beyond a response has arrived."""
         return (
             self.sock is not None
             and self.address == address
@@ -41,16 +41,16 @@
         )
 
     def connect(self, address: SocketAddress) -> None:
-        """Open a new connection; ``OSError`` if that fails."""
+        """Close the current connection, if any, and open a new one; raise ``OSError`` if that fails."""
         self.close()
         self.address = address
         self.sock = connect_relay(address)
         self.lines = LineReader()
 
     def exchange(self, call: CommitCall) -> Accepted | Rejected:
-        """Send a call once and return the response.
+        """Send a call once and return the relay's response.
 
-        After an ``UnconfirmedCallError`` the connection is unusable and must be closed.
+        Raises ``UnconfirmedCallError`` if there is no valid response; the connection must then be closed.
         """
         assert self.sock is not None, "connect first"
         number = next(self.call_numbers)
--- a/rainpick/node/commit_responses.py
+++ b/rainpick/node/commit_responses.py
@@ -23,7 +23,7 @@
 
 
 def parse_commit_response(line: bytes, number: int, size: int) -> Accepted | Rejected:
-    """Parse the response to call ``number``, which has ``size`` commands; ``ValueError`` if it is invalid."""
+    """Parse the response to call ``number`` with ``size`` commands; raise ``ValueError`` if it is invalid."""
     message = load_json(line)
     if not isinstance(message, dict) or message.get("id") != number or isinstance(message["id"], bool):
         raise ValueError("not the answer to this call")
@@ -38,7 +38,7 @@
 
 
 def rejection_code(error: object) -> str:
-    """Return the first known code in an error; ``ValueError`` if there is none.
+    """Return the first known code in an error; raise ``ValueError`` if it contains none.
 
     ``error`` is a string or an object with string values.
     """
--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -11,7 +11,7 @@
 Kind = TypeVar("Kind")
 SocketAddress: TypeAlias = tuple[str, int]  # host and port
 
-DEFAULT_TIME_LIMIT_US = 60_000_000  # of a route without a time limit in the settings
+DEFAULT_TIME_LIMIT_US = 60_000_000  # time limit of a route without one in the settings
 # Maps the names of load metrics in the settings to their names in load reports.
 METRIC_NAMES = {
     "rif": "inflight",
@@ -33,7 +33,7 @@
     zones: dict[str, int]
     routes: dict[str, int]
     machine_types: dict[str, int]
-    load_metrics: tuple[str, ...]  # names in load reports, in the order of the settings
+    load_metrics: tuple[str, ...]  # their names in load reports, in the order of the settings
     proxies: int  # number of proxies, which are numbered from 0
     attempt_limit_ms: float  # upper limit for the duration of an answered attempt
 
@@ -41,15 +41,15 @@
 class Configuration(NamedTuple):
     """The validated contents of the configuration file."""
 
-    name: str  # of this director
+    name: str  # the director's name
     listen: SocketAddress
     discovery: SocketAddress
     relay: SocketAddress
     seed: int
     cores: float
     sockets: int  # maximum open sockets of the process
-    cached_list: dict[str, Any]  # a response of discovery from before the start
-    settings: dict[str, Any]  # of the decisions, as a flat map by dotted path
+    cached_list: dict[str, Any]  # an earlier response of discovery, used until the first response arrives
+    settings: dict[str, Any]  # settings of the decisions, by dotted path
     vocabulary: Vocabulary
 
 
@@ -112,7 +112,7 @@
         return host, int(port)
 
     def seed(self) -> int:
-        """Return the seed, which the file has as hexadecimal digits."""
+        """Return the seed, which the file gives in hexadecimal digits."""
         text = self.value("seed", str)
         try:
             return int(text, 16)
--- a/rainpick/node/discovery_watch.py
+++ b/rainpick/node/discovery_watch.py
@@ -13,8 +13,8 @@
 
 PATH = "/catalog/members"
 HOLD_MS = 1_000  # how long discovery holds a poll open while nothing changes
-# A poll times out this long after the end of the hold. The platform counts changes that such a poll missed as
-# delivered 2 s after it.
+# A poll times out this long after the end of the hold. The platform counts the changes that a timed-out poll
+# missed as delivered 2 s after the poll.
 POLL_TIMEOUT_MARGIN_S = 0.4
 LIST_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.2  # discovery runs on the same machine as the director
@@ -32,12 +32,13 @@
     ):
         self.vocabulary = vocabulary
         self.publish = publish
-        self.version: int | None = None  # of the last accepted response
+        self.version: int | None = None  # version of the last accepted response
         self.fetch_full = True  # request the full list next, because the changes alone may be incomplete
         self.client = self.new_client(address)
         self.failures = 0
         self.responses = 0
-        self.regressed_since_s: float | None = None  # time since which responses have had older versions
+        # Monotonic time of the first of consecutive outdated responses; None if the last one was up to date.
+        self.regressed_since_s: float | None = None
 
     @staticmethod
     def new_client(address: SocketAddress) -> Client:
@@ -45,7 +46,7 @@
         return Client(*address, timeout_s=LIST_TIMEOUT_S, connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def set_address(self, address: SocketAddress) -> None:
-        """Use discovery at this address from now on. May be called by any thread."""
+        """Use discovery at this address from now on; abort the current request. Any thread may call this."""
         previous, self.client = self.client, self.new_client(address)
         previous.abort()
 
@@ -75,7 +76,10 @@
                 client.close()
 
     def poll(self, client: Client) -> None:
-        """Make one request and publish the response; ``ClientError`` or ``ValueError`` if it is unusable."""
+        """Make one request, and publish its response if it has new information.
+
+        Raises ``ClientError`` if there is no response, ``ValueError`` if the response is unusable.
+        """
         if self.fetch_full:
             status, _, body = client.request("GET", PATH)
         else:
--- a/rainpick/node/endpoint_discovery.py
+++ b/rainpick/node/endpoint_discovery.py
@@ -31,12 +31,12 @@
     version: int
     full: bool
     endpoints: tuple[model.Endpoint, ...]
-    errors: tuple[str, ...]  # one message for each skipped entry
+    errors: tuple[str, ...]  # one error message for each skipped entry
     unreadable: frozenset[str]  # addresses of the skipped entries, where the address itself is valid
 
 
 def parse_discovery_response(tree: object, vocabulary: Vocabulary) -> DiscoveryResponse:
-    """Parse a response; ``ValueError`` if it is invalid as a whole. An invalid entry is skipped."""
+    """Parse a response; skip its invalid entries. Raise ``ValueError`` if the response itself is invalid."""
     if not isinstance(tree, dict):
         raise ValueError("not a list of servers")
     entries, full = tree.get("instances"), tree.get("reset")
@@ -58,7 +58,10 @@
 
 
 def parse_endpoint(entry: Any, vocabulary: Vocabulary) -> model.Endpoint:
-    """Parse one entry of the list; ``MalformedMessageError`` if it is invalid. Its start is in Unix time."""
+    """Parse one entry of the list; raise ``MalformedMessageError`` if it is invalid.
+
+    ``started_us`` of the result is in Unix time, not on the director's clock.
+    """
     if not isinstance(entry, dict):
         raise MalformedMessageError("an entry that is no object")
     return model.Endpoint(
--- a/rainpick/node/endpoint_list.py
+++ b/rainpick/node/endpoint_list.py
@@ -9,26 +9,26 @@
 from rainpick.node.clock import Clock
 from rainpick.node.endpoint_discovery import DiscoveryResponse
 
-DEPARTED_LIMIT = 512  # departed endpoints that are remembered, because their last load reports arrive later
+DEPARTED_LIMIT = 512  # number of remembered departed endpoints, whose last load reports may arrive later
 
 
 class StartTime(NamedTuple):
     """The start time of an endpoint in microseconds; 0 means long ago."""
 
-    stamped_us: int  # in Unix time, as received from discovery
-    started_us: int  # on the director's clock
+    stamped_us: int  # Unix time, as received from discovery
+    started_us: int  # the same moment on the director's clock
 
 
 class EndpointList:
     """Applies responses of discovery. An invalid entry affects only its own endpoint.
 
-    A departed endpoint stays known for a while, see ``is_known``.
+    The last ``DEPARTED_LIMIT`` departed endpoints are still known, see ``is_known``.
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
         self.clock = clock or Clock()
         self.entries: dict[model.Address, model.Endpoint] = {}
-        self.departed: dict[model.Address, None] = {}  # in the order of departure
+        self.departed: dict[model.Address, None] = {}  # departed endpoints, oldest departure first
         self.start_times: dict[model.Address, StartTime] = {}
         self.version: int | None = None
 
@@ -81,5 +81,5 @@
             self.start_times.pop(oldest, None)
 
     def is_known(self, address: model.Address) -> bool:
-        """Return whether the endpoint is listed or departed recently."""
+        """Return whether the endpoint is listed or among the last departed ones."""
         return address in self.entries or address in self.departed
--- a/rainpick/node/event_loop.py
+++ b/rainpick/node/event_loop.py
@@ -20,7 +20,7 @@
 from rainpick.node.mailbox import Mailbox, Notification
 from rainpick.node.proxy_membership import ProxyMembership, StreamClosed, StreamEvent, StreamOpened
 
-MAX_WAIT_S = 1.0  # longest wait for events
+MAX_WAIT_S = 1.0  # longest wait for input in the mailbox
 STATUS_PERIOD_US = 10_000_000
 DEFAULT_ROUND_US = 1_000
 STREAM_NOTIFICATIONS = StreamEvent, StreamOpened, StreamClosed
@@ -48,8 +48,8 @@
         self.send = send
         self.process_status = process_status
         self.clock = Clock()
-        # Steps are at least one round apart, as in the simulator; input that arrives meanwhile forms one
-        # batch.
+        # Steps start at least this time apart, as in the simulator. Input that arrives between two steps
+        # forms one batch.
         self.round_us: int = configuration.settings.get("round_us", DEFAULT_ROUND_US)
         self.stepper = Stepper(configuration.seed, configuration.settings, director_factory)
         self.endpoints = EndpointList(self.clock)
@@ -61,7 +61,7 @@
         self.status_due_us = self.clock() + STATUS_PERIOD_US
 
     def run(self) -> None:
-        """Process batches forever."""
+        """Run the first step, then process batches of input forever."""
         self.step(self.clock())
         while True:
             due_us = self.stepper.due_us()
@@ -70,7 +70,10 @@
             self.process_batch(*self.mailbox.receive(wait_s))
 
     def process_batch(self, notifications: list[Notification], reports: list[LoadReport]) -> None:
-        """Process a batch, and step the decisions if there are events or a timer is due."""
+        """Process a batch, and step the decisions if there are events or a timer is due.
+
+        Then waits until ``round_us`` after the start of the last step.
+        """
         if (step_us := self.clock.detect_step()) is not None:
             log.warning("wall clock stepped", by_s=round(step_us / 1e6, 3), steps=self.clock.steps)
         for notification in notifications:
@@ -88,7 +91,7 @@
     def handle(self, notification: Notification) -> None:
         """Convert a notification into events for the next step."""
         events = self.stepper.pending_events
-        if isinstance(notification, STREAM_NOTIFICATIONS):  # by far the most frequent kind
+        if isinstance(notification, STREAM_NOTIFICATIONS):  # first, because they are by far the most frequent
             events.extend(self.membership.handle(notification))
         elif isinstance(notification, DiscoveryResponse):
             events.append(self.endpoints.apply(notification))
--- a/rainpick/node/frame_codec.py
+++ b/rainpick/node/frame_codec.py
@@ -20,9 +20,9 @@
     load_json,
 )
 
-LENGTH_SIZE = 4
-COLLECTOR_FRAME_LIMIT = 1 << 20
-PEER_FRAME_LIMIT = 4_096  # before the peer joins as a collector, when only ``hb`` and ``telemetry`` are valid
+LENGTH_SIZE = 4  # bytes
+COLLECTOR_FRAME_LIMIT = 1 << 20  # bytes
+PEER_FRAME_LIMIT = 4_096  # bytes; before the peer joins, when only ``hb`` and ``telemetry`` are valid
 
 
 class Heartbeat(NamedTuple):
@@ -68,7 +68,7 @@
     def __init__(self, vocabulary: Vocabulary):
         self.vocabulary = vocabulary
         self.buffer = bytearray()
-        self.zone: int | None = None  # set once the peer has joined as a collector
+        self.zone: int | None = None  # zone of the collector; None before the peer joins as one
         self.ended = False
 
     def receive(self, data: bytes) -> list[PeerMessage]:
@@ -100,7 +100,7 @@
         return StreamEnded(encode_frame({"t": "reject", "why": reason}) if self.zone is None else b"", reason)
 
     def parse_body(self, body: bytes) -> PeerMessage | None:
-        """Parse the body of a frame; None if the message has no effect."""
+        """Parse the body of a frame; return None if the message has no effect."""
         try:
             message = load_json(body)
         except ValueError as error:
@@ -114,7 +114,7 @@
             return MalformedReport(f"{str(kind)[:40]}: {error}")
 
     def parse_message(self, kind: Any, message: Message) -> PeerMessage | None:
-        """Parse a message of a kind; ``MalformedMessageError`` if it is invalid."""
+        """Parse a message according to its kind; raise ``MalformedMessageError`` if it is invalid."""
         if kind == "hb":
             return Heartbeat()
         if kind == "telemetry":
--- a/rainpick/node/load_report_parsing.py
+++ b/rainpick/node/load_report_parsing.py
@@ -25,7 +25,7 @@
 
 
 def parse_server_report(message: Message, vocabulary: Vocabulary) -> model.ServerLoadReport:
-    """Parse ``upstream_stats``: the attempts of a zone's proxies at a server."""
+    """Parse ``upstream_stats``, a report of the attempts that the proxies of a zone made at a server."""
     attempts = integer_field(message, "total", 1, COUNT_LIMIT)
     failures = integer_field(message, "errors", 0, attempts)
     # The mean latency is optional if no attempt was answered.
@@ -58,7 +58,7 @@
 
 
 def parse_route_report(message: Message, vocabulary: Vocabulary) -> model.RouteLoadReport:
-    """Parse ``client_stats``: the requests of a route that reached a proxy."""
+    """Parse ``client_stats``, a report of the requests for a route that clients sent to a proxy."""
     return model.RouteLoadReport(
         integer_field(message, "node", 0, vocabulary.proxies - 1),
         index_field(message, "route", vocabulary.routes),
--- a/rainpick/node/mailbox.py
+++ b/rainpick/node/mailbox.py
@@ -42,7 +42,7 @@
         self.shed = 0  # load reports shed so far
 
     def post_reports(self, reports: Iterable[LoadReport]) -> None:
-        """Post load reports; shed the oldest queued ones if there are too many."""
+        """Post load reports; if the queue is full, shed its oldest reports."""
         with self.changed:
             for report in reports:
                 self.shed += len(self.reports) == self.reports.maxlen
--- a/rainpick/node/process.py
+++ b/rainpick/node/process.py
@@ -22,12 +22,12 @@
 from rainpick.node.relay_subscription import RelaySubscription
 
 THREAD_STACK = 256 * 1024  # bytes
-# Longest wait of the reading threads for the interpreter lock while the event loop steps the decisions; it
-# delays drains that arrive meanwhile.
+# Longest wait of a reading thread for the interpreter lock while the event loop runs the decisions. The wait
+# delays drains that are received during a step.
 SWITCH_INTERVAL_S = 0.001
 SWEEP_PERIOD_S = 0.2  # between checks for overdue peers and between attempts to reload the configuration
-RELOAD_ATTEMPTS = 25  # one per sweep period while the file is unusable, because it may be only partly written
-FLUSH_TIMEOUT_S = 0.3  # for pending calls when the process stops; the platform kills it after 0.7 s
+RELOAD_ATTEMPTS = 25  # one per sweep period while the file is unusable; it may be only partly written
+FLUSH_TIMEOUT_S = 0.3  # limit for sending queued calls on SIGTERM; the platform kills the process after 0.7 s
 
 
 def run_or_exit(work: Callable[[], None]) -> NoReturn:
@@ -63,7 +63,7 @@
             self.commit_client.send,
             process_status=self.status,
         )
-        self.reload_attempts = 0  # remaining attempts
+        self.reload_attempts = 0  # remaining attempts to reload the configuration
 
     def status(self) -> dict[str, Any]:
         """Return the fields of the log's status lines that describe the process."""
@@ -76,7 +76,7 @@
         }
 
     def run(self) -> None:
-        """Start all threads, then handle signals until one of them ends the process."""
+        """Start all threads, then handle signals until SIGTERM or SIGINT ends the process."""
         # The handlers only queue the signal: any lock that they acquired might be held by the thread that
         # they interrupt, which would be a deadlock.
         for handled in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
@@ -141,7 +141,7 @@
         self.configuration = self.configuration._replace(discovery=new.discovery, relay=new.relay)
 
     def stop(self) -> NoReturn:
-        """Flush pending calls to the relay, then exit. No other director would send their commands."""
+        """Send the queued calls to the relay, then exit. No other director would send their commands."""
         self.commit_client.flush(FLUSH_TIMEOUT_S)
         os.write(2, b"stopped\n")  # bypasses the log, which another thread may be writing to
         os._exit(0)
--- a/rainpick/node/proxy_membership.py
+++ b/rainpick/node/proxy_membership.py
@@ -8,11 +8,11 @@
 from rainpick.node.commit_calls import MergedNonces
 from rainpick.node.relay_notifications import Ping, ProxyEvent
 
-MERGED_NONCE_LIMIT = 64  # remembered nonces of merged calls; they are acknowledged long before the limit
+MERGED_NONCE_LIMIT = 64  # remembered nonces of merged calls; older ones have long been acknowledged
 
 
 class StreamOpened(NamedTuple):
-    """The relay accepted a subscription. Its stream lists all joined proxies up to the first ``Ping``."""
+    """The relay accepted a subscription. The stream lists all joined proxies before its first ``Ping``."""
 
     stream: int
 
@@ -38,9 +38,10 @@
     * The previous stream ended before the new one opened. A listed proxy may have left and rejoined meanwhile
       and have lost its table. Every listed proxy is reported as joined, and the decisions bind it again.
     * The previous stream is still open, as after a change of the relay's address, so no change was missed.
-      Listed proxies that are already joined are not reported again, provided that the previous stream proves
-      to be alive by any message after the new stream opened. If it closes without such a message, it may have
-      been dead for a long time, and these *unconfirmed* proxies are then reported as joined.
+      Listed proxies that are already joined are not reported again. They are *unconfirmed* until the previous
+      stream proves to be alive by any message after the new stream opened. If the previous stream closes
+      without such a message, it may have been dead for a long time, and unconfirmed proxies are reported as
+      joined.
     * A join or leave on a previous stream may be outdated. If the proxy is joined, it is reported as joined
       again: an unnecessary binding is harmless, but a proxy that lost its table must be bound again.
 
@@ -50,12 +51,12 @@
     def __init__(self) -> None:
         self.joined: dict[int, model.ProxyJoined] = {}
         self.newest_stream = 0  # highest stream number opened so far
-        self.current_stream: int | None = None  # the newest stream, until it closes
-        self.former_stream: int | None = None  # the previous stream, until it proves to be alive or closes
+        self.current_stream: int | None = None  # number of the newest stream; None once it has closed
+        self.former_stream: int | None = None  # number of the previous stream; None once alive or closed
         self.superseded: set[int] = set()  # streams that opened after a newer stream
         self.gapless = False  # whether the current stream opened while the former one was still open
-        self.unconfirmed: set[int] = set()  # proxies listed but not reported again, see the class docstring
-        self.listed: set[int] | None = None  # proxies listed so far; None once the listing is complete
+        self.unconfirmed: set[int] = set()  # listed, and reported only if ``former_stream`` was dead
+        self.listed: set[int] | None = None  # listed so far on the current stream; None after its listing
         self.merged_nonces: dict[int, tuple[int, ...]] = {}  # earlier nonces that a nonce also acknowledges
 
     def handle(self, notification: StreamOpened | StreamEvent | StreamClosed) -> list[ProxyEvent]:
@@ -126,19 +127,19 @@
         """Complete the listing of the current stream; return a leave for each joined proxy not listed."""
         if self.listed is None:
             return []
-        missing, self.listed = sorted(self.joined.keys() - self.listed), None
-        for proxy in missing:
+        unlisted, self.listed = sorted(self.joined.keys() - self.listed), None
+        for proxy in unlisted:
             del self.joined[proxy]
-        return [model.ProxyLeft(proxy) for proxy in missing]
+        return [model.ProxyLeft(proxy) for proxy in unlisted]
 
     def nonces(self, nonce: int) -> tuple[int, ...]:
         """Return the earlier nonces that ``nonce`` also acknowledges, in order, followed by itself."""
         return *self.merged_nonces.get(nonce, ()), nonce
 
     def merge_nonces(self, merged: MergedNonces) -> None:
-        """Remember that calls were merged into one with the nonce of the last call.
+        """Remember which earlier nonces an acknowledgement of ``merged.nonce`` covers.
 
-        Proxies that only an earlier call concerns also acknowledge that nonce.
+        After a merge, proxies that only an earlier call concerns acknowledge the nonce of the merged call.
         """
         self.merged_nonces.pop(merged.nonce, None)
         self.merged_nonces[merged.nonce] = tuple(
--- a/rainpick/node/relay_notifications.py
+++ b/rainpick/node/relay_notifications.py
@@ -22,7 +22,7 @@
 
 
 class Ping(NamedTuple):
-    """The relay is alive. The first ping of a subscription ends its listing of joined proxies."""
+    """A sign that the relay is alive. The first ping on a stream ends its listing of joined proxies."""
 
 
 ProxyEvent: TypeAlias = model.ProxyJoined | model.ProxyLeft | model.Acknowledged
@@ -31,7 +31,7 @@
 def parse_notification(line: bytes, vocabulary: Vocabulary) -> Ping | ProxyEvent:
     """Parse one notification.
 
-    Raises ``MalformedMessageError`` if it is invalid, ``ValueError`` if it is not JSON.
+    Raises ``ValueError`` if the line is not JSON, ``MalformedMessageError`` if it is no valid notification.
     """
     message = load_json(line)
     parameters = message.get("params", {}) if isinstance(message, dict) else None
--- a/rainpick/node/relay_socket.py
+++ b/rainpick/node/relay_socket.py
@@ -7,7 +7,7 @@
 from rainpick.node.configuration import SocketAddress
 
 READ_SIZE = 65_536  # bytes
-CONNECT_TIMEOUT_S = 0.1  # also limits how late a relay that is reachable again is detected
+CONNECT_TIMEOUT_S = 0.1  # a relay that becomes reachable again is detected at most this much later
 RECONNECT_PAUSE_S = 0.02
 
 
--- a/rainpick/node/relay_subscription.py
+++ b/rainpick/node/relay_subscription.py
@@ -18,8 +18,8 @@
 
 SUBSCRIBE = b'{"jsonrpc":"2.0","id":1,"method":"subscribe"}\n'
 SILENCE_TIMEOUT_S = 2.0  # the relay sends a ping every second
-# How long a former address is still read after a change of the address. It should end its stream within half
-# of this time.
+# After a change of the relay's address, the stream at the previous address is still read for this time. The
+# relay there should end the stream within half of this time.
 FORMER_STREAM_TIMEOUT_S = 3.0
 THREAD_NAME = "relay notifications"
 
@@ -29,8 +29,9 @@
 class RelaySubscription:
     """Passes lists of notifications to ``publish``, each notification with the number of its stream.
 
-    Each stream is read by its own thread. After a change of the address the next stream opens while the
-    former one is still read, until the former address ends it.
+    Each stream is read by its own thread. After a change of the relay's address, a stream opens at the new
+    address. The stream at the previous address is read until the relay there ends it, but no longer than
+    ``FORMER_STREAM_TIMEOUT_S``, so that no notification is missed.
     """
 
     def __init__(
@@ -42,11 +43,11 @@
         self.address = address
         self.vocabulary = vocabulary
         self.publish = publish
-        self.streams = 0  # streams opened so far
+        self.streams = 0  # subscriptions that the relay has accepted so far
         self.malformed = 0  # malformed notifications dropped so far
-        self.newest_stream = 0  # number of the last connection
+        self.newest_stream = 0  # number of the newest stream; 1 is the first
         self.newest_closed = 0  # highest number of a stream that has ended
-        self.address_changed_s = 0.0  # time of the last change of the address
+        self.address_changed_s = 0.0  # monotonic time of the last change of ``address``
         self.changed = threading.Condition()  # notified when ``address`` or ``newest_closed`` changes
 
     def set_address(self, address: SocketAddress) -> None:
@@ -82,14 +83,14 @@
         reader = threading.Thread(target=self.read_stream, args=(sock, stream), name=THREAD_NAME, daemon=True)
         try:
             reader.start()
-        except RuntimeError as error:  # must not end the director
+        except RuntimeError as error:  # no thread can be started; this must not end the director
             sock.close()
             log.warning("relay notifications not read, connecting again", reason=str(error), stream=stream)
             return False
         return True
 
     def wait_until_outdated(self, address: SocketAddress) -> None:
-        """Wait until the newest stream has ended or the address differs from ``address``."""
+        """Wait until the newest stream, which is at ``address``, has ended or the address has changed."""
         with self.changed:
             self.changed.wait_for(lambda: self.address != address or self.newest_closed == self.newest_stream)
 
@@ -102,7 +103,7 @@
             log.warning("relay notifications interrupted", reason=str(error) or type(error).__name__)
         finally:
             self.publish([StreamClosed(stream)])
-            time.sleep(RECONNECT_PAUSE_S)  # delays the next stream if this was the newest
+            time.sleep(RECONNECT_PAUSE_S)  # delays the next stream if this one was the newest
             with self.changed:
                 self.newest_closed = max(self.newest_closed, stream)
                 self.changed.notify()
@@ -110,8 +111,8 @@
     def follow(self, sock: socket.socket, stream: int) -> None:
         """Subscribe and publish the received notifications.
 
-        Returns after ``FORMER_STREAM_TIMEOUT_S`` once a newer stream has replaced this one; raises
-        ``OSError`` or ``ValueError`` if the stream fails.
+        If a newer stream exists, returns ``FORMER_STREAM_TIMEOUT_S`` after the change of the address. Raises
+        ``OSError`` or ``ValueError`` if the stream ends or fails.
         """
         sock.sendall(SUBSCRIBE)
         sock.settimeout(SILENCE_TIMEOUT_S)
@@ -133,7 +134,7 @@
             self.publish(notifications)
 
     def is_still_read(self, stream: int) -> bool:
-        """Return whether the stream is the newest, or the address changed recently."""
+        """Return whether the stream is the newest or may still be read after a change of the address."""
         return (
             stream == self.newest_stream
             or time.monotonic() < self.address_changed_s + FORMER_STREAM_TIMEOUT_S
@@ -149,7 +150,7 @@
 
 
 def check_subscribed(line: bytes) -> None:
-    """Raise ``ValueError`` if this response does not accept the subscription."""
+    """Raise ``ValueError`` unless the line is a response that accepts the subscription."""
     message = load_json(line)
     if not isinstance(message, dict) or message.get("result") is not True:
         raise ValueError(f"not subscribed: {line[:80]!r}")
--- a/rainpick/otlp/decoding.py
+++ b/rainpick/otlp/decoding.py
@@ -1,7 +1,7 @@
 """Decodes ``ExportMetricsServiceRequest`` messages into the points of load reports.
 
-Unusable points are rejected individually, with the first reason, as the partial success of OTLP requires: an
-unknown metric must not cause the loss of the reporter's other points.
+Unusable points are rejected individually, as the partial success of OTLP requires: an unknown metric must not
+cause the loss of the reporter's other points. The batch keeps only the reason for the first rejection.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True)
 class Batch:
-    """The accepted points of one report, the number of rejected points and the first reason."""
+    """The accepted points of one report, the number of rejected points and the first reason for rejection."""
 
     points: list[Point] = field(default_factory=list)
     rejected: int = 0
     reason: str = ""
 
     def reject(self, count: int, reason: str) -> None:
-        """Count points as rejected."""
+        """Count points as rejected, and keep the reason if it is the first."""
         self.rejected += count
         self.reason = self.reason or reason
 
@@ -128,7 +128,10 @@
 
 
 def _period(point: HistogramDataPoint | NumberDataPoint) -> tuple[int, int]:
-    """Return start and end of a point's period, in nanoseconds of the reporter's clock."""
+    """Return start and end of a point's period, in nanoseconds of the reporter's clock.
+
+    Raises ``ValueError`` if either is missing or out of range.
+    """
     start_ns: int = point.start_time_unix_nano
     end_ns: int = point.time_unix_nano
     if not start_ns or not end_ns or end_ns > MAX_TIME_NS or start_ns > MAX_TIME_NS:
--- a/rainpick/otlp/receiver.py
+++ b/rainpick/otlp/receiver.py
@@ -14,8 +14,8 @@
 PROTOBUF_TYPE = "application/x-protobuf"
 METRICS_PATH = "/v1/metrics"
 RETRY_AFTER_S = 1
-# Verdicts that the response reports as rejections, in this order. Points with any other verdict count as
-# accepted; a duplicate among them was accepted before.
+# Verdicts on points that the response reports as rejections, in this order. Points with any other verdict
+# count as accepted; among these are duplicates of points that were accepted earlier.
 REJECTING_VERDICTS = ("late", "overlapping", "ahead", "backwards", "unknown")
 
 
--- a/rainpick/otlp/schema.py
+++ b/rainpick/otlp/schema.py
@@ -22,6 +22,6 @@
 OUTCOMES = (ANSWERED, DROPPED, THROTTLED)
 
 DELTA = AggregationTemporality.AGGREGATION_TEMPORALITY_DELTA
-MAX_COUNT = 1 << 40  # of one period; a larger count is an error of the reporter
-MAX_DURATION_S = 1e12  # sum over all answered attempts of one period
+MAX_COUNT = 1 << 40  # limit of a count in one period; a larger one is an error of the reporter
+MAX_DURATION_S = 1e12  # limit of the sum over all answered attempts of one period
 MAX_TIME_NS = 1 << 62
--- a/rainpick/sasp/client.py
+++ b/rainpick/sasp/client.py
@@ -12,7 +12,7 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A message received by a client and the request that it answers; None for pushed weights."""
+    """A message received by a client. ``request`` is the request that it answers, None for pushed weights."""
 
     request: Message | None
     message: Message
--- a/rainpick/sasp/constants.py
+++ b/rainpick/sasp/constants.py
@@ -8,8 +8,8 @@
 PORT = 3860  # TCP port of the director (section 4)
 TCP = 6  # IP protocol number of members
 
-MAX_UID_BYTES = 64  # of an LB UID (section 5.2)
-MAX_TEXT_BYTES = 255  # the length field of a text is one byte
+MAX_UID_BYTES = 64  # limit of an LB UID (section 5.2)
+MAX_TEXT_BYTES = 255  # limit of other texts: their length field is one byte
 MAX_WEIGHT = 0xFFFF
 
 
@@ -70,20 +70,18 @@
     LB_NOT_SEEN = 0x61
 
 
-# Flags
-
-# Registration, Deregistration, Set Member State: sent by a load balancer, not by the member itself
+# Flag of Registration, Deregistration and Set Member State: sent by a load balancer, not by a member
 FROM_LB = 0x80
-# Set LB State (section 6.5)
+# Flags of Set LB State (section 6.5)
 PUSH = 0x80
 TRUST = 0x40
 NO_CHANGE = 0x20
-# Set Member State (section 5.4)
+# Flag of a member state (section 5.4)
 QUIESCE_MEMBER = 0x80
-# Weight entry (section 5.3)
+# Flags of a weight entry (section 5.3)
 CONTACT = 0x80
 QUIESCE = 0x40
 SELF_REGISTERED = 0x20
 CONFIDENT = 0x10
-# Reason of a Deregistration (section 6.2)
+# Reason in a Deregistration (section 6.2)
 PURPOSEFUL = 0x01
--- a/rainpick/sasp/decoding.py
+++ b/rainpick/sasp/decoding.py
@@ -55,7 +55,7 @@
 
 Component = TypeVar("Component")
 
-# Messages
+# Decoding of messages
 
 
 def decode_body(message_type: int, cursor: Cursor) -> Message:
@@ -130,7 +130,7 @@
     MessageType.SET_MEMBER_STATE: _decode_set_member_state,
 }
 
-# Components
+# Decoding of components
 
 
 def _decode_member(cursor: Cursor) -> Member:
--- a/rainpick/sasp/encoding.py
+++ b/rainpick/sasp/encoding.py
@@ -52,7 +52,7 @@
     WEIGHT_ENTRY_TAIL,
 )
 
-# Constant parts of component and message headers
+# Constant header fields, computed once
 _WEIGHT_ENTRY_HEADER = COMPONENT_HEADER.pack(
     WEIGHT_ENTRY_TYPE, COMPONENT_HEADER.size + WEIGHT_ENTRY_TAIL.size
 )
@@ -65,7 +65,7 @@
 _MESSAGE_HEADER_LENGTH = MESSAGE_HEADER.size
 _SEND_WEIGHTS_FIXED_LENGTH = SEND_WEIGHTS_HEADER.size
 
-# Messages
+# Encoding of messages
 
 
 class _MessageBody(NamedTuple):
@@ -160,7 +160,7 @@
     return header + group + entries
 
 
-# Components
+# Encoding of components
 
 
 def encode_member(member: Member) -> bytes:
@@ -189,7 +189,7 @@
 
 
 def encode_weight_group(group: bytes, count: int, entries: bytes) -> bytes:
-    """Encode a group of weights from the encoded group and ``count`` encoded entries, shared by proxies."""
+    """Encode a group of weights from the encoded group and its ``count`` encoded weight entries."""
     return GROUP_OF_HEADER.pack(GROUP_OF_WEIGHTS_TYPE, GROUP_OF_HEADER.size, count) + group + entries
 
 
--- a/rainpick/sasp/framing.py
+++ b/rainpick/sasp/framing.py
@@ -1,4 +1,4 @@
-"""Splits a byte stream into messages."""
+"""Splits a byte stream into SASP messages and decodes them."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
         self.buffer += data
 
     def next(self) -> Frame | None:
-        """Decode the next complete message; return None if it is incomplete.
+        """Decode the next message; return None until all its bytes have been received.
 
         Raises ``SaspError`` if the message is malformed but its length is valid; the next call continues
-        after it. Raises ``FramingError`` if the header is invalid; the stream is then unusable.
+        after this message. Raises ``FramingError`` if the header is invalid; the stream is then unusable.
         """
         if len(self.buffer) < MESSAGE_HEADER.size:
             return None
--- a/rainpick/sasp/messages.py
+++ b/rainpick/sasp/messages.py
@@ -8,7 +8,7 @@
 from rainpick.sasp.addresses import IPAddress, pack_address, unpack_address
 from rainpick.sasp.constants import MessageType
 
-# Components
+# Types of the components of messages
 
 
 class Member(NamedTuple):
@@ -50,7 +50,7 @@
 
 
 class MemberState(NamedTuple):
-    """A member with its state, opaque to the protocol; ``quiesce`` if it is to get no new work."""
+    """A member with its state, opaque to the protocol; with ``quiesce`` the member gets no new work."""
 
     member: Member
     state: int = 0
@@ -58,38 +58,38 @@
 
 
 class MemberGroup(NamedTuple):
-    """Members of one group."""
+    """A group with some of its members."""
 
     group: Group
     members: tuple[Member, ...] = ()
 
 
 class WeightGroup(NamedTuple):
-    """Weight entries of one group."""
+    """A group with the weight entries of its members."""
 
     group: Group
     entries: tuple[WeightEntry, ...] = ()
 
 
 class StateGroup(NamedTuple):
-    """Member states of one group."""
+    """A group with the states of its members."""
 
     group: Group
     states: tuple[MemberState, ...] = ()
 
 
-# Messages
+# Types of messages
 
 
 class Registration(NamedTuple):
-    """Registers members; from a load balancer, it announces the members that the load balancer knows."""
+    """Request to register members; from a load balancer, a list of the members that it knows."""
 
     groups: tuple[MemberGroup, ...]
     from_lb: bool = False
 
 
 class Deregistration(NamedTuple):
-    """Deregisters members; a group without members stands for all members of the group."""
+    """Request to deregister members; a group without members represents all members of the group."""
 
     groups: tuple[MemberGroup, ...]
     from_lb: bool = False
@@ -97,19 +97,19 @@
 
 
 class GetWeights(NamedTuple):
-    """Poll by a load balancer for the weights of its groups."""
+    """Request of a load balancer for the weights of its groups."""
 
     groups: tuple[Group, ...] = ()
 
 
 class SendWeights(NamedTuple):
-    """Weights that the director pushes to a load balancer; there is no reply."""
+    """Weights that the director pushes to a load balancer, which does not reply."""
 
     groups: tuple[WeightGroup, ...]
 
 
 class SetLbState(NamedTuple):
-    """Identifies a load balancer and sets its health and its flags, such as polling or push."""
+    """Request that identifies a load balancer and sets its health and its flags, such as ``PUSH``."""
 
     uid: str
     health: int = 0x7F
@@ -117,14 +117,14 @@
 
 
 class SetMemberState(NamedTuple):
-    """Reports the states of members."""
+    """Request that sets the states of members."""
 
     groups: tuple[StateGroup, ...]
     from_lb: bool = False
 
 
 class Reply(NamedTuple):
-    """The reply to any request except Get Weights: a return code."""
+    """The reply to any request except Get Weights; it carries only a return code."""
 
     message_type: int
     code: int
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -47,15 +47,15 @@
 
 
 class DirectorSession:
-    """The director's state of one stream."""
+    """The state of one stream on the director's side."""
 
-    MAX_MALFORMED_MESSAGES = 8  # without an accepted request in between; the last one ends the stream
+    MAX_MALFORMED_MESSAGES = 8  # number since the last accepted request at which the stream ends
 
     def __init__(self, max_message_bytes: int):
         self._reader = FrameReader(max_message_bytes)
-        self._malformed_messages = 0  # since the last accepted request
+        self._malformed_messages = 0  # malformed messages since the last accepted request
         self.state = SessionState.UNIDENTIFIED
-        self.uid: str | None = None  # of the load balancer, once it has sent Set LB State
+        self.uid: str | None = None  # UID of the load balancer, set by its first Set LB State
 
     @property
     def is_member(self) -> bool:
@@ -73,7 +73,7 @@
         return events
 
     def _next_event(self) -> DirectorEvent | None:
-        """Return the event of the next complete message, None if it is incomplete."""
+        """Return the event of the next message; None until all its bytes have been received."""
         try:
             frame = self._reader.next()
         except FramingError as error:
@@ -86,7 +86,10 @@
 
     @staticmethod
     def _end_after_framing_error(error: FramingError) -> StreamEnded:
-        """End the stream; if the type of the message is unknown, the reply is one to Registration."""
+        """End the stream, with a reply if the message id is known.
+
+        If the type of the message is unknown, the reply is one to Registration.
+        """
         reply = b""
         if error.message_id:
             message_type = error.message_type or MessageType.REGISTRATION
@@ -94,7 +97,7 @@
         return StreamEnded(reply, str(error))
 
     def _reject_malformed(self, error: SaspError) -> RejectedRequest | StreamEnded:
-        """Reject a malformed message; end the stream if it has no reply or there were too many."""
+        """Reject a malformed message; end the stream if its type has no reply or the limit is reached."""
         self._malformed_messages += 1
         reply = encode_reply(error.message_type, error.message_id, error.code)
         if self._malformed_messages >= self.MAX_MALFORMED_MESSAGES or not reply:
--- a/rainpick/sasp/transitions.py
+++ b/rainpick/sasp/transitions.py
@@ -31,7 +31,7 @@
 
 
 class RequestKind(IntEnum):
-    """Requests that are legal in the same states."""
+    """Kind of a request: all requests of a kind are legal in the same states."""
 
     SET_LB_STATE = auto()
     GET_WEIGHTS = auto()
@@ -43,7 +43,7 @@
 
 LB_REQUESTS = (SetLbState, GetWeights)  # sent only by load balancers
 
-# By class of the request and whether a load balancer sends it
+# Kind by class of the request and whether a load balancer sends it
 REQUEST_KINDS: dict[tuple[type[Request], bool], RequestKind] = {
     (SetLbState, True): RequestKind.SET_LB_STATE,
     (GetWeights, True): RequestKind.GET_WEIGHTS,
@@ -81,9 +81,10 @@
 
 
 class Transition(NamedTuple):
-    """A legal request in a state: the next state and the check of the request's content.
+    """A legal request in a state: the next state, and a check of the request's content.
 
-    The check receives the message and the UID of the stream's load balancer, or None.
+    ``check`` receives the message and the UID of the stream's load balancer, None if there is no UID yet. It
+    returns None if the content is valid.
     """
 
     next_state: SessionState
@@ -91,7 +92,7 @@
 
 
 def _check_load_balancer(message: Request, uid: str | None) -> Rejection | None:
-    """Reject another UID: a stream belongs to one load balancer."""
+    """Reject Set LB State with another UID than before: a stream belongs to one load balancer."""
     if isinstance(message, SetLbState) and uid not in (None, message.uid):
         return Rejection(ReturnCode.NOT_ACCEPTED, f"the stream belongs to {uid!r}, not to {message.uid!r}")
     return None
@@ -122,7 +123,7 @@
 
 
 def _groups(message: Request) -> Sequence[Group]:
-    """Return the groups in a request."""
+    """Return the groups in a request; Set LB State has none."""
     if isinstance(message, SetLbState):
         return ()
     if isinstance(message, GetWeights):
@@ -131,7 +132,7 @@
 
 
 def _member_keys(message: Request) -> list[list[tuple[str, int]]]:
-    """Return host and port of the members in a request, by group."""
+    """Return, for each group in a request, the host and port of its members."""
     if isinstance(message, SetMemberState):
         return [[state.member.key() for state in group.states] for group in message.groups]
     if isinstance(message, Registration | Deregistration):
--- a/rainpick/sasp/wire.py
+++ b/rainpick/sasp/wire.py
@@ -22,7 +22,8 @@
 WEIGHT_ENTRY_TAIL = struct.Struct(">BBH")  # opaque state, flags, weight
 MEMBER_STATE_TAIL = struct.Struct(">BB")  # opaque state, flags
 GROUP_OF_HEADER = struct.Struct(">HHH")  # type, length, number of components
-# Message header, message component with the number of groups, header of a group of weights
+# The start of Send Weights: message header, message component with the number of groups, and the header of
+# the first group of weights
 SEND_WEIGHTS_HEADER = struct.Struct(">HHBIiHHHHHH")
 
 # Smallest encoded sizes in bytes, for checking an announced number of components
@@ -100,7 +101,7 @@
         return end
 
     def expect_end(self, end: int, description: str) -> None:
-        """Raise ``SaspError`` unless the current position is the end that a component's length gives."""
+        """Raise ``SaspError`` unless the position is ``end``, computed from a component's length."""
         if self.position != end:
             raise SaspError(f"{description} says it ends at byte {end}, but does at {self.position}")
 
--- a/rainpick/simhost/commands.py
+++ b/rainpick/simhost/commands.py
@@ -15,7 +15,7 @@
 
 MAX_TEXT_BYTES = 65_535
 MAX_TIMER_DELAY_US = 0xFFFFFFFF
-ALL_PEERS = 65_535  # peer number of a broadcast; None in the model
+ALL_PEERS = 65_535  # peer number for all other directors; the model uses None
 PEER_MESSAGE_CODE = 1100
 FAILURE_CODE = 1090
 TEXT_HEADER = Struct(">HIH")  # code, instance, length of the text
@@ -35,7 +35,7 @@
 
 
 def encode_log_message(instance: int, command: model.LogMessage) -> bytes:
-    """Encode a log message."""
+    """Encode the text of a log message."""
     return encode_text(1010, instance, command.text)
 
 
@@ -45,14 +45,14 @@
 
 
 def encode_peer_message(instance: int, command: model.SendPeerMessage) -> bytes:
-    """Encode a message to another director or to all of them."""
+    """Encode a message to one other director or to all others."""
     peer = ALL_PEERS if command.peer is None else command.peer
     header = PEER_MESSAGE_HEADER.pack(PEER_MESSAGE_CODE, instance, peer, len(command.data))
     return header + command.data
 
 
 def timer_fields(command: model.SetTimer) -> tuple[int, int]:
-    """Return the token and the delay, clamped to the range of its 32-bit field."""
+    """Return the token and the delay in microseconds, clamped to the range of a 32-bit field."""
     return command.token, max(0, min(command.delay_us, MAX_TIMER_DELAY_US))
 
 
--- a/rainpick/simhost/events.py
+++ b/rainpick/simhost/events.py
@@ -1,8 +1,8 @@
 """Decodes the event records of a batch into the model's events.
 
-A record consists of its code, the number of the receiving instance, and the code's fields. Endpoint lists are
-sent in records of their own, each under a list number; an update for any instance refers to a list by its
-number.
+A record consists of its code, the number of the receiving instance, and the code's fields. The record of an
+endpoint list has a list number in place of the instance number; the update records of all instances refer to
+the list by this number.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
 
 
 def build_proxy_joined(instance: int, new: int, rate: float, proxy: int, zone: int) -> InstanceEvent:
-    """Build the event of a joining proxy, whose fields have another order in the record."""
+    """Build the event of a joining proxy; the record has its fields in another order than the event."""
     return instance, model.ProxyJoined(proxy, new != 0, rate, zone)
 
 
@@ -138,7 +138,7 @@
 
 
 def decode_events(batch: Batch, endpoint_lists: EndpointLists) -> Iterator[InstanceEvent]:
-    """Decode a batch's events in order; update ``endpoint_lists``, which is kept between batches."""
+    """Decode a batch's events in order; store its lists in ``endpoint_lists``, kept between batches."""
     for _ in range(batch.record_count):
         (code,) = batch.unpack(RECORD_CODE)
         if code == ENDPOINT_LIST_CODE:
--- a/rainpick/simhost/host.py
+++ b/rainpick/simhost/host.py
@@ -11,7 +11,7 @@
 from rainpick.simhost.events import EndpointLists, Event, InstanceEvent, decode_events
 from rainpick.simhost.framing import MalformedError, encode_reply, read_batch
 
-# By instance number; instances are in the order in which they first occur in the batch.
+# Events of a batch by instance number, in the order in which the instances first occur in the batch.
 EventsByInstance: TypeAlias = dict[int, list[Event]]
 
 
@@ -46,7 +46,10 @@
         return events_by_instance
 
     def step(self, events_by_instance: EventsByInstance, now: int) -> list[bytes]:
-        """Run one step of each instance that has events; return the encoded commands."""
+        """Run one step of each instance that has events; return the encoded commands.
+
+        An exception in the step of an instance is encoded as a failure record of that instance.
+        """
         records: list[bytes] = []
         for instance, events in events_by_instance.items():
             try:
--- a/tests/node/paced_relay.py
+++ b/tests/node/paced_relay.py
@@ -43,7 +43,7 @@
 
 
 class Fleet:
-    """The proxies of all directors. Measures how long they could pick a server after its drain began."""
+    """The proxies of all directors. Measures the longest time that a proxy could use a draining server."""
 
     def __init__(self, proxies: int, servers: int):
         self.lock = threading.RLock()
@@ -89,9 +89,9 @@
     """Delivers commands at the rate of the settings; proxies acknowledge commands after applying them."""
 
     def __init__(self, fleet: Fleet, domain: dict[str, float]):
-        self.fleet, self.pending = fleet, domain["pendingMax"]
+        self.fleet, self.line_limit = fleet, domain["pendingMax"]
         self.channel = Channel(domain["linesPerS"], int(domain["head"]), LATENCY_US)
-        self.lock, self.deliveries, self.numbers = threading.Condition(), [], count()
+        self.lock, self.deliveries, self.delivery_numbers = threading.Condition(), [], count()
         self.removed: set[str] = set()  # servers withdrawn or removed from a table
         self.closed = False
         threading.Thread(target=self.deliver, daemon=True).start()
@@ -99,7 +99,7 @@
 
     @property
     def peak_queue_fraction(self) -> float:
-        return self.channel.waiting_most / self.pending
+        return self.channel.waiting_most / self.line_limit
 
     def join_proxy(self, proxy: int) -> None:
         """Join a proxy to this director."""
@@ -114,7 +114,7 @@
             commands = [parse_command(fields) for fields in message["params"]["orders"]]
             with self.lock, self.fleet.lock:
                 for due_us, delivery in self.channel.write(now_us(), commands):
-                    heapq.heappush(self.deliveries, (due_us, next(self.numbers), delivery))
+                    heapq.heappush(self.deliveries, (due_us, next(self.delivery_numbers), delivery))
                 for command in commands:
                     if (
                         type(command) is model.SetWithdrawn
--- a/tests/node/platform_stubs.py
+++ b/tests/node/platform_stubs.py
@@ -152,7 +152,7 @@
 
 
 def start_watch(discovery):
-    """Start a watch; return it and the list to which it appends its responses."""
+    """Start a discovery watch; return the watch and the list of the responses that it publishes."""
     responses = []
     watch = DiscoveryWatch(discovery.address, VOCABULARY, responses.append)
     threading.Thread(target=watch.run, daemon=True).start()
@@ -160,5 +160,5 @@
 
 
 def endpoint_states(responses):
-    """Return the states by server in each response."""
+    """Return a map from server to state for each response."""
     return [{endpoint.address: endpoint.state for endpoint in response.endpoints} for response in responses]
--- a/tests/node/stub_relay.py
+++ b/tests/node/stub_relay.py
@@ -43,8 +43,9 @@
 class StubRelay(StubServer):
     """Records commands. ``responses`` scripts the next calls, ``default_response`` all others.
 
-    A number is the number of accepted commands. "accept" accepts all, "busy" and "syntax" reject the whole
-    call. The other behaviours are:
+    Each call is handled with one scripted behaviour. A number is the number of accepted commands; the next
+    command, if any, is rejected. "accept" accepts all commands, "busy" and "syntax" reject the whole call.
+    The other behaviours are:
 
     * call not executed: "not read, closed", "not read, silent";
     * call executed: "no answer, closed", "no answer, silent", "invalid answer", "half an answer, closed",
--- a/tests/node/test_clock.py
+++ b/tests/node/test_clock.py
@@ -15,14 +15,14 @@
     """A machine whose wall clock is stepped by the test."""
 
     def __init__(self):
-        self.real, self.offset = 50 * SECOND, 1_700_000_000 * SECOND
-        self.clock = Clock(lambda: self.real + self.offset, lambda: self.real)
+        self.monotonic_us, self.offset_us = 50 * SECOND, 1_700_000_000 * SECOND
+        self.clock = Clock(lambda: self.monotonic_us + self.offset_us, lambda: self.monotonic_us)
 
     def wall(self):
-        return self.real + self.offset
+        return self.monotonic_us + self.offset_us
 
     def step(self, by):
-        self.offset += by
+        self.offset_us += by
         return self.clock.detect_step()
 
 
@@ -31,7 +31,7 @@
     machine = Machine()
     before = machine.clock()
     assert machine.step(by) == by and machine.clock() == before
-    machine.real += SECOND
+    machine.monotonic_us += SECOND
     assert (
         machine.clock.detect_step() is None
         and machine.clock() == before + SECOND
@@ -43,14 +43,14 @@
 def test_a_start_time_stamped_before_or_after_a_step_gives_no_higher_age(by):
     machine = Machine()
     stamped, clock_at_stamp = machine.wall(), machine.clock()
-    machine.real += SECOND // 2
+    machine.monotonic_us += SECOND // 2
     machine.step(by)
-    machine.real += SECOND
+    machine.monotonic_us += SECOND
     assert clock_at_stamp <= machine.clock.start_time(stamped) <= machine.clock(), (
         "the age must not be overestimated"
     )
     later, clock_at_stamp = machine.wall(), machine.clock()
-    machine.real += 10 * SECOND
+    machine.monotonic_us += 10 * SECOND
     assert machine.clock.start_time(later) >= clock_at_stamp, (
         "a server that is warming up must not be treated as warm"
     )
@@ -59,7 +59,7 @@
 def test_a_step_of_an_hour_forward_does_not_make_a_new_server_warm():
     machine = Machine()
     stamped = machine.wall()
-    machine.real += SECOND
+    machine.monotonic_us += SECOND
     machine.step(HOUR)
     assert machine.clock() - machine.clock.start_time(stamped) == SECOND
 
@@ -78,7 +78,7 @@
 
 
 def test_an_unchanged_start_time_is_not_converted_again():
-    """Guards against a list received again after a wall clock step that changes the ages of all servers.
+    """Guards against a wall clock step that changes the ages of all servers when their list is sent again.
 
     All servers would warm up again, or a slow start would be cut short.
     """
@@ -90,7 +90,7 @@
     ]
     response = parse_discovery_response({"generation": 1, "reset": True, "instances": entries}, VOCABULARY)
     first = endpoints.apply(response, model.UpdateKind.CACHED).endpoints
-    machine.real += 5 * SECOND
+    machine.monotonic_us += 5 * SECOND
     for by in (-SECOND // 2, -HOUR, HOUR, HOUR):
         machine.step(by)
         assert endpoints.apply(response).endpoints == first
--- a/tests/node/test_collector_listener_races.py
+++ b/tests/node/test_collector_listener_races.py
@@ -80,7 +80,7 @@
 
 
 def join_in_thread(listener, stream, joined):
-    """Join the stream in another thread, as its reading thread would; append the success to ``joined``."""
+    """Join a stream in another thread, as its reading thread would; append the result to ``joined``."""
     thread = threading.Thread(target=listener.join, args=(stream, 0))
     thread.start()
     thread.join(WAIT_S)
@@ -100,6 +100,7 @@
 
 
 def test_a_peer_that_joins_while_it_is_displaced_is_either_a_collector_or_closed():
+    """A new peer displaces the oldest pending peer when the limit of pending peers is reached."""
     listener, peers, joined = start_listener(sockets=4), [], []  # allows one pending peer
     first = connect_silent_peer(listener, peers)
     listener.lock.on_release = lambda: join_in_thread(listener, first, joined)
--- a/tests/node/test_commit_calls.py
+++ b/tests/node/test_commit_calls.py
@@ -43,9 +43,9 @@
 
 
 def test_a_long_call_is_split_in_order_and_each_part_requests_acknowledgement():
-    """Guards against proxies that only the first part reaches: they would never acknowledge.
+    """Guards against a part without a request for acknowledgement.
 
-    They would count as waiting forever.
+    The proxies that receive only this part would count as unacknowledged forever.
     """
     commands = [model.SetWeight(4, f"s-{number:06}", 1.0) for number in range(2000)]
     remaining, sent = commit_call([*commands, model.RequestAcknowledgement(7, False)]), []
@@ -79,8 +79,8 @@
 def test_waiting_calls_are_merged_with_the_withdrawals_first():
     """Guards against withdrawals that wait in the paced channel behind superseded weights.
 
-    When the calls were sent separately, a drain listed during an outage of the relay reached the proxies 0.1
-    s after the drain grace.
+    When the calls were sent separately, a drain that began during an outage of the relay reached the proxies
+    0.1 s after the drain grace.
     """
 
     def set_weight(server, weight):
--- a/tests/node/test_commit_client.py
+++ b/tests/node/test_commit_client.py
@@ -33,7 +33,7 @@
         ("busy", [1, 2, 3]),
         ("not read, closed", [1, 2, 3]),
         ("not read, silent", [1, 2, 3]),
-        # The relay has executed the call, but the client cannot know: it is executed twice, still in order.
+        # The relay has executed the call, but the client cannot know: the call is executed twice, in order.
         ("no answer, closed", [1, 1, 2, 3]),
         ("no answer, silent", [1, 1, 2, 3]),
         ("invalid answer", [1, 1, 2, 3]),
@@ -84,7 +84,7 @@
 
 
 def test_a_connection_closed_as_idle_is_detected_before_a_call_is_sent_into_it(relay):
-    """Guards against an unconfirmed call: one sent on a closed connection never arrives."""
+    """Guards against an unconfirmed call: a call sent on a closed connection never arrives."""
     client = start_client(relay)
     client.send(clear_tables(1))
     until(lambda: cleared_tables(relay) == [1] and client.counts["calls"], "the first call")
@@ -96,7 +96,7 @@
 
 
 def test_a_connection_without_calls_is_kept_from_being_closed_as_idle(relay, monkeypatch):
-    """Guards against reconnecting for a withdrawal, which costs a round trip and may not be accepted."""
+    """Guards against a new connection for a withdrawal: connecting takes a round trip and may fail."""
     monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     client = start_client(relay)
     client.send(clear_tables(1))
--- a/tests/node/test_commit_client_races.py
+++ b/tests/node/test_commit_client_races.py
@@ -77,7 +77,7 @@
 
 
 def test_rejected_keep_alive_calls_count_against_no_command(relay, monkeypatch):
-    """Guards against adding them to the rejections of the next call, which was then skipped too early."""
+    """Guards against counting them as rejections of the next call, which was then skipped too early."""
     monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     client = start_client(relay.address)
     client.send(clear_tables(1))
@@ -107,7 +107,7 @@
 
 
 def test_the_nonce_of_an_unconfirmed_call_is_reported(relay):
-    """An executed call without a response is queued twice in the channel, which the decisions must count."""
+    """A call that is executed twice is queued twice in the channel, which the decisions must count."""
     notifications = []
     relay.responses = ["no answer, silent", "busy"]
     client = start_client(relay.address, notifications.append)
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -49,7 +49,7 @@
         Response(200, b'{"generation":1,"reset":true,"instances":' + b"[" * 50_000),
     ],
 )
-def test_an_unusable_answer_is_requested_again(discovery, unusable):
+def test_a_request_is_repeated_after_an_unusable_response(discovery, unusable):
     discovery.forced_responses = [unusable, unusable]
     watch, responses = start_watch(discovery)
     until(lambda: responses, "the list")
--- a/tests/node/test_discovery_watch_races.py
+++ b/tests/node/test_discovery_watch_races.py
@@ -39,7 +39,7 @@
 
 
 def test_a_new_address_with_a_lower_version_is_followed(discovery, monkeypatch):
-    """Guards against requesting changes since the old address's version, which gives none for a long time."""
+    """Guards against requesting the changes since a version that the new address reaches much later."""
     monkeypatch.setattr(discovery_watch, "REGRESSION_TIMEOUT_S", 0.2)
     discovery.versions += [[]] * 50
     other = StubDiscovery(entry(3))
@@ -59,7 +59,7 @@
 def test_a_change_of_address_between_two_polls_fetches_the_full_list_at_the_new_one(discovery):
     """Guards against an address change right after the poll has checked the address.
 
-    The new address was then asked for changes since the old address's version.
+    The watch then requested the changes since the old address's version from the new address.
     """
     other, responses = StubDiscovery(entry(3)), []
 
--- a/tests/node/test_event_loop.py
+++ b/tests/node/test_event_loop.py
@@ -47,7 +47,7 @@
 
 
 def test_a_report_of_an_unlisted_server_is_dropped_and_counted(tmp_path):
-    """Guards against counting a malformed report in the fleet's answered and dropped attempts."""
+    """Guards against counting a report with a wrong server name in the attempts of the fleet."""
     loop, decisions, _ = make_loop(tmp_path)
     listed, unlisted = (
         model.ServerLoadReport(name, 0, 5, 5, 0, 500_000, ()) for name in ("s-0001", "s-ffff")
--- a/tests/node/test_process_signals.py
+++ b/tests/node/test_process_signals.py
@@ -139,7 +139,10 @@
 
 
 def test_a_file_that_is_being_replaced_is_read_again(director):
-    """Guards against rejecting a partly written file for good: the old addresses then went out of service."""
+    """Guards against rejecting a partly written file without another attempt.
+
+    The director then kept the old addresses, which went out of service.
+    """
     former, director.discovery.requests[:] = director.path.read_text(), []
     old, director.discovery = director.discovery, StubDiscovery(*map(entry, range(6)))
     director.write_configuration("{half")
--- a/tests/node/test_proxy_membership.py
+++ b/tests/node/test_proxy_membership.py
@@ -41,7 +41,7 @@
 def test_no_join_is_reported_twice_after_a_change_of_address():
     """Guards against binding all proxies again after each new configuration.
 
-    That wrote two thousand lines, most of a second of the channel.
+    These bindings were two thousand lines, which took the channel most of a second.
     """
     membership = with_joined(1, 2, 3)
     membership.handle(StreamOpened(2))
@@ -54,7 +54,7 @@
 
 
 def test_unconfirmed_proxies_are_reported_if_the_former_stream_was_dead():
-    """A former stream that was cut off before the new configuration arrived has missed all changes since."""
+    """A former stream that broke before the change of address has missed all changes since the break."""
     membership = with_joined(1, 2)
     membership.handle(StreamOpened(2))
     assert handle_all(membership, joined(1), joined(2), Ping(), stream=2) == []
@@ -64,7 +64,7 @@
 
 
 def test_late_joins_and_leaves_on_a_former_stream_are_reported_as_joins():
-    """A proxy may leave and rejoin just before the new stream lists it; those notifications arrive last."""
+    """A proxy may leave and rejoin just before its listing; the former stream may report this afterwards."""
     membership = with_joined(1, 2)
     membership.handle(StreamOpened(2))
     assert handle_all(membership, joined(1), Ping(), stream=2) == [model.ProxyLeft(2)]
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: codec against hand-written records; process on valid and on malformed input."""
+"""The simulator adapter: its codec with hand-written records, its process with valid and malformed input."""
 
 import io
 import subprocess
