--- a/benchmarks/publish.py
+++ b/benchmarks/publish.py
@@ -109,7 +109,7 @@
 
 def read_status(address) -> dict:
     client = Client(*address)
-    status = json.loads(client.call("GET", "/status")[2])
+    status = json.loads(client.request("GET", "/status")[2])
     client.close()
     return status
 
