--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -4,8 +4,8 @@
 from tempfile import TemporaryDirectory
 
 from rainpick.http1.client import Client
-from tests.loopback.harness import MemberEnd, ProxyEnd, running
-from tests.waiting import until
+from tests.loopback.harness import MemberClient, ProxyClient, running_director
+from tests.waiting import wait_until
 
 BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # maps whose keys, numbers or addresses, are not compared
 
@@ -32,12 +32,12 @@
     """Call ``query`` with a client of a recording director; a proxy has received its two servers."""
     with (
         TemporaryDirectory() as folder,
-        running(f'record: {{folder: "{folder}", sync: false}}', mqtt=True) as daemon,
+        running_director(f'record: {{folder: "{folder}", sync: false}}', mqtt=True) as daemon,
     ):
         client = Client(*daemon.status)
-        MemberEnd(daemon, 9001, 9002)
-        ProxyEnd(daemon, "edge-1").until(lambda weights: len(weights) == 2)
-        until(
+        MemberClient(daemon, 9001, 9002)
+        ProxyClient(daemon, "edge-1").until(lambda weights: len(weights) == 2)
+        wait_until(
             lambda: [row["proxies"] for row in send_request(client, "GET", "/status")[1]["tables"]] == [1],
             "a table",
         )
--- a/tests/loopback/harness.py
+++ b/tests/loopback/harness.py
@@ -36,7 +36,7 @@
 
 
 @contextlib.contextmanager
-def running(sections="", director="", mqtt=False, **daemon_options):
+def running_director(sections="", director="", mqtt=False, **daemon_options):
     """Run a director with the given sections of its settings; fail if its event loop raised an error."""
     mqtt_listener = ', mqtt: "127.0.0.1:0"' if mqtt else ""
     daemon = Daemon(
@@ -53,7 +53,7 @@
     assert daemon.core.failure is None, daemon.core.failure
 
 
-def status(daemon):
+def fetch_status(daemon):
     """Fetch a director's status, with empty lists of servers and proxies before its decisions begin."""
     client = Client(*daemon.status)
     code, _, body = client.call("GET", "/status")
@@ -67,7 +67,7 @@
     return tuple(Member.at("127.0.0.1", port, label) for port in ports)
 
 
-class MemberEnd(SaspClient):
+class MemberClient(SaspClient):
     """A SASP stream that registers the servers at some ports as members."""
 
     def __init__(self, daemon, *ports, label=""):
@@ -87,7 +87,7 @@
         return self.request(Deregistration((MemberGroup(FLEET, members(*ports)),))).code
 
 
-class ProxyEnd(SaspClient):
+class ProxyClient(SaspClient):
     """A proxy's SASP stream, and the weights by port that it has received."""
 
     def __init__(
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -38,16 +38,16 @@
 from rainpick.settings import SettingsError
 from rainpick.simulated_peers.ports import free_ports
 from rainpick.simulated_peers.sasp_client import SaspClient
-from tests.loopback.harness import FLEET, MemberEnd, ProxyEnd, members, running, status
-from tests.waiting import until
+from tests.loopback.harness import FLEET, MemberClient, ProxyClient, fetch_status, members, running_director
+from tests.waiting import wait_until
 
 FULL = 4096  # weight 1, scaled to 16 bits with a maximum weight of 16
 
 
 def test_a_drain_and_its_end_reach_every_proxy():
-    with running() as daemon:
-        fleet = MemberEnd(daemon, 9001, 9002, 9003)
-        proxies = [ProxyEnd(daemon, f"edge-{number}", 9001) for number in range(5)]
+    with running_director() as daemon:
+        fleet = MemberClient(daemon, 9001, 9002, 9003)
+        proxies = [ProxyClient(daemon, f"edge-{number}", 9001) for number in range(5)]
         for proxy in proxies:
             proxy.until(lambda weights: weights == {9001: FULL, 9002: FULL, 9003: FULL})
         assert fleet.quiesce(9002) == ReturnCode.SUCCESS
@@ -60,9 +60,9 @@
 
 
 def test_without_the_no_change_flag_every_push_has_all_members():
-    with running() as daemon:
-        fleet = MemberEnd(daemon, 9001, 9002)
-        proxy = ProxyEnd(daemon, "edge-1", flags=PUSH | TRUST)
+    with running_director() as daemon:
+        fleet = MemberClient(daemon, 9001, 9002)
+        proxy = ProxyClient(daemon, "edge-1", flags=PUSH | TRUST)
         proxy.until(lambda weights: len(weights) == 2)
         fleet.quiesce(9001)
         proxy.until(lambda weights: len(weights) == 1)
@@ -70,19 +70,19 @@
 
 
 def test_a_polling_proxy_gets_the_poll_interval_and_only_changed_members():
-    with running("sasp: {poll_interval_s: 2}") as daemon:
-        fleet = MemberEnd(daemon, 9001, 9002)
-        proxy = ProxyEnd(daemon, "edge-1", flags=TRUST | NO_CHANGE)
-        until(lambda: proxy.get_weights() and proxy.weights == {9001: FULL, 9002: FULL})
+    with running_director("sasp: {poll_interval_s: 2}") as daemon:
+        fleet = MemberClient(daemon, 9001, 9002)
+        proxy = ProxyClient(daemon, "edge-1", flags=TRUST | NO_CHANGE)
+        wait_until(lambda: proxy.get_weights() and proxy.weights == {9001: FULL, 9002: FULL})
         fleet.quiesce(9002)
-        reply = until(lambda: (answer := proxy.get_weights()).groups[0].entries and answer)
+        reply = wait_until(lambda: (answer := proxy.get_weights()).groups[0].entries and answer)
         assert reply.interval == 2 and [entry.weight for entry in reply.groups[0].entries] == [0]
         assert proxy.weights == {9001: FULL}
         assert proxy.get_weights().groups[0].entries == ()
 
 
 def test_a_load_balancer_without_the_trust_flag_is_rejected():
-    with running() as daemon:
+    with running_director() as daemon:
         client = SaspClient(daemon.sasp)
         assert client.request(SetLbState("edge-1", 0x7F, PUSH)).code == ReturnCode.NOT_ACCEPTED
 
@@ -98,11 +98,11 @@
 )
 def test_requests_after_a_rejected_set_lb_state_are_rejected(request_, code):
     """The session counts the Set LB State as sent though no proxy exists, which once ended the director."""
-    with running() as daemon:
+    with running_director() as daemon:
         client = SaspClient(daemon.sasp)
         assert client.request(SetLbState("edge-1", 0x7F, PUSH)).code == ReturnCode.NOT_ACCEPTED
         assert client.request(request_).code == code
-        other = ProxyEnd(daemon, "edge-2")
+        other = ProxyClient(daemon, "edge-2")
         assert other.get_weights().code == ReturnCode.SUCCESS, "other proxies are still served"
 
 
@@ -117,14 +117,14 @@
 
 
 def test_a_proxy_whose_stream_broke_within_a_push_gets_the_exact_table_on_reconnection():
-    with running() as daemon:
-        fleet = MemberEnd(daemon, 9001, 9002, 9003)
-        proxy = ProxyEnd(daemon, "edge-1", 7777)
+    with running_director() as daemon:
+        fleet = MemberClient(daemon, 9001, 9002, 9003)
+        proxy = ProxyClient(daemon, "edge-1", 7777)
         proxy.until(lambda weights: len(weights) == 3)
         reset_stream_within_a_push(daemon, proxy, fleet)
         assert 9002 in proxy.weights, "the proxy keeps its weights"
-        until(lambda: not status(daemon)["proxies"])
-        rejoined = ProxyEnd(daemon, "edge-1", weights=proxy.weights)
+        wait_until(lambda: not fetch_status(daemon)["proxies"])
+        rejoined = ProxyClient(daemon, "edge-1", weights=proxy.weights)
         rejoined.until(lambda weights: weights == {9001: FULL, 9003: FULL}, "the exact table")
 
 
@@ -160,7 +160,7 @@
             except OSError:
                 return None
 
-        until(answers, "the director").close()
+        wait_until(answers, "the director").close()
         return process
 
     class Addresses:
@@ -168,10 +168,10 @@
 
     process = start()
     try:
-        fleet = MemberEnd(Addresses, 9001, 9002, 9003, label="age=100;boot=1")
-        proxy = ProxyEnd(Addresses, "edge-1", 9001)
+        fleet = MemberClient(Addresses, 9001, 9002, 9003, label="age=100;boot=1")
+        proxy = ProxyClient(Addresses, "edge-1", 9001)
         proxy.until(lambda weights: len(weights) == 3)
-        cold = MemberEnd(Addresses, 9004, label="age=0;boot=1")  # warming up at the kill
+        cold = MemberClient(Addresses, 9004, label="age=0;boot=1")  # warming up at the kill
         proxy.until(lambda weights: 0 < weights.get(9004, 0) < FULL * 0.6)
         fleet.quiesce(9002)
         proxy.sock.settimeout(10)
@@ -182,9 +182,9 @@
         proxy.close()
         restart_s = time.monotonic()
         process = start()
-        rejoined = ProxyEnd(Addresses, "edge-1", weights=weights)
-        MemberEnd(Addresses, 9001, 9003, label="age=101;boot=1")
-        MemberEnd(Addresses, 9004, label="age=1;boot=1")
+        rejoined = ProxyClient(Addresses, "edge-1", weights=weights)
+        MemberClient(Addresses, 9001, 9003, label="age=101;boot=1")
+        MemberClient(Addresses, 9004, label="age=1;boot=1")
         rejoined.read()
         if time.monotonic() - restart_s < 2:  # a later director must not give the cold server more weight
             assert rejoined.weights.get(9004, 0) < FULL * 0.9
@@ -199,12 +199,12 @@
 def test_a_proxy_that_stops_reading_delays_no_other_proxy_and_is_disconnected():
     """Its socket fills up with pushes of all members; the drains of other proxies must not wait for it."""
     sections = 'sasp: {write_stall: "400ms"}, channel: {lines_per_s: 1e6, pending_lines: 500000}'
-    with running(sections) as daemon:
-        fleet = MemberEnd(daemon, *range(7000, 8500))
-        others = [ProxyEnd(daemon, f"edge-{number}") for number in range(3)]
+    with running_director(sections) as daemon:
+        fleet = MemberClient(daemon, *range(7000, 8500))
+        others = [ProxyClient(daemon, f"edge-{number}") for number in range(3)]
         for proxy in others:
             proxy.until(lambda weights: len(weights) == 1500)
-        stalled = ProxyEnd(daemon, "edge-9", flags=PUSH | TRUST, receive_buffer_bytes=4096)
+        stalled = ProxyClient(daemon, "edge-9", flags=PUSH | TRUST, receive_buffer_bytes=4096)
         longest_s = 0.0
         for port in range(7000, 7040):
             begin = time.monotonic()
@@ -213,53 +213,53 @@
                 proxy.until(lambda weights, port=port: port not in weights)
             longest_s = max(longest_s, time.monotonic() - begin)
         assert longest_s < 0.5, longest_s
-        until(lambda: status(daemon)["streams"]["let_go"] == 1)
-        state = status(daemon)
+        wait_until(lambda: fetch_status(daemon)["streams"]["let_go"] == 1)
+        state = fetch_status(daemon)
         assert [proxy["uid"] for proxy in state["proxies"]] == ["edge-0", "edge-1", "edge-2"]
         assert state["channel"]["messages"] == 0, "no message waits for the disconnected proxy"
         del stalled
 
 
 def test_a_proxy_whose_regular_requests_stop_is_disconnected():
-    with running('sasp: {read_proof: "300ms"}') as daemon:
-        fleet = MemberEnd(daemon, 9001, 9002)
-        proxy = ProxyEnd(daemon, "edge-1")
+    with running_director('sasp: {read_proof: "300ms"}') as daemon:
+        fleet = MemberClient(daemon, 9001, 9002)
+        proxy = ProxyClient(daemon, "edge-1")
         for _ in range(3):
             proxy.request(SetLbState("edge-1"))
         proxy.until(lambda weights: len(weights) == 2)
         fleet.quiesce(9001)
-        until(lambda: status(daemon)["streams"]["let_go"] == 1)
+        wait_until(lambda: fetch_status(daemon)["streams"]["let_go"] == 1)
 
 
 def test_a_newer_stream_of_the_same_proxy_replaces_the_older():
-    with running() as daemon:
-        MemberEnd(daemon, 9001)
-        old = ProxyEnd(daemon, "edge-1")
+    with running_director() as daemon:
+        MemberClient(daemon, 9001)
+        old = ProxyClient(daemon, "edge-1")
         old.until(lambda weights: weights)
-        new = ProxyEnd(daemon, "edge-1")
+        new = ProxyClient(daemon, "edge-1")
         new.until(lambda weights: weights == {9001: FULL})
         with pytest.raises(OSError):
             while True:
                 old.read(5)
-        assert len(status(daemon)["proxies"]) == 1
+        assert len(fetch_status(daemon)["proxies"]) == 1
 
 
 def test_a_member_registered_twice_is_rejected_on_one_stream_and_moves_to_another():
-    with running('fleet: {member_grace: "150ms"}') as daemon:
-        first = MemberEnd(daemon, 9001, label="boot=1")
+    with running_director('fleet: {member_grace: "150ms"}') as daemon:
+        first = MemberClient(daemon, 9001, label="boot=1")
         assert first.register(9001, label="boot=1") == ReturnCode.ALREADY_REGISTERED
-        second = MemberEnd(daemon, 9001, label="boot=1")
+        second = MemberClient(daemon, 9001, label="boot=1")
         assert first.quiesce(9001) == ReturnCode.NOT_REGISTERED
         first.close()
-        until(lambda: status(daemon)["streams"]["open"] == 1)
+        wait_until(lambda: fetch_status(daemon)["streams"]["open"] == 1)
         assert second.quiesce(9001, on=False) == ReturnCode.SUCCESS
-        until(lambda: [server["state"] for server in status(daemon)["servers"]] == ["ready"])
+        wait_until(lambda: [server["state"] for server in fetch_status(daemon)["servers"]] == ["ready"])
 
 
 def test_a_member_that_registers_quiesces_and_deregisters_at_once_gets_no_weight():
-    with running() as daemon:
-        MemberEnd(daemon, 9001)
-        proxy = ProxyEnd(daemon, "edge-1")
+    with running_director() as daemon:
+        MemberClient(daemon, 9001)
+        proxy = ProxyClient(daemon, "edge-1")
         proxy.until(lambda weights: weights == {9001: FULL})
         client = SaspClient(daemon.sasp)
         session, member = client.session, members(9005)
@@ -268,7 +268,7 @@
             + session.encode_request(SetMemberState((StateGroup(FLEET, (MemberState(member[0], 0, True),)),)))
             + session.encode_request(Deregistration((MemberGroup(FLEET, member),)))
         )
-        MemberEnd(daemon, 9006)
+        MemberClient(daemon, 9006)
         proxy.until(lambda weights: 9006 in weights)
         assert 9005 not in proxy.weights
         assert all(
@@ -281,10 +281,10 @@
 
 
 def test_a_server_with_a_broken_stream_is_removed_only_after_the_grace():
-    with running('fleet: {member_grace: "400ms"}') as daemon:
-        MemberEnd(daemon, 9001)
-        leaving = MemberEnd(daemon, 9002)
-        proxy = ProxyEnd(daemon, "edge-1")
+    with running_director('fleet: {member_grace: "400ms"}') as daemon:
+        MemberClient(daemon, 9001)
+        leaving = MemberClient(daemon, 9002)
+        proxy = ProxyClient(daemon, "edge-1")
         proxy.until(lambda weights: len(weights) == 2)
         begin = time.monotonic()
         leaving.close()
@@ -303,8 +303,8 @@
     ids=["not SASP", "version", "oversized", "wrong direction"],
 )
 def test_invalid_sasp_data_closes_only_its_stream(data, reply):
-    with running() as daemon:
-        fleet = MemberEnd(daemon, 9001)
+    with running_director() as daemon:
+        fleet = MemberClient(daemon, 9001)
         sock = socket.create_connection(daemon.sasp)
         sock.settimeout(5)
         sock.sendall(data)
@@ -316,27 +316,27 @@
 
 
 def test_streams_without_a_first_message_are_closed_and_their_number_is_bounded():
-    with running('sasp: {hello: "200ms", streams_most: 2}') as daemon:
+    with running_director('sasp: {hello: "200ms", streams_most: 2}') as daemon:
         first, second, third = (socket.create_connection(daemon.sasp) for _ in range(3))
         third.settimeout(5)
         assert third.recv(1) == b""
         for sock in (first, second):
             sock.settimeout(5)
             assert sock.recv(1) == b""
-        MemberEnd(daemon, 9001)
+        MemberClient(daemon, 9001)
 
 
 def test_all_proxies_get_their_exact_tables_again_after_all_streams_broke_at_once():
-    with running() as daemon:
-        MemberEnd(daemon, *range(9000, 9012))
-        proxies = [ProxyEnd(daemon, f"edge-{number}") for number in range(12)]
+    with running_director() as daemon:
+        MemberClient(daemon, *range(9000, 9012))
+        proxies = [ProxyClient(daemon, f"edge-{number}") for number in range(12)]
         tables = [dict(proxy.until(lambda weights: weights)) for proxy in proxies]
         for proxy in proxies:
             proxy.close()
-        rejoined = [ProxyEnd(daemon, proxy.uid, weights=proxy.weights) for proxy in proxies]
+        rejoined = [ProxyClient(daemon, proxy.uid, weights=proxy.weights) for proxy in proxies]
         for proxy, table in zip(rejoined, tables, strict=True):
             proxy.until(lambda weights, table=table: weights == table)
-        until(lambda: sum(proxy["table"] is not None for proxy in status(daemon)["proxies"]) == 12)
+        wait_until(lambda: sum(proxy["table"] is not None for proxy in fetch_status(daemon)["proxies"]) == 12)
 
 
 def test_a_list_file_adds_servers_and_an_invalid_one_is_rejected_as_a_whole(tmp_path):
@@ -344,8 +344,8 @@
     path.write_text(
         '{servers: [{address: "127.0.0.1:9501"}, {address: "127.0.0.1:9502", pod: 1, state: "draining"}]}'
     )
-    with running(f'fleet: {{list_file: "{path}"}}') as daemon:
-        proxy = ProxyEnd(daemon, "edge-1")
+    with running_director(f'fleet: {{list_file: "{path}"}}') as daemon:
+        proxy = ProxyClient(daemon, "edge-1")
         proxy.until(lambda weights: weights == {9501: FULL})
         path.write_text('{servers: [{address: "127.0.0.1:9501", state: "draining"}, {address: "nowhere"}]}')
         daemon.read_list_file()
@@ -369,7 +369,7 @@
     path = tmp_path / "list.json5"
     path.write_text("{servers: [{}]}")
     sections = f'fleet: {{list_file: "{path}"}}'
-    with pytest.raises(SettingsError, match=r"servers\.0\.address"), running(sections):
+    with pytest.raises(SettingsError, match=r"servers\.0\.address"), running_director(sections):
         pass
 
 
@@ -386,23 +386,25 @@
 def test_a_damaged_cached_list_is_ignored(tmp_path, text):
     path = tmp_path / "cache.json"
     path.write_text(text)
-    with running(director=f', list_cache: "{path}"') as daemon:
-        MemberEnd(daemon, 9001)
-        ProxyEnd(daemon, "edge-1").until(lambda weights: weights == {9001: FULL})
+    with running_director(director=f', list_cache: "{path}"') as daemon:
+        MemberClient(daemon, 9001)
+        ProxyClient(daemon, "edge-1").until(lambda weights: weights == {9001: FULL})
 
 
 def test_the_endpoint_list_is_cached_for_the_next_start(tmp_path):
     path = tmp_path / "cache.json"
-    with running(director=f', list_cache: "{path}"') as daemon:
-        fleet = MemberEnd(daemon, 9001, 9002, label="age=50;boot=1")
-        ProxyEnd(daemon, "edge-1").until(lambda weights: len(weights) == 2)
+    with running_director(director=f', list_cache: "{path}"') as daemon:
+        fleet = MemberClient(daemon, 9001, 9002, label="age=50;boot=1")
+        ProxyClient(daemon, "edge-1").until(lambda weights: len(weights) == 2)
         fleet.quiesce(9002)
-        until(lambda: path.exists() and json.loads(path.read_text())["servers"][1][-1] is True)
+        wait_until(lambda: path.exists() and json.loads(path.read_text())["servers"][1][-1] is True)
     assert not os.path.exists(f"{path}.new")
-    with running(director=f', list_cache: "{path}"') as daemon:
-        proxy = ProxyEnd(daemon, "edge-1", 9002)
+    with running_director(director=f', list_cache: "{path}"') as daemon:
+        proxy = ProxyClient(daemon, "edge-1", 9002)
         proxy.until(lambda weights: weights == {9001: FULL})
-        until(lambda: {server["state"] for server in status(daemon)["servers"]} == {"ready", "draining"})
+        wait_until(
+            lambda: {server["state"] for server in fetch_status(daemon)["servers"]} == {"ready", "draining"}
+        )
 
 
 def test_an_exception_in_the_decision_module_ends_the_director():
@@ -410,6 +412,9 @@
         def step(self, now, events):
             raise RuntimeError("the decision module failed")
 
-    with pytest.raises(AssertionError, match="the decision module failed"), running(module=Raising) as daemon:
-        MemberEnd(daemon, 9001)
+    with (
+        pytest.raises(AssertionError, match="the decision module failed"),
+        running_director(module=Raising) as daemon,
+    ):
+        MemberClient(daemon, 9001)
         assert daemon.ended.wait(10)
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -24,8 +24,8 @@
     decode_director_message,
 )
 from rainpick.simulated_peers.mqtt_client import MqttProxy
-from tests.loopback.harness import KEPT_STREAMS, MemberEnd, ProxyEnd, running, status
-from tests.waiting import until
+from tests.loopback.harness import KEPT_STREAMS, MemberClient, ProxyClient, fetch_status, running_director
+from tests.waiting import wait_until
 
 FULL = 4096
 SECOND_NS = 1_000_000_000
@@ -39,7 +39,7 @@
 
 
 def running_with_mqtt(sections="", **daemon_options):
-    return running(sections, mqtt=True, **daemon_options)
+    return running_director(sections, mqtt=True, **daemon_options)
 
 
 class Proxy(MqttProxy):
@@ -69,16 +69,16 @@
     """Wait until every proxy holds the newest version of its table, compared by digest."""
 
     def digests_match():
-        rows = {row["table"]: row for row in status(daemon)["tables"]}
+        rows = {row["table"]: row for row in fetch_status(daemon)["tables"]}
         for proxy in proxies:
             proxy.read(0.01)
         return all(rows[proxy.follower.table]["digest"] == proxy.follower.digest for proxy in proxies)
 
-    until(digests_match, "the exact table")
+    wait_until(digests_match, "the exact table")
 
 
 def test_a_proxy_applies_a_snapshot_and_deltas_and_acknowledges_them(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9009))
+    fleet = MemberClient(daemon, *range(9001, 9009))
     full_table = dict.fromkeys(range(9001, 9009), FULL)
     proxy = Proxy(daemon, "edge-1", 9001, 7777).until(lambda weights: weights == full_table)
     first = proxy.received_messages()[-1]
@@ -93,19 +93,24 @@
     assert isinstance(last, TableDelta) and last.updated[0].weight == 0
     assert proxy.published[-1].topic == topics.table_topic(0)
     wait_for_exact_tables(daemon, proxy)
-    until(lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "all acknowledgements")
+    wait_until(
+        lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "all acknowledgements"
+    )
 
 
 def test_both_frontends_serve_the_same_table_at_once(daemon):
-    fleet = MemberEnd(daemon, 9001, 9002, 9003)
-    proxies = {"mqtt": Proxy(daemon, "edge-1"), "sasp": ProxyEnd(daemon, "edge-2")}
+    fleet = MemberClient(daemon, 9001, 9002, 9003)
+    proxies = {"mqtt": Proxy(daemon, "edge-1"), "sasp": ProxyClient(daemon, "edge-2")}
     for proxy in proxies.values():
         proxy.until(lambda weights: len(weights) == 3)
     fleet.quiesce(9001)
     for proxy in proxies.values():
         proxy.until(lambda weights: set(weights) == {9002, 9003})
-    assert {proxy["uid"]: proxy["table"] for proxy in status(daemon)["proxies"]} == {"edge-1": 0, "edge-2": 0}
-    newer = ProxyEnd(daemon, "edge-1")  # replaces the proxy's connection over MQTT
+    assert {proxy["uid"]: proxy["table"] for proxy in fetch_status(daemon)["proxies"]} == {
+        "edge-1": 0,
+        "edge-2": 0,
+    }
+    newer = ProxyClient(daemon, "edge-1")  # replaces the proxy's connection over MQTT
     newer.until(lambda weights: set(weights) == {9002, 9003})
     with pytest.raises(OSError):
         while True:
@@ -113,11 +118,11 @@
 
 
 def test_a_reconnecting_proxy_gets_only_the_deltas_since_its_version(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9011))
+    fleet = MemberClient(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 10)
     previous = proxy.follower
     proxy.close()
-    until(lambda: not status(daemon)["proxies"])
+    wait_until(lambda: not fetch_status(daemon)["proxies"])
     fleet.quiesce(9001)
     fleet.quiesce(9002)  # the proxy has missed two changes
     rejoined = Proxy(daemon, "edge-1", previous=previous).until(lambda weights: len(weights) == 8)
@@ -129,13 +134,13 @@
 
 
 def test_a_proxy_with_a_wrong_digest_or_an_old_epoch_gets_a_snapshot(daemon):
-    MemberEnd(daemon, *range(9001, 9011))
+    MemberClient(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 10)
     for change in ({"digest": "0" * 16}, {"epoch": "another"}):
         outdated = TableFollower(proxy.follower.weights)
         vars(outdated).update({**vars(proxy.follower), "weights": {"127.0.0.1:9001": 5}, **change})
         proxy.close()
-        until(lambda: not status(daemon)["proxies"])
+        wait_until(lambda: not fetch_status(daemon)["proxies"])
         proxy = Proxy(daemon, "edge-1", previous=outdated).until(lambda weights: len(weights) == 10)
         assert any(
             isinstance(getattr(message, "table_update", message), TableSnapshot)
@@ -145,7 +150,7 @@
 
 
 def test_a_proxy_reports_a_damaged_delta_and_gets_the_exact_table(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9011))
+    fleet = MemberClient(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 10)
     apply_payload, damaged = proxy.apply_payload, []
 
@@ -158,26 +163,26 @@
     proxy.apply_payload = damage
     fleet.quiesce(9003)
     proxy.until(lambda weights: damaged and 9003 not in weights and len(weights) == 9)
-    assert status(daemon)["subscribers"]["healed"] == 1
+    assert fetch_status(daemon)["subscribers"]["healed"] == 1
     wait_for_exact_tables(daemon, proxy)
 
 
 def test_a_restarted_director_has_a_new_epoch_and_replaces_the_tables_of_the_earlier_one():
     with running_with_mqtt() as first:
-        MemberEnd(first, *range(9001, 9006))
+        MemberClient(first, *range(9001, 9006))
         proxy = Proxy(first, "edge-1").until(lambda weights: len(weights) == 5)
         previous = proxy.follower
         assert previous.version > 0
     with running_with_mqtt() as second:
-        MemberEnd(second, *range(9001, 9005))
+        MemberClient(second, *range(9001, 9005))
         rejoined = Proxy(second, "edge-1", previous=previous).until(lambda weights: len(weights) == 4)
-        assert rejoined.follower.epoch == status(second)["epoch"] != ""
+        assert rejoined.follower.epoch == fetch_status(second)["epoch"] != ""
         wait_for_exact_tables(second, rejoined)
 
 
 @pytest.mark.parametrize("daemon", [('mqtt: {ack_within: "400ms"}', {})], indirect=True)
 def test_a_subscriber_without_acknowledgements_delays_no_other_and_is_disconnected(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9011))
+    fleet = MemberClient(daemon, *range(9001, 9011))
     healthy, silent = Proxy(daemon, "edge-1"), Proxy(daemon, "edge-2")
     for proxy in (healthy, silent):
         proxy.until(lambda weights: len(weights) == 10)
@@ -187,13 +192,13 @@
         fleet.quiesce(port)
         healthy.until(lambda weights, port=port: port not in weights)
         assert time.monotonic() - begin < 1
-    until(lambda: status(daemon)["streams"]["let_go"] == 1)
-    assert [proxy["uid"] for proxy in status(daemon)["proxies"]] == ["edge-1"]
+    wait_until(lambda: fetch_status(daemon)["streams"]["let_go"] == 1)
+    assert [proxy["uid"] for proxy in fetch_status(daemon)["proxies"]] == ["edge-1"]
 
 
 @pytest.mark.parametrize("daemon", [('mqtt: {ack_within: "300ms"}', {})], indirect=True)
 def test_a_subscriber_that_stops_reading_during_a_deploy_gets_the_exact_table_on_reconnection(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9031))
+    fleet = MemberClient(daemon, *range(9001, 9031))
     proxies = [
         Proxy(daemon, f"edge-{number}").until(lambda weights: len(weights) == 30) for number in range(2)
     ]
@@ -201,8 +206,8 @@
         fleet.quiesce(port)
         fleet.deregister(port)
         proxies[0].until(lambda weights, port=port: port not in weights)
-    MemberEnd(daemon, *range(9001, 9011), label="boot=2;age=900")
-    until(lambda: status(daemon)["streams"]["let_go"] == 1)
+    MemberClient(daemon, *range(9001, 9011), label="boot=2;age=900")
+    wait_until(lambda: fetch_status(daemon)["streams"]["let_go"] == 1)
     previous = proxies[1].follower
     with pytest.raises(OSError):
         while True:
@@ -213,12 +218,12 @@
 
 
 def test_a_rollback_does_not_restore_draining_or_lost_servers_and_ends_without_an_available_one(daemon):
-    fleet, lost = MemberEnd(daemon, *range(9001, 9007)), MemberEnd(daemon, *range(9011, 9014))
+    fleet, lost = MemberClient(daemon, *range(9001, 9007)), MemberClient(daemon, *range(9011, 9014))
     proxy = Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 9)
-    first = status(daemon)["tables"][0]["version"]
+    first = fetch_status(daemon)["tables"][0]["version"]
     for port in (9001, 9002, 9003):
         fleet.quiesce(port)
-    MemberEnd(daemon, 9021, label="age=900")
+    MemberClient(daemon, 9021, label="age=900")
     proxy.until(lambda weights: 9021 in weights and 9003 not in weights)
     assert run_tables(daemon, "rollback", "0", "--to", str(first), "--who", "staff", "--why", "x")[0] == 0
     lost.deregister(9011, 9012, 9013)  # lost while the table is pinned
@@ -232,7 +237,7 @@
 
 
 def test_receive_maximum_is_respected_and_waiting_changes_are_sent_as_one_message(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9011))
+    fleet = MemberClient(daemon, *range(9001, 9011))
     proxy = Proxy(daemon, "edge-1", receive_maximum=1)
     proxy.until(lambda weights: len(weights) == 10)
     proxy.acknowledges = False
@@ -241,7 +246,7 @@
     packet_id, count = proxy.published[-1].packet_id, len(proxy.published)
     for port in (9002, 9003, 9004):
         fleet.quiesce(port)
-    until(lambda: status(daemon)["channel"]["blocked"] == 1)
+    wait_until(lambda: fetch_status(daemon)["channel"]["blocked"] == 1)
     proxy.read(0.2)
     assert len(proxy.published) == count
     proxy.acknowledges = True
@@ -252,27 +257,27 @@
 
 @pytest.mark.parametrize("daemon", [("mqtt: {says_per_s: 5}", {})], indirect=True)
 def test_a_client_that_exceeds_the_publish_rate_is_disconnected_and_no_other(daemon):
-    MemberEnd(daemon, 9001)
+    MemberClient(daemon, 9001)
     quiet, flooding = Proxy(daemon, "edge-1").until(lambda weights: weights), Proxy(daemon, "edge-2")
     now = time.time_ns()
     with pytest.raises(OSError):
         for step in range(1000):
             flooding.publish("report", LoadReport(now + step, now + step + 1))
-    assert status(daemon)["subscribers"]["floods"] == 1
+    assert fetch_status(daemon)["subscribers"]["floods"] == 1
     quiet.until(lambda weights: weights)
 
 
 def test_fresh_reports_over_mqtt_count_and_doubled_or_late_ones_do_not(daemon):
-    MemberEnd(daemon, 9001)
+    MemberClient(daemon, 9001)
     proxy, now = Proxy(daemon, "edge-1"), time.time_ns()
-    until(lambda: status(daemon)["phase"] == "deciding")
+    wait_until(lambda: fetch_status(daemon)["phase"] == "deciding")
     counts = {
         "attempts": (payloads.ServerAttempts("127.0.0.1:9001", "answered", 3, 0.2),),
         "requests": (payloads.RouteRequests("lookup", "answered", 3),),
     }
     for end, verdict in ((now, "fresh"), (now, "doubled"), (now - 20 * SECOND_NS, "late")):
         assert proxy.publish("report", LoadReport(end - SECOND_NS, end, **counts)) == codec.ReasonCode.SUCCESS
-        assert status(daemon)["reports"][verdict] == 2
+        assert fetch_status(daemon)["reports"][verdict] == 2
     assert (
         proxy.publish(
             "report",
@@ -292,7 +297,7 @@
     ],
 )
 def test_a_forbidden_or_malformed_message_is_rejected_and_the_connection_stays_open(daemon, name, data, code):
-    MemberEnd(daemon, 9001)
+    MemberClient(daemon, 9001)
     proxy = Proxy(daemon, "edge-1")
     assert proxy.publish(name, data) == code
     proxy.until(lambda weights: weights == {9001: FULL})
@@ -306,7 +311,7 @@
     client.subscribe(topics.assignment_topic("edge-1"))
     assert client.publish("presence", Presence("here")) == codec.ReasonCode.SUCCESS
     assert client.publish("presence", Presence("gone")) == codec.ReasonCode.SUCCESS
-    until(lambda: not status(daemon)["proxies"])
+    wait_until(lambda: not fetch_status(daemon)["proxies"])
     client.close()
 
 
@@ -320,7 +325,7 @@
     ],
 )
 def test_invalid_mqtt_data_closes_only_its_connection(daemon, data):
-    MemberEnd(daemon, 9001)
+    MemberClient(daemon, 9001)
     with socket.create_connection(daemon.mqtt) as sock:
         sock.settimeout(5)
         sock.sendall(data)
@@ -330,7 +335,7 @@
 
 
 def test_an_unmodified_client_follows_a_table_and_acknowledges_it(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9009))
+    fleet = MemberClient(daemon, *range(9001, 9009))
     Proxy(daemon, "edge-1").until(lambda weights: len(weights) == 8)
     follower, updated = TableFollower(), threading.Condition()
     received = []
@@ -355,16 +360,16 @@
         with updated:
             assert updated.wait_for(lambda: len(follower.available_servers()) == 7, 10)
         assert received[0] == ("TableSnapshot", 1, True) and received[1][:2] == ("TableDelta", 1)
-        table = status(daemon)["tables"][0]
-        until(lambda: follower.digest == status(daemon)["tables"][0]["digest"])
-        assert status(daemon)["subscribers"]["observers"] == 1 and table["proxies"] == 1
+        table = fetch_status(daemon)["tables"][0]
+        wait_until(lambda: follower.digest == fetch_status(daemon)["tables"][0]["digest"])
+        assert fetch_status(daemon)["subscribers"]["observers"] == 1 and table["proxies"] == 1
     finally:
         client.disconnect()
         client.loop_stop()
 
 
 def test_a_newer_connection_of_the_same_client_replaces_the_older(daemon):
-    MemberEnd(daemon, 9001)
+    MemberClient(daemon, 9001)
     old = Proxy(daemon, "edge-1").until(lambda weights: weights)
     new = Proxy(daemon, "edge-1").until(lambda weights: weights)
     with pytest.raises(OSError, match="0x8e|closed"):
@@ -380,12 +385,12 @@
 
 
 def test_operators_roll_back_and_release_a_table_with_their_name_and_reason(daemon):
-    fleet = MemberEnd(daemon, *range(9001, 9007))
-    proxy, sasp = Proxy(daemon, "edge-1"), ProxyEnd(daemon, "edge-2")
+    fleet = MemberClient(daemon, *range(9001, 9007))
+    proxy, sasp = Proxy(daemon, "edge-1"), ProxyClient(daemon, "edge-2")
     proxy.until(lambda weights: len(weights) == 6)
-    first = status(daemon)["tables"][0]["version"]
+    first = fetch_status(daemon)["tables"][0]["version"]
     fleet.quiesce(9001)
-    MemberEnd(daemon, 9009, label="age=500")
+    MemberClient(daemon, 9009, label="age=500")
     proxy.until(lambda weights: 9001 not in weights and 9009 in weights)
     code, text = run_tables(daemon, "list", "--json")
     assert code == 0 and json.loads(text)[0]["pinned"] is None
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -17,8 +17,8 @@
 from rainpick.http1.bodies import BodyError, decompress
 from rainpick.http1.client import Client
 from rainpick.otlp.encoding import RouteOutcome, ServerOutcome, encode_report
-from tests.loopback.harness import MemberEnd, ProxyEnd, running, status
-from tests.waiting import until
+from tests.loopback.harness import MemberClient, ProxyClient, fetch_status, running_director
+from tests.waiting import wait_until
 
 CONTENT_TYPE = ("content-type", "application/x-protobuf")
 SECOND_NS = 1_000_000_000
@@ -41,11 +41,11 @@
 
 @pytest.fixture(scope="module")
 def daemon():
-    with running("otlp: {body_most: 20000}") as daemon:
-        MemberEnd(daemon, 9001, 9002)
+    with running_director("otlp: {body_most: 20000}") as daemon:
+        MemberClient(daemon, 9001, 9002)
         for number in range(1, 41):
-            ProxyEnd(daemon, f"edge-{number}")
-        until(lambda: sum(proxy["joined"] for proxy in status(daemon)["proxies"]) == 40)
+            ProxyClient(daemon, f"edge-{number}")
+        wait_until(lambda: sum(proxy["joined"] for proxy in fetch_status(daemon)["proxies"]) == 40)
         yield daemon
 
 
@@ -64,7 +64,7 @@
 
 
 def counts(daemon):
-    return status(daemon)["reports"]
+    return fetch_status(daemon)["reports"]
 
 
 def test_a_report_is_counted_with_and_without_gzip(daemon):
@@ -73,7 +73,7 @@
     code, headers, data = post(daemon, gzip.compress(encode_body()), ("content-encoding", "gzip"))
     assert (code, headers["content-type"], partial_success(data)) == (200, CONTENT_TYPE[1], (0, ""))
     assert counts(daemon)["fresh"] == before + 6
-    until(lambda: counts(daemon)["told"] > 0)
+    wait_until(lambda: counts(daemon)["told"] > 0)
 
 
 def test_a_duplicate_period_is_accepted_and_counted_once(daemon):
@@ -195,7 +195,7 @@
 
 
 def test_a_director_with_a_full_inbox_answers_429_with_retry_after():
-    with running(director=", inbox: 100") as daemon:
+    with running_director(director=", inbox: 100") as daemon:
         released = threading.Event()
         daemon.core.handlers[BlockEventLoop] = lambda message: released.wait(10)
         daemon.core.inbox.post(BlockEventLoop())
@@ -209,7 +209,7 @@
 
 
 def test_the_number_of_connections_is_bounded():
-    with running("otlp: {connections_most: 2}") as daemon:
+    with running_director("otlp: {connections_most: 2}") as daemon:
         socks = [socket.create_connection(daemon.otlp) for _ in range(3)]
         for sock in socks:
             sock.settimeout(5)
--- a/tests/node/director_under_test.py
+++ b/tests/node/director_under_test.py
@@ -10,7 +10,7 @@
 from rainpick.simulated_peers.ports import free_ports
 from tests.node.platform_stubs import Peer, StubDiscovery, configuration_tree, entry
 from tests.node.stub_relay import StubRelay
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 class DirectorUnderTest:
@@ -38,7 +38,7 @@
                 stderr=log,
                 env=os.environ | {"PROXY_CONFIG": str(self.path)},
             )
-        until(self.responds_to_heartbeat, "a heartbeat")
+        wait_until(self.responds_to_heartbeat, "a heartbeat")
 
     def write_configuration(self, text=None):
         """Write ``text`` as the configuration file; by default a valid one with the stubs' addresses."""
--- a/tests/node/test_collector_listener.py
+++ b/tests/node/test_collector_listener.py
@@ -13,7 +13,7 @@
 from rainpick.node.frame_codec import HEARTBEAT_REPLY, encode_frame
 from rainpick.node.mailbox import Mailbox
 from tests.node.platform_stubs import VOCABULARY, Peer
-from tests.waiting import until
+from tests.waiting import wait_until
 
 CLOSE_LIMIT_S = 3.0  # the platform's limit for closing or rejecting a peer that does not join
 
@@ -93,7 +93,7 @@
             peer.send(*([data] if isinstance(data, bytes) else data))
         peer.read_all()
         assert time.monotonic() - begin_s < CLOSE_LIMIT_S
-        until(lambda: not listener.pending, "the removal of the peer")
+        wait_until(lambda: not listener.pending, "the removal of the peer")
 
 
 def test_many_silent_peers_do_not_prevent_a_collector_from_joining():
@@ -101,14 +101,14 @@
     with running_listener(sockets=64) as (listener, mailbox):
         silent_peers = [Peer(listener.address) for _ in range(200)]
         collector = Peer(listener.address).send({"t": "telemetry", "locality": "b"}, server_report())
-        until(lambda: mailbox.reports, "the report")
+        wait_until(lambda: mailbox.reports, "the report")
         assert listener.status()["strangers"] <= 16
         begin_s = time.monotonic()
         for peer in silent_peers:
             peer.read_all()
         assert time.monotonic() - begin_s < CLOSE_LIMIT_S
         collector.send(server_report())
-        until(lambda: len(mailbox.reports) == 2, "the second report")
+        wait_until(lambda: len(mailbox.reports) == 2, "the second report")
 
 
 def test_only_the_newest_collectors_of_a_zone_stay_connected():
@@ -117,7 +117,9 @@
         peers = []
         for number in range(1, 8):
             peers.append(Peer(listener.address).send({"t": "telemetry", "locality": "a"}, server_report()))
-            until(lambda number=number: len(mailbox.reports) == number, "the report of the new collector")
+            wait_until(
+                lambda number=number: len(mailbox.reports) == number, "the report of the new collector"
+            )
         assert len(listener.collectors) == collector_listener.COLLECTOR_LIMIT
         assert peers[0].read_all() == b"", "nothing is written to a collector"
 
@@ -130,7 +132,7 @@
             deadline_s = time.monotonic() + 10
             while time.monotonic() < deadline_s:
                 non_reading_peer.send(*[{"t": "hb"}] * 1000)
-        until(lambda: not listener.collectors, "the disconnection of the peer")
+        wait_until(lambda: not listener.collectors, "the disconnection of the peer")
         assert Peer(listener.address).send({"t": "hb"}).read(len(HEARTBEAT_REPLY)) == HEARTBEAT_REPLY
 
 
@@ -139,11 +141,11 @@
         peer = Peer(listener.address).send(
             {"t": "telemetry", "locality": "a"}, server_report() | {"total": -1}, server_report()
         )
-        until(lambda: mailbox.reports, "the valid report")
+        wait_until(lambda: mailbox.reports, "the valid report")
         assert listener.status()["malformed"] == 1 and len(mailbox.reports) == 1
         peer.send(b"\x99" * 64)
         assert peer.read_all() == b""
-        until(lambda: not listener.collectors, "the disconnection of the collector")
+        wait_until(lambda: not listener.collectors, "the disconnection of the collector")
 
 
 def test_a_thread_that_cannot_be_started_affects_only_its_peer(monkeypatch):
@@ -193,6 +195,6 @@
     listener.thread.start()
     assert Peer(listener.address).read_all() == b"", "the first peer is closed"
     second = Peer(listener.address)
-    until(lambda: len(accepted) == 2, "the next peer")
+    wait_until(lambda: len(accepted) == 2, "the next peer")
     second.close()
     listener.close()
--- a/tests/node/test_collector_listener_races.py
+++ b/tests/node/test_collector_listener_races.py
@@ -8,7 +8,7 @@
 from rainpick.node.frame_codec import FrameReader
 from rainpick.node.mailbox import Mailbox
 from tests.node.platform_stubs import VOCABULARY, Peer
-from tests.waiting import WAIT_S, until
+from tests.waiting import WAIT_S, wait_until
 
 
 class PausedSocket:
@@ -40,7 +40,7 @@
     stream.close()
     assert server_socket.fileno() >= 0, "the reading thread still uses it"
     paused.resumed.set()
-    until(lambda: server_socket.fileno() < 0, "the close of the descriptor")
+    wait_until(lambda: server_socket.fileno() < 0, "the close of the descriptor")
     assert len(messages) == 1 and not stream.reading
     client_socket.close()
 
@@ -73,7 +73,7 @@
     """Connect a peer that sends nothing; return the listener's stream for it."""
     peers.append(Peer(listener.address))
     name = "%s:%d" % peers[-1].sock.getsockname()
-    streams = until(
+    streams = wait_until(
         lambda: [stream for stream in list(listener.pending) if stream.peer == name], "the new peer"
     )
     return streams[0]
@@ -104,7 +104,7 @@
     first = connect_silent_peer(listener, peers)
     listener.lock.on_release = lambda: join_in_thread(listener, first, joined)
     connect_silent_peer(listener, peers)
-    until(
+    wait_until(
         lambda: joined and (first.closed or first in listener.collectors),
         "the join or close of the first peer",
     )
--- a/tests/node/test_commit_client.py
+++ b/tests/node/test_commit_client.py
@@ -10,7 +10,7 @@
 from rainpick.node.commit_client import CommitClient
 from tests.node.platform_stubs import VOCABULARY
 from tests.node.stub_relay import StubRelay, cleared_tables
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 def start_client(relay):
@@ -47,10 +47,10 @@
     relay.responses = [response]
     client = start_client(relay)
     client.send(clear_tables(1))
-    until(lambda: relay.calls, "the first attempt")
+    wait_until(lambda: relay.calls, "the first attempt")
     for table in (2, 3):
         client.send(clear_tables(table))
-    until(lambda: cleared_tables(relay)[-1:] == [3], "the last command")
+    wait_until(lambda: cleared_tables(relay)[-1:] == [3], "the last command")
     assert cleared_tables(relay) == accepted
 
 
@@ -59,9 +59,9 @@
     relay.responses = [2]  # the request and table 1 are accepted, table 2 is rejected
     client = start_client(relay)
     client.send(clear_tables(1, 2, 3, nonce=7))
-    until(lambda: cleared_tables(relay)[-1:] == [3], "the rest")
+    wait_until(lambda: cleared_tables(relay)[-1:] == [3], "the rest")
     client.send(clear_tables(4))
-    until(lambda: cleared_tables(relay)[-1:] == [4], "the next call")
+    wait_until(lambda: cleared_tables(relay)[-1:] == [4], "the next call")
     assert cleared_tables(relay) == [1, 3, 4]
     assert [command["stamp"] for command in relay.commands("mark")] == [7, 7]
     assert client.counts["refused"] == 1
@@ -71,27 +71,27 @@
     relay.responses = ["syntax"] * commit_client.REJECTION_LIMIT
     client = start_client(relay)
     client.send(clear_tables(1))
-    until(lambda: not relay.responses, "the last rejection")
+    wait_until(lambda: not relay.responses, "the last rejection")
     client.send(clear_tables(2))
-    until(lambda: cleared_tables(relay) == [2], "the next call")
+    wait_until(lambda: cleared_tables(relay) == [2], "the next call")
 
 
 def test_a_call_is_retried_without_limit_while_the_relay_is_busy(relay):
     relay.responses = ["busy"] * (3 * commit_client.REJECTION_LIMIT)
     client = start_client(relay)
     client.send(clear_tables(1))
-    until(lambda: cleared_tables(relay) == [1], "the call")
+    wait_until(lambda: cleared_tables(relay) == [1], "the call")
 
 
 def test_a_connection_closed_as_idle_is_detected_before_a_call_is_sent_into_it(relay):
     """Guards against an unconfirmed call: one sent on a closed connection never arrives."""
     client = start_client(relay)
     client.send(clear_tables(1))
-    until(lambda: cleared_tables(relay) == [1] and client.counts["calls"], "the first call")
+    wait_until(lambda: cleared_tables(relay) == [1] and client.counts["calls"], "the first call")
     relay.drop_connections()
-    until(lambda: not relay.connections, "the end of the connection")
+    wait_until(lambda: not relay.connections, "the end of the connection")
     client.send(clear_tables(2))
-    until(lambda: cleared_tables(relay) == [1, 2], "the second call")
+    wait_until(lambda: cleared_tables(relay) == [1, 2], "the second call")
     assert client.counts["again"] == 0 and client.counts["dials"] == 2
 
 
@@ -100,7 +100,7 @@
     monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     client = start_client(relay)
     client.send(clear_tables(1))
-    until(lambda: [commands for _, commands in relay.calls].count([]) >= 3, "calls without commands")
+    wait_until(lambda: [commands for _, commands in relay.calls].count([]) >= 3, "calls without commands")
     assert client.counts["dials"] == 1 and cleared_tables(relay) == [1]
 
 
@@ -108,10 +108,10 @@
     other = StubRelay()
     client = start_client(relay)
     client.send(clear_tables(1))
-    until(lambda: cleared_tables(relay) == [1], "the first call")
+    wait_until(lambda: cleared_tables(relay) == [1], "the first call")
     client.set_address(other.address)
     client.send(clear_tables(2))
-    until(lambda: cleared_tables(other) == [2], "the second call")
+    wait_until(lambda: cleared_tables(other) == [2], "the second call")
     assert cleared_tables(relay) == [1]
     other.close()
 
@@ -124,9 +124,9 @@
     client.send(clear_tables(1, nonce=5))
     client.send(clear_tables(2, nonce=6))
     threading.Thread(target=client.run, daemon=True).start()
-    until(lambda: not client.reachable, "a failed attempt")
+    wait_until(lambda: not client.reachable, "a failed attempt")
     other = StubRelay()
     client.set_address(other.address)
-    until(lambda: cleared_tables(other) == [1, 2], "both calls")
+    wait_until(lambda: cleared_tables(other) == [1, 2], "both calls")
     assert len(other.calls) == 1 and notifications == [MergedNonces(6, (5,))]
     other.close()
--- a/tests/node/test_commit_client_races.py
+++ b/tests/node/test_commit_client_races.py
@@ -10,7 +10,7 @@
 from rainpick.node.commit_client import CommitClient
 from tests.node.platform_stubs import VOCABULARY
 from tests.node.stub_relay import StubRelay, cleared_tables
-from tests.waiting import WAIT_S, until
+from tests.waiting import WAIT_S, wait_until
 
 
 def clear_tables(*tables):
@@ -28,20 +28,20 @@
     """The call is sent on a closed connection after the check: it is unconfirmed and repeated in order."""
     client = start_client(relay.address)
     client.send(clear_tables(1))
-    until(lambda: client.counts["calls"] == 1, "the first call")
+    wait_until(lambda: client.counts["calls"] == 1, "the first call")
     check = client.connection.has_unexpected_input
 
     def close_after_check():
         client.connection.has_unexpected_input = check
         assert not check()
         relay.drop_connections()
-        until(lambda: not relay.connections, "the end of the connection")
+        wait_until(lambda: not relay.connections, "the end of the connection")
         return False
 
     client.connection.has_unexpected_input = close_after_check
     client.send(clear_tables(2))
     client.send(clear_tables(3))
-    until(lambda: cleared_tables(relay) == [1, 2, 3], "all calls")
+    wait_until(lambda: cleared_tables(relay) == [1, 2, 3], "all calls")
     assert client.counts["again"] == 1
 
 
@@ -52,7 +52,7 @@
     """
     client = start_client(relay.address)
     client.send(clear_tables(1))
-    until(lambda: client.counts["calls"] == 1, "a connection")
+    wait_until(lambda: client.counts["calls"] == 1, "a connection")
     # The deadline has passed by the time the call is sent.
     monkeypatch.setattr(commit_connection, "RESPONSE_TIMEOUT_S", 0.0)
 
@@ -72,7 +72,7 @@
 
     client.connection.sock = LateSocket(client.connection.sock)
     client.send(clear_tables(2))
-    until(lambda: client.counts["calls"] == 2, "the second call")
+    wait_until(lambda: client.counts["calls"] == 2, "the second call")
     assert cleared_tables(relay) == [1, 2] and client.counts["again"] == 0
 
 
@@ -81,17 +81,17 @@
     monkeypatch.setattr(commit_client, "KEEP_ALIVE_S", 0.02)
     client = start_client(relay.address)
     client.send(clear_tables(1))
-    until(lambda: client.counts["calls"] == 1, "a connection")
+    wait_until(lambda: client.counts["calls"] == 1, "a connection")
     relay.default_response = lambda commands: "accept" if commands else "syntax"
-    until(
+    wait_until(
         lambda: [response for response, _ in relay.calls].count("syntax") > commit_client.REJECTION_LIMIT,
         "rejections",
     )
     relay.responses = ["syntax"]
-    until(lambda: not relay.responses, "another rejection")
+    wait_until(lambda: not relay.responses, "another rejection")
     relay.responses = ["syntax"] * (commit_client.REJECTION_LIMIT - 1)
     client.send(clear_tables(2))
-    until(lambda: cleared_tables(relay) == [1, 2], "the second call")
+    wait_until(lambda: cleared_tables(relay) == [1, 2], "the second call")
 
 
 def test_only_the_command_that_causes_the_rejection_of_a_whole_call_is_skipped(relay):
@@ -102,7 +102,7 @@
     client = start_client(relay.address)
     client.send(clear_tables(*range(1, 9)))
     client.send(clear_tables(9))
-    until(lambda: cleared_tables(relay)[-1:] == [9], "the next call")
+    wait_until(lambda: cleared_tables(relay)[-1:] == [9], "the next call")
     assert cleared_tables(relay) == [1, 2, 3, 4, 6, 7, 8, 9]
 
 
@@ -112,7 +112,7 @@
     relay.responses = ["no answer, silent", "busy"]
     client = start_client(relay.address, notifications.append)
     client.send(commit_call([model.ClearTable(1), model.RequestAcknowledgement(8, False)]))
-    until(lambda: cleared_tables(relay) == [1, 1] and client.counts["calls"] == 1, "the call, twice")
+    wait_until(lambda: cleared_tables(relay) == [1, 1] and client.counts["calls"] == 1, "the call, twice")
     assert notifications == [UnconfirmedCall(8)], "a rejected call was not executed"
 
 
@@ -124,13 +124,13 @@
         client.send(
             commit_call([model.SetWeight(1, "s-1", float(count)), model.SetWithdrawn("s-2", bool(count % 2))])
         )
-    until(
+    wait_until(
         lambda: client.queue.empty() and sum(len(call.commands) for call in client.waiting) == 2,
         "only the newest commands",
     )
     other = StubRelay()
     client.set_address(other.address)
-    until(lambda: other.accepted and other.commands("share"), "the newest commands")
+    wait_until(lambda: other.accepted and other.commands("share"), "the newest commands")
     assert [command["w"] for command in other.commands("share")] == [499.0]
     assert len(other.commands("withdraw")) == 1
     other.close()
@@ -141,7 +141,7 @@
     relay.responses = ["not read, silent"]
     client = start_client(relay.address)
     client.send(clear_tables(1))
-    until(lambda: relay.calls, "a call without a response")
+    wait_until(lambda: relay.calls, "a call without a response")
     client.send(clear_tables(2))
     client.flush(WAIT_S)
     assert cleared_tables(relay) == [1, 2]
--- a/tests/node/test_discovery_watch.py
+++ b/tests/node/test_discovery_watch.py
@@ -8,16 +8,16 @@
 from rainpick.http1.messages import Response
 from rainpick.node import discovery_watch
 from tests.node.platform_stubs import StubDiscovery, endpoint_states, entry, start_watch
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 def test_the_full_list_is_published_first_and_then_changes(discovery):
     _, responses = start_watch(discovery)
-    until(lambda: responses, "the list")
+    wait_until(lambda: responses, "the list")
     discovery.change(entry(1, "Terminating"))
-    until(lambda: len(responses) == 2, "the first change")
+    wait_until(lambda: len(responses) == 2, "the first change")
     discovery.change(entry(1, "Gone"), entry(3, started_ms=5))
-    until(lambda: len(responses) == 3, "the second change")
+    wait_until(lambda: len(responses) == 3, "the second change")
     assert [response.full for response in responses] == [True, False, False]
     assert endpoint_states(responses) == [
         {"s-0001": model.EndpointState.READY, "s-0002": model.EndpointState.READY},
@@ -35,7 +35,7 @@
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 50)
     watch, responses = start_watch(discovery)
     begin_s = time.monotonic()
-    until(lambda: watch.responses == 11, "ten polls")
+    wait_until(lambda: watch.responses == 11, "ten polls")
     assert time.monotonic() - begin_s < 10 * 0.2 and len(responses) == 1
 
 
@@ -52,7 +52,7 @@
 def test_an_unusable_answer_is_requested_again(discovery, unusable):
     discovery.forced_responses = [unusable, unusable]
     watch, responses = start_watch(discovery)
-    until(lambda: responses, "the list")
+    wait_until(lambda: responses, "the list")
     assert watch.failures == 2 and len(endpoint_states(responses)[0]) == 2
 
 
@@ -61,11 +61,11 @@
     monkeypatch.setattr(discovery_watch, "HOLD_MS", 100)
     monkeypatch.setattr(discovery_watch, "POLL_TIMEOUT_MARGIN_S", 0.2)
     watch, responses = start_watch(discovery)
-    until(lambda: responses, "the list")
+    wait_until(lambda: responses, "the list")
     with discovery.changed:  # blocks all responses
-        until(lambda: watch.failures, "the timeout of the poll")
+        wait_until(lambda: watch.failures, "the timeout of the poll")
     discovery.change(entry(1, "Terminating"))
-    until(lambda: len(responses) == 2, "the change")
+    wait_until(lambda: len(responses) == 2, "the change")
 
 
 def test_a_change_of_address_interrupts_a_poll(discovery, monkeypatch):
@@ -73,9 +73,9 @@
     other = StubDiscovery(entry(1), entry(2))
     other.change(entry(2, "Terminating"))
     watch, responses = start_watch(discovery)
-    until(lambda: responses and len(discovery.requests) == 2, "a held poll")
+    wait_until(lambda: responses and len(discovery.requests) == 2, "a held poll")
     watch.set_address(other.address)
-    until(lambda: len(responses) == 2, "the list at the new address")
+    wait_until(lambda: len(responses) == 2, "the list at the new address")
     assert responses[1].full and watch.failures == 1
     assert endpoint_states(responses)[1] == {
         "s-0001": model.EndpointState.READY,
--- a/tests/node/test_discovery_watch_races.py
+++ b/tests/node/test_discovery_watch_races.py
@@ -10,7 +10,7 @@
 from rainpick.node import discovery_watch
 from rainpick.node.discovery_watch import DiscoveryWatch
 from tests.node.platform_stubs import VOCABULARY, StubDiscovery, endpoint_states, entry, start_watch
-from tests.waiting import WAIT_S, until
+from tests.waiting import WAIT_S, wait_until
 
 
 def test_a_change_of_address_while_connecting_to_the_old_one_sends_no_request_there(discovery, monkeypatch):
@@ -32,7 +32,7 @@
     assert connecting.wait(WAIT_S)
     watch.set_address(other.address)
     resumed.set()
-    until(lambda: responses, "the list")
+    wait_until(lambda: responses, "the list")
     assert not discovery.requests
     assert endpoint_states(responses) == [{"s-0003": model.EndpointState.READY}]
     other.close()
@@ -44,11 +44,11 @@
     discovery.versions += [[]] * 50
     other = StubDiscovery(entry(3))
     watch, responses = start_watch(discovery)
-    until(lambda: responses, "the list")
+    wait_until(lambda: responses, "the list")
     watch.set_address(other.address)
-    until(lambda: len(responses) == 2, "the list at the new address")
+    wait_until(lambda: len(responses) == 2, "the list at the new address")
     other.change(entry(3, "Terminating"))
-    until(lambda: len(responses) == 3, "a change at the new address")
+    wait_until(lambda: len(responses) == 3, "a change at the new address")
     assert endpoint_states(responses)[1:] == [
         {"s-0003": model.EndpointState.READY},
         {"s-0003": model.EndpointState.DRAINING},
@@ -86,7 +86,7 @@
 
     watch = ChangingWatch(discovery.address, VOCABULARY, publish)
     threading.Thread(target=watch.run, daemon=True).start()
-    until(lambda: other.requests, "a request to the new address")
+    wait_until(lambda: other.requests, "a request to the new address")
     assert other.requests[0] == "/catalog/members"
     other.close()
 
@@ -94,12 +94,12 @@
 def test_an_outdated_list_that_arrives_late_undoes_no_change(discovery):
     """Guards against an outdated full list that shows a draining server as ready."""
     _, responses = start_watch(discovery)
-    until(lambda: responses, "the list")
+    wait_until(lambda: responses, "the list")
     old = discovery.response(True, discovery.versions[0])
     with discovery.changed:
         discovery.forced_responses = [old, old]
     discovery.change(entry(1, "Terminating"))
-    until(
+    wait_until(
         lambda: (
             not discovery.forced_responses
             and endpoint_states(responses)[-1]["s-0001"] == model.EndpointState.DRAINING
@@ -107,7 +107,7 @@
         "the drain",
     )
     discovery.change(entry(2, "Terminating"))
-    until(
+    wait_until(
         lambda: endpoint_states(responses)[-1].get("s-0002") == model.EndpointState.DRAINING, "the next drain"
     )
     states = [states["s-0001"] for states in endpoint_states(responses) if "s-0001" in states]
@@ -118,7 +118,7 @@
 def test_an_invalid_change_is_recovered_from_the_full_list(discovery):
     """Guards against losing a drain in an invalid entry, because discovery sends each change only once."""
     _, responses = start_watch(discovery)
-    until(lambda: responses and len(discovery.requests) > 1, "a poll for changes")
+    wait_until(lambda: responses and len(discovery.requests) > 1, "a poll for changes")
     response = discovery.response
 
     def spoil_change(full, entries):
@@ -129,7 +129,9 @@
 
     discovery.response = spoil_change
     discovery.change(entry(1, "Terminating"))
-    until(lambda: endpoint_states(responses)[-1].get("s-0001") == model.EndpointState.DRAINING, "the drain")
+    wait_until(
+        lambda: endpoint_states(responses)[-1].get("s-0001") == model.EndpointState.DRAINING, "the drain"
+    )
 
 
 def test_an_aborted_client_makes_no_more_requests(discovery):
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -10,28 +10,28 @@
 
 from tests.node.director_under_test import DirectorUnderTest, bound_proxies
 from tests.node.platform_stubs import Peer, configuration_tree, entry
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 def test_a_proxy_that_joins_is_bound_and_a_draining_server_withdrawn(director):
     director.relay.attach(3)
-    until(lambda: bound_proxies(director.relay) == [3], "the binding of the proxy")
+    wait_until(lambda: bound_proxies(director.relay) == [3], "the binding of the proxy")
     expected = {entry(number)["instanceId"] for number in range(6)}  # two of them are in the cached list
-    until(
+    wait_until(
         lambda: (
             {command["endpoint"] for command in director.relay.commands("share") if command["w"]} == expected
         ),
         "all servers in the proxy's table",
     )
     director.discovery.change(entry(2, "Terminating"))
-    until(lambda: director.withdrawn_servers() == {"s-0002"}, "the withdrawal")
+    wait_until(lambda: director.withdrawn_servers() == {"s-0002"}, "the withdrawal")
 
 
 def test_heartbeats_get_replies_while_discovery_and_relay_are_unreachable(director):
-    until(lambda: director.relay.subscribers, "a subscription")
+    wait_until(lambda: director.relay.subscribers, "a subscription")
     director.discovery.close()
     director.relay.close()
-    until(lambda: director.has_logged("relay notifications unreachable"), "the loss of the relay")
+    wait_until(lambda: director.has_logged("relay notifications unreachable"), "the loss of the relay")
     for _ in range(20):
         assert director.responds_to_heartbeat()
 
@@ -43,15 +43,15 @@
     """
     for proxy in range(6):  # all proxies of the configuration
         director.relay.attach(proxy)
-    until(lambda: bound_proxies(director.relay) == list(range(6)), "the bindings of all proxies")
+    wait_until(lambda: bound_proxies(director.relay) == list(range(6)), "the bindings of all proxies")
     collector = Peer(director.listen).send({"t": "telemetry", "locality": "a"})
     director.process.kill()
     director.process.wait()
     director.discovery.close()  # the cached list is the only source of endpoints
-    until(lambda: not director.relay.connections, "the end of the killed director's connections")
+    wait_until(lambda: not director.relay.connections, "the end of the killed director's connections")
     director.relay.accepted.clear()
     director.start()
-    until(lambda: bound_proxies(director.relay) == list(range(6)), "new bindings of all proxies")
+    wait_until(lambda: bound_proxies(director.relay) == list(range(6)), "new bindings of all proxies")
     assert {command["endpoint"] for command in director.relay.commands("share")} == {"s-0000", "s-0001"}
     collector.close()
 
@@ -88,7 +88,7 @@
     )
     director.start()
     director.relay.attach(3)
-    until(
+    wait_until(
         lambda: bound_proxies(director.relay) == [3] and len(director.relay.commands("share")) == 6,
         "the binding and table of the proxy",
     )
@@ -113,16 +113,16 @@
     director = DirectorUnderTest(tmp_path, sys.executable, "-c", STEPPED_CLOCK_PROGRAM)
     try:
         director.relay.attach(1)
-        until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
+        wait_until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
         before_ms = time.time_ns() // 1_000_000
         (tmp_path / "next").write_text(str(step_s * 10**9))
         (tmp_path / "next").rename(shift)
-        until(lambda: director.has_logged("wall clock stepped"), "the detection of the step")
+        wait_until(lambda: director.has_logged("wall clock stepped"), "the detection of the step")
         after_ms = time.time_ns() // 1_000_000 + step_s * 1000
         for number, started_ms in ((6, before_ms), (7, after_ms)):
             director.discovery.change(entry(number, started_ms=started_ms))
             name = f"s-{number:04x}"
-            weights = until(
+            weights = wait_until(
                 lambda name=name: [
                     command["w"]
                     for command in director.relay.commands("share")
--- a/tests/node/test_process_signals.py
+++ b/tests/node/test_process_signals.py
@@ -12,7 +12,7 @@
 from tests.node.director_under_test import bound_proxies
 from tests.node.platform_stubs import Peer, StubDiscovery, configuration_tree, entry
 from tests.node.stub_relay import StubRelay
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 def test_sigterm_ends_the_process_in_time_with_status_0(director):
@@ -46,11 +46,11 @@
     director.process.kill()
     director.process.wait()
     director.start(sys.executable, "-c", SIGHUP_AT_EVERY_LINE_PROGRAM)
-    until(lambda: director.has_logged("configuration reloaded"), "the first reload")
+    wait_until(lambda: director.has_logged("configuration reloaded"), "the first reload")
     old, director.discovery = director.discovery, StubDiscovery(*map(entry, range(6)))
     director.write_configuration()
     director.process.send_signal(signal.SIGHUP)
-    until(lambda: director.discovery.requests, "a request to the new address")
+    wait_until(lambda: director.discovery.requests, "a request to the new address")
     old.close()
     assert Peer(director.listen).read_all() == b"", "a peer that does not join is closed"
     director.process.terminate()
@@ -84,7 +84,7 @@
     director.process.kill()
     director.process.wait()
     director.start(sys.executable, "-c", SIGNAL_DURING_IMPORT_PROGRAM % "SIGHUP")
-    until(lambda: director.has_logged("configuration reloaded"), "the reload")
+    wait_until(lambda: director.has_logged("configuration reloaded"), "the reload")
     assert director.process.poll() is None
 
 
@@ -101,11 +101,11 @@
 
 def test_sigterm_while_the_relay_is_unreachable_ends_the_process_in_time_with_status_0(director):
     director.relay.attach(1)
-    until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
+    wait_until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
     director.relay.close()
-    until(lambda: director.has_logged("relay notifications unreachable"), "the loss of the relay")
+    wait_until(lambda: director.has_logged("relay notifications unreachable"), "the loss of the relay")
     director.discovery.change(entry(2, "Terminating"))
-    until(lambda: director.has_logged("relay unreachable"), "a withdrawal that cannot be sent")
+    wait_until(lambda: director.has_logged("relay unreachable"), "a withdrawal that cannot be sent")
     begin_s = time.monotonic()
     director.process.terminate()
     assert director.process.wait(5) == 0 and time.monotonic() - begin_s < 0.7
@@ -114,18 +114,20 @@
 def test_sighup_applies_new_addresses_more_than_once_under_load(director):
     for proxy in range(3):
         director.relay.attach(proxy)
-        until(lambda proxy=proxy: proxy in bound_proxies(director.relay), "the binding of the proxy")
+        wait_until(lambda proxy=proxy: proxy in bound_proxies(director.relay), "the binding of the proxy")
         old = director.discovery, director.relay
         director.discovery, director.relay = StubDiscovery(*map(entry, range(6))), StubRelay()
         director.discovery.versions *= proxy + 3
         director.relay.joined = dict(old[1].joined)
         director.write_configuration()
         director.process.send_signal(signal.SIGHUP)
-        until(lambda: director.relay.subscribers and director.discovery.requests, "use of the new addresses")
+        wait_until(
+            lambda: director.relay.subscribers and director.discovery.requests, "use of the new addresses"
+        )
         for stub in old:
             stub.close()
     director.discovery.change(entry(4, "Terminating"))
-    until(lambda: director.withdrawn_servers() == {"s-0004"}, "the withdrawal at the new addresses")
+    wait_until(lambda: director.withdrawn_servers() == {"s-0004"}, "the withdrawal at the new addresses")
     assert director.process.poll() is None
 
 
@@ -133,9 +135,9 @@
 def test_an_unusable_configuration_does_not_replace_the_old_one(director, text):
     director.write_configuration(text)
     director.process.send_signal(signal.SIGHUP)
-    until(lambda: director.has_logged("configuration rejected"), "the error")
+    wait_until(lambda: director.has_logged("configuration rejected"), "the error")
     director.relay.attach(1)
-    until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
+    wait_until(lambda: bound_proxies(director.relay) == [1], "the binding of the proxy")
 
 
 def test_a_file_that_is_being_replaced_is_read_again(director):
@@ -144,10 +146,10 @@
     old, director.discovery = director.discovery, StubDiscovery(*map(entry, range(6)))
     director.write_configuration("{half")
     director.process.send_signal(signal.SIGHUP)
-    until(lambda: director.has_logged("configuration rejected"), "the error")
+    wait_until(lambda: director.has_logged("configuration rejected"), "the error")
     director.write_configuration()
     assert director.path.read_text() != former
-    until(lambda: director.discovery.requests, "a request to the new address")
+    wait_until(lambda: director.discovery.requests, "a request to the new address")
     old.close()
 
 
@@ -158,11 +160,13 @@
         director.discovery, director.relay = StubDiscovery(*map(entry, range(6))), StubRelay()
         director.write_configuration()
         director.process.send_signal(signal.SIGHUP)
-    until(lambda: director.relay.subscribers and director.discovery.requests, "use of the last addresses")
+    wait_until(
+        lambda: director.relay.subscribers and director.discovery.requests, "use of the last addresses"
+    )
     for stub in others:
         stub.close()
     director.relay.attach(2)
-    until(lambda: 2 in bound_proxies(director.relay), "the binding of the proxy")
+    wait_until(lambda: 2 in bound_proxies(director.relay), "the binding of the proxy")
 
 
 def test_the_configuration_of_another_director_is_rejected(director):
@@ -170,8 +174,8 @@
     tree = configuration_tree(director.listen, other.address, director.relay.address)
     director.write_configuration(json.dumps(tree | {"name": "n1"}))
     director.process.send_signal(signal.SIGHUP)
-    until(lambda: director.has_logged("configuration rejected"), "the error")
+    wait_until(lambda: director.has_logged("configuration rejected"), "the error")
     director.write_configuration(json.dumps(tree | {"settings": tree["settings"] | {"roundUs": 2000}}))
-    until(lambda: other.requests, "a request after its own configuration is written")
+    wait_until(lambda: other.requests, "a request after its own configuration is written")
     assert director.differing_settings("settings need a restart") == [["round_us"]]
     other.close()
--- a/tests/node/test_relay_subscription.py
+++ b/tests/node/test_relay_subscription.py
@@ -10,7 +10,7 @@
 from rainpick.node.relay_subscription import RelaySubscription
 from tests.node.platform_stubs import VOCABULARY
 from tests.node.stub_relay import StubRelay
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 @contextlib.contextmanager
@@ -46,7 +46,7 @@
 
 
 def await_ping(notifications):
-    until(lambda: StreamEvent(1, Ping()) in notifications, "a ping")
+    wait_until(lambda: StreamEvent(1, Ping()) in notifications, "a ping")
 
 
 def test_a_stream_begins_with_the_joined_proxies(relay):
@@ -58,7 +58,7 @@
         relay.notify("done", node=1, nonce=5, latency=2.5)
         relay.notify("done", node=99, nonce=5, latency=2.5)  # unknown proxy: dropped
         relay.notify("detach", node=2)
-        until(lambda: StreamEvent(1, model.ProxyLeft(2)) in notifications, "the last notification")
+        wait_until(lambda: StreamEvent(1, model.ProxyLeft(2)) in notifications, "the last notification")
         assert events(notifications, 1) == [
             model.ProxyJoined(1, True, 10.0, 0),
             model.ProxyLeft(1),
@@ -72,12 +72,12 @@
     with subscribed(relay) as (subscription, notifications):
         await_ping(notifications)
         relay.silent = True
-        until(lambda: subscription.streams == 2, "a second stream after silence")
+        wait_until(lambda: subscription.streams == 2, "a second stream after silence")
         relay.silent = False
         relay.drop_connections()
-        until(lambda: subscription.streams == 3, "a third stream after a disconnection")
+        wait_until(lambda: subscription.streams == 3, "a third stream after a disconnection")
         relay.subscribers[-1].sendall(b"\x00\x01nonsense\n")
-        until(lambda: subscription.streams == 4, "a fourth stream after garbage")
+        wait_until(lambda: subscription.streams == 4, "a fourth stream after garbage")
         assert stream_changes(notifications) == [
             (StreamOpened, 1),
             (StreamClosed, 1),
@@ -95,14 +95,16 @@
     with subscribed(relay) as (subscription, notifications):
         await_ping(notifications)
         subscription.set_address(other.address)
-        until(lambda: events(notifications, 2) == [model.ProxyJoined(2, True, 10.0, 0)], "the listing there")
+        wait_until(
+            lambda: events(notifications, 2) == [model.ProxyJoined(2, True, 10.0, 0)], "the listing there"
+        )
         relay.notify("done", node=2, nonce=5, latency=2.5)
-        until(
+        wait_until(
             lambda: events(notifications, 1) == [model.Acknowledged(2, 5, 2500)],
             "the acknowledgement from the old address",
         )
         relay.close()
-        until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old stream")
+        wait_until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old stream")
         assert stream_changes(notifications) == [(StreamOpened, 1), (StreamOpened, 2), (StreamClosed, 1)]
         assert subscription.streams == 2
     other.close()
@@ -114,7 +116,7 @@
     with subscribed(relay) as (subscription, notifications):
         await_ping(notifications)
         subscription.set_address(other.address)
-        until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old stream")
+        wait_until(lambda: (StreamClosed, 1) in stream_changes(notifications), "the end of the old stream")
         assert subscription.streams == 2
     other.close()
 
@@ -133,7 +135,7 @@
     notifications = []
     subscription = RelaySubscription(relay.address, VOCABULARY, notifications.extend)
     threading.Thread(target=subscription.run, daemon=True).start()
-    until(lambda: StreamOpened in map(type, notifications), "a stream")
+    wait_until(lambda: StreamOpened in map(type, notifications), "a stream")
     assert len(failures) == 3
 
 
@@ -146,14 +148,14 @@
 
     A third stream was then opened, and all proxies were listed again.
     """
-    until(lambda: not reader_threads(), "the end of earlier reader threads")
+    wait_until(lambda: not reader_threads(), "the end of earlier reader threads")
     other, notifications, connect_relay = StubRelay(), [], relay_subscription.connect_relay
     other.attach(2)
 
     def end_former_and_connect(address, timeout_s):
         if address == other.address and relay.connections:
             relay.drop_connections()
-            until(lambda: not reader_threads(), "the end of the former stream")
+            wait_until(lambda: not reader_threads(), "the end of the former stream")
         return connect_relay(address, timeout_s)
 
     monkeypatch.setattr(relay_subscription, "connect_relay", end_former_and_connect)
@@ -161,6 +163,6 @@
     threading.Thread(target=subscription.run, daemon=True).start()
     await_ping(notifications)
     subscription.set_address(other.address)
-    until(lambda: notifications.count(StreamEvent(2, Ping())) > 2, "the stream at the new address")
+    wait_until(lambda: notifications.count(StreamEvent(2, Ping())) > 2, "the stream at the new address")
     assert subscription.newest_stream == 2 and len(reader_threads()) == 1
     other.close()
--- a/tests/node/test_takeover.py
+++ b/tests/node/test_takeover.py
@@ -13,7 +13,7 @@
 from rainpick.simulated_peers.ports import free_ports
 from tests.node.paced_relay import Fleet, PacedRelay
 from tests.node.platform_stubs import SETTINGS, Peer, StubDiscovery, configuration_tree, entry
-from tests.waiting import until
+from tests.waiting import wait_until
 
 PROXIES, SERVERS = 300, 60
 OWN_PROXIES = 60  # joined to the surviving director from the start
@@ -75,10 +75,10 @@
 def test_the_surviving_director_completes_all_drains_within_the_grace(pair):
     (killed, survivor), discovery, fleet = pair
     for director in (killed, survivor):
-        until(director.responds_to_heartbeat, "a heartbeat")
+        wait_until(director.responds_to_heartbeat, "a heartbeat")
     for proxy in range(PROXIES):
         (survivor if proxy < OWN_PROXIES else killed).relay.join_proxy(proxy)
-    until(lambda: len(fleet.bound) == PROXIES, "the bindings of all proxies")
+    wait_until(lambda: len(fleet.bound) == PROXIES, "the bindings of all proxies")
     servers = random.Random(26).sample(range(SERVERS), 30)
     batches = [servers[:9], servers[9:18], servers[18:27], servers[27:]]
 
@@ -89,7 +89,9 @@
 
     for numbers in batches[:2]:
         draining = drain(numbers)
-        until(lambda draining=draining: draining <= survivor.relay.removed, "the withdrawals of the batch")
+        wait_until(
+            lambda draining=draining: draining <= survivor.relay.removed, "the withdrawals of the batch"
+        )
     killed.process.send_signal(signal.SIGKILL)
     killed.process.wait()
     killed.relay.discard_queue()
@@ -97,9 +99,11 @@
         survivor.relay.join_proxy(proxy)
     # The first bindings show that the director has received the joins. If a drain began earlier, its
     # withdrawal would also reach proxies whose joins the director has not received yet.
-    until(lambda: len(survivor.relay.channel.bound) > OWN_PROXIES + FIRST_BINDS, "the start of the takeover")
+    wait_until(
+        lambda: len(survivor.relay.channel.bound) > OWN_PROXIES + FIRST_BINDS, "the start of the takeover"
+    )
     for numbers in batches[2:]:
         drain(numbers)
-    until(fleet.uses_no_draining_server, "the removal of all draining servers", 4 * GRACE_S)
+    wait_until(fleet.uses_no_draining_server, "the removal of all draining servers", 4 * GRACE_S)
     assert fleet.longest_use_s() <= GRACE_S, fleet.longest_use_s()
     assert survivor.relay.peak_queue_fraction <= 0.9
--- a/tests/record/test_recorder.py
+++ b/tests/record/test_recorder.py
@@ -8,21 +8,21 @@
 from rainpick.record.recorder import Recorder
 from rainpick.record.steps import Step
 from rainpick.store import Record, read
-from tests.loopback.harness import MemberEnd, ProxyEnd, running, status
+from tests.loopback.harness import MemberClient, ProxyClient, fetch_status, running_director
 from tests.record.recorded_day import INCARNATION, replay_all
-from tests.waiting import until
+from tests.waiting import wait_until
 
 
 def test_the_record_of_a_live_director_is_replayed_with_the_same_commands(tmp_path):
     folder = tmp_path / "day"
     for _ in range(2):  # two incarnations in one record
-        with running(f'record: {{folder: "{folder}", sync: false}}') as daemon:
-            fleet = MemberEnd(daemon, 9001, 9002, 9003)
-            proxy = ProxyEnd(daemon, "edge-1")
+        with running_director(f'record: {{folder: "{folder}", sync: false}}') as daemon:
+            fleet = MemberClient(daemon, 9001, 9002, 9003)
+            proxy = ProxyClient(daemon, "edge-1")
             proxy.until(lambda held: len(held) == 3)
             fleet.quiesce(9002)
             proxy.until(lambda held: len(held) == 2)
-            assert status(daemon)["record"]["lost"] == 0
+            assert fetch_status(daemon)["record"]["lost"] == 0
     results = replay_all(folder)
     assert len(results) == 2
     assert all(not result.differing and result.missing is None for result in results)
@@ -39,7 +39,7 @@
         recorder.step(now, [model.TimerFired(now)], [])
     assert time.monotonic() - begin < 0.1 and recorder.lost > 50
     recorder.store.append = append
-    until(lambda: recorder.queue.empty())
+    wait_until(lambda: recorder.queue.empty())
     recorder.step(1000, [], [])
     recorder.close()
     ((_, steps),) = read_incarnations(read(tmp_path))
@@ -51,7 +51,7 @@
     """The core continues, lost steps are counted, and a replay of the incarnation ends at the gap."""
     recorder = Recorder(tmp_path, INCARNATION, 1 << 20, 0, 0, False)
     recorder.step(1, [model.TimerFired(1)], [])
-    until(lambda: recorder.store.written >= 1)
+    wait_until(lambda: recorder.store.written >= 1)
     write = recorder.store.write
 
     def write_half(data):
@@ -61,7 +61,7 @@
     recorder.store.write = write_half
     for now in range(2, 12):
         recorder.step(now, [model.TimerFired(now)], [])
-    until(lambda: recorder.lost >= 10)
+    wait_until(lambda: recorder.lost >= 10)
     recorder.store.write = write
     recorder.step(50, [model.TimerFired(50)], [])
     recorder.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 from rainpick import decisions
 from rainpick.cli import main
 from rainpick.simulated_peers.ports import free_ports
-from tests.loopback.harness import MemberEnd, ProxyEnd, running
+from tests.loopback.harness import MemberClient, ProxyClient, running_director
 
 RECORD = Path(__file__).parent / "compat" / "stored" / "record" / "day"  # has two segments
 FRONTS = "sasp", "otlp", "status"
@@ -54,9 +54,9 @@
 
 
 def test_status_and_weights_of_a_running_director_are_printed():
-    with running() as daemon:
-        MemberEnd(daemon, 9001, 9002)
-        ProxyEnd(daemon, "edge-1").until(lambda weights: len(weights) == 2)
+    with running_director() as daemon:
+        MemberClient(daemon, 9001, 9002)
+        ProxyClient(daemon, "edge-1").until(lambda weights: len(weights) == 2)
         address = "%s:%d" % daemon.status
         status = json.loads(run("status", "--at", address, "--json").stdout)
         assert [server["state"] for server in status["servers"]] == ["ready", "ready"]
@@ -167,7 +167,7 @@
 
 
 def test_a_director_does_not_start_when_an_address_is_in_use(tmp_path):
-    with running() as daemon:
+    with running_director() as daemon:
         process = start_director(
             tmp_path, listen={"sasp": "%s:%d" % daemon.sasp, "otlp": "127.0.0.1:0", "status": "127.0.0.1:0"}
         )
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -5,7 +5,7 @@
 WAIT_S = 10.0
 
 
-def until(condition, description="condition", timeout_s=WAIT_S):
+def wait_until(condition, description="condition", timeout_s=WAIT_S):
     """Poll a condition until it is true, and return its value; fail after ``timeout_s``."""
     end = time.monotonic() + timeout_s
     while not (value := condition()):
