--- a/rainpick/emulator/clients.py
+++ b/rainpick/emulator/clients.py
@@ -14,7 +14,7 @@
 from rainpick.emulator.shape import Shape
 from rainpick.settings import Settings
 
-AttemptListener: TypeAlias = Callable[[int, Key, int], None]  # time, server, number of the proxy
+AttemptListener: TypeAlias = Callable[[int, Key, int], None]  # arguments: time, server, number of the proxy
 
 
 class Request:
@@ -27,7 +27,7 @@
 
 
 class Attempt:
-    """An attempt of a request at a server. A response after the time limit is ignored."""
+    """An attempt of a request at a server. A response that arrives after the time limit is ignored."""
 
     __slots__ = ("begin_us", "clients", "ended", "request", "server", "timeout_timer")
 
@@ -37,7 +37,7 @@
         self.timeout_timer = clients.clock.schedule_after(clients.time_limit_us, self.time_out)
 
     def time_out(self) -> None:
-        """End the attempt as timed out, unless it has ended."""
+        """End the attempt as timed out, unless it has already ended."""
         if not self.ended:
             self.end(Outcome.TIMED_OUT)
 
@@ -78,7 +78,7 @@
         self.listeners: list[AttemptListener] = []  # called when an attempt is sent
 
     def start(self, proxy: Proxy) -> None:
-        """Schedule the first request at a proxy."""
+        """Schedule the arrival of the first request at a proxy."""
         interval_us = self.arrival_stream.exponential(self.mean_interval_us)
         self.clock.schedule_after(round(interval_us), self.handle_arrival, proxy)
 
@@ -90,7 +90,7 @@
         self.send_attempt(Request(self.clock.now, proxy, self.shape.client_retries))
 
     def send_attempt(self, request: Request) -> None:
-        """Send an attempt to the server that the proxy picks."""
+        """Make an attempt at the server that the proxy picks; without a server the attempt fails at once."""
         proxy = request.proxy
         proxy.attempts += 1
         server = proxy.pick()
@@ -113,7 +113,10 @@
         )
 
     def end_attempt(self, request: Request, outcome: Outcome) -> None:
-        """Retry a failed request after a backoff, or count its outcome."""
+        """Schedule a retry after a failed attempt, or count the outcome of the request.
+
+        A request is retried while it has retries left and its time limit has not passed.
+        """
         elapsed_us = self.clock.now - request.begin_us
         answered = outcome == Outcome.ANSWERED
         if not answered and request.retries_left and elapsed_us < self.time_limit_us:
--- a/rainpick/emulator/clock.py
+++ b/rainpick/emulator/clock.py
@@ -18,7 +18,7 @@
     def __init__(self, now: int = 0):
         self.now = now
         self.pending: list[tuple[int, TimerId, Callable[..., Any], tuple[Any, ...]]] = []
-        self.scheduled = 0  # number of timers scheduled so far; it is the identifier of the latest one
+        self.scheduled = 0  # number of timers scheduled so far, and the identifier of the latest timer
         self.cancelled: set[TimerId] = set()
 
     def schedule_at(self, due_us: int, function: Callable[..., Any], *args: Any) -> TimerId:
--- a/rainpick/emulator/load_reports.py
+++ b/rainpick/emulator/load_reports.py
@@ -22,8 +22,9 @@
 class LoadReporter:
     """Collects the proxies' observations at a fixed interval, and sends a limited number of reports a second.
 
-    Reports that are not sent when the next ones are collected stay queued. The queue holds a few intervals;
-    beyond that the oldest reports are discarded, since a late report has no value for the decisions.
+    Reports that are not yet sent at the next collection stay queued. The queue has room for the reports of
+    four intervals. When it is full, the oldest reports are discarded, since a late report has no value for
+    the decisions.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self.clock.schedule_after(SEND_INTERVAL_US, self.send)
 
     def collect(self) -> None:
-        """Convert the observations since the last collection to reports and queue them."""
+        """Queue reports of the observations since the last collection, and schedule the next collection."""
         totals: dict[tuple[Key, int], Observations] = {}  # by server and by zone of the proxies
         for proxy in self.proxies.values():
             for server, observations in proxy.observations.items():
@@ -62,12 +63,12 @@
         self.clock.schedule_after(self.interval_us, self.collect)
 
     def server_report(self, server: Key, zone: int, total: Observations) -> ServerLoadReport:
-        """Return the report of a zone's proxies on a server."""
+        """Return the report on a server from the sum of the observations of a zone's proxies."""
         mean_us = total.latency_us // max(1, total.attempts - total.failures)
         return ServerLoadReport(server, zone, total.attempts, total.failures, mean_us, self.interval_us, ())
 
     def send(self) -> None:
-        """Send the next batch of queued reports."""
+        """Send the next batch of queued reports, and schedule the batch after it."""
         reports = [self.queue.popleft() for _ in range(min(self.batch_size, len(self.queue)))]
         if reports:
             self.clock.schedule_after(self.delay_us, self.receive, reports)
--- a/rainpick/emulator/proxy.py
+++ b/rainpick/emulator/proxy.py
@@ -16,7 +16,8 @@
 PickPolicy = Literal["lottery", "wheel", "pair"]
 """Load balancing policy: weighted random, smooth weighted round robin, or power of two choices."""
 
-Choices: TypeAlias = tuple[list[Key], list[int]]  # open servers, and the running sums of their weights
+# The open servers, which are those with a weight above 0, and the running sums of their weights.
+Choices: TypeAlias = tuple[list[Key], list[int]]
 
 
 @dataclass(slots=True)
@@ -47,11 +48,11 @@
     ):
         self.number, self.zone, self.pick_policy, self.random = number, zone, pick_policy, random
         self.weights: dict[Key, int] = dict.fromkeys(default_table, 1)
-        self.choices: Choices | None = None  # of all open servers; None after the weights changed
+        self.choices: Choices | None = None  # cache of ``all_choices``; None after the weights changed
         self.in_flight: Counter[Key] = Counter()
         self.credits: dict[Key, float] = {}  # state of the smooth weighted round robin
-        self.observations: dict[Key, Observations] = {}  # since the last report
-        self.attempts = 0
+        self.observations: dict[Key, Observations] = {}  # by server, since the last report
+        self.attempts = 0  # number of attempts to all servers since the last report
 
     def update(self, entries: Iterable[Line]) -> None:
         """Apply the entries of a message: withdrawn servers get weight 0, removed servers are deleted."""
@@ -64,7 +65,7 @@
                 self.credits.pop(entry.server, None)
 
     def pick(self, excluded: Collection[Key] = ()) -> Key | None:
-        """Return an open server that is not excluded, None if there is none."""
+        """Pick an open server that is not excluded, by the policy; None if there is none."""
         if self.pick_policy == "wheel":
             return self.pick_round_robin(excluded)
         servers, sums = self.open_choices(excluded) if excluded else self.all_choices()
@@ -77,7 +78,11 @@
         return first if self.in_flight[first] <= self.in_flight[second] else second
 
     def pick_round_robin(self, excluded: Collection[Key]) -> Key | None:
-        """Pick the server with the largest credit, that is, the one furthest below its share."""
+        """Pick by smooth weighted round robin the server with the largest credit; None if there is none.
+
+        A pick first adds the weight of each server to the server's credit. Then it subtracts the sum of these
+        weights from the credit of the picked server.
+        """
         weights = {
             server: weight for server, weight in self.weights.items() if weight and server not in excluded
         }
--- a/rainpick/emulator/random_streams.py
+++ b/rainpick/emulator/random_streams.py
@@ -1,7 +1,7 @@
 """Seeded random numbers, with an independent stream for each part of a run.
 
-A change in one part does not change the draws of the others. So runs with the same seed have the same
-arrivals and work, and their results can be compared in pairs (common random numbers).
+A change in one part does not change the random numbers of the other parts. So runs with the same seed have
+the same arrivals and work, and their results can be compared in pairs (common random numbers).
 """
 
 from __future__ import annotations
--- a/rainpick/emulator/server.py
+++ b/rainpick/emulator/server.py
@@ -16,7 +16,7 @@
 
 from rainpick.emulator.clock import TimerId, VirtualClock
 
-HUNG_CHECK_INTERVAL_US = 10_000  # between checks of a finished attempt while its server hangs
+HUNG_CHECK_INTERVAL_US = 10_000  # between checks whether the server of a finished attempt still hangs
 WARM_UP_UPDATE_INTERVAL_US = 20_000  # between updates of the speed of shared cores during a slow start
 
 
@@ -24,8 +24,8 @@
     """Outcome of an attempt."""
 
     ANSWERED = "answered"
-    DROPPED = "dropped"  # the queue is full
-    REFUSED = "refused"  # the server is down or out of connections
+    DROPPED = "dropped"  # the server's queue is full
+    REFUSED = "refused"  # the server is down or has its maximum of connections
     BROKEN = "broken"  # the server stopped during the attempt
     TIMED_OUT = "late"
     NO_SERVER = "no line"  # the proxy has no open server
@@ -43,9 +43,9 @@
     # Attempts that may wait, or with ``sharing`` be in progress, beyond one per core.
     queue_capacity: int = 64
     max_connections: int = 10_000
-    warm_up_us: int = 0  # from the start to full speed, with a linear increase
-    start_capacity: float = 1.0  # fraction of the speed at the start
-    thrash: float = 0.0  # with ``sharing``: slowdown per attempt beyond the cores, as a fraction
+    warm_up_us: int = 0  # time from the start to full speed; the speed increases linearly
+    start_capacity: float = 1.0  # speed at the start, as a fraction of the full speed
+    thrash: float = 0.0  # with ``sharing``: relative slowdown for each attempt beyond one per core
 
 
 class Server(ABC):
@@ -65,17 +65,20 @@
         return min(1.0, start + (1 - start) * max(0.0, age)) / self.slowdown
 
     def start(self) -> None:
-        """Start the server, which then is in slow start."""
+        """Start the server in slow start, without a hang."""
         self.up, self.started_us, self.hung = True, self.clock.now, False
 
     def stop(self) -> None:
-        """Stop at once, which breaks the attempts in progress."""
+        """Stop at once; attempts that wait or are in progress end as ``BROKEN``."""
         self.up = False
         for done in self.remove_attempts():
             done(Outcome.BROKEN)
 
     def handle(self, work: float, done: OutcomeCallback) -> None:
-        """Handle an attempt. ``work`` is in microseconds at speed 1; ``done`` is called once."""
+        """Start or queue an attempt, or reject it.
+
+        ``work`` is in microseconds at speed 1; ``done`` is called once, with the outcome.
+        """
         attempts = self.attempt_count()
         if not self.up or attempts >= self.type.max_connections:
             done(Outcome.REFUSED)
@@ -108,11 +111,11 @@
 
     def __init__(self, work: float, done: OutcomeCallback):
         self.work, self.done = work, done
-        self.timer: TimerId = 0  # of its end, once it is in progress
+        self.timer: TimerId = 0  # timer of the end of the attempt, set when it starts
 
 
 class SlotServer(Server):
-    """Processes one attempt per core. A change of speed does not affect attempts in progress."""
+    """Processes one attempt per core, at the speed that the server has when the attempt starts."""
 
     def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
         super().__init__(clock, name, server_type)
@@ -153,7 +156,7 @@
             attempt.timer = self.clock.schedule_after(max(1, round(duration_us)), self.finish, attempt)
 
     def finish(self, attempt: SlotAttempt) -> None:
-        """Complete an attempt; while the server hangs, completion is delayed."""
+        """Complete an attempt and start waiting ones. While the server hangs, check again later."""
         if self.hung:
             attempt.timer = self.clock.schedule_after(HUNG_CHECK_INTERVAL_US, self.finish, attempt)
             return
@@ -171,11 +174,11 @@
 
     def __init__(self, clock: VirtualClock, name: Hashable, server_type: ServerType):
         super().__init__(clock, name, server_type)
-        # Heap by the value of ``work_done`` at which the attempt ends.
+        # Heap of attempts: the value of ``work_done`` at which the attempt ends, its number, its callback.
         self.attempts: list[tuple[float, int, OutcomeCallback]] = []
         self.work_done = 0.0
         self.updated_us = clock.now  # time of the last update of ``work_done``
-        self.admitted = 0
+        self.admitted = 0  # number of attempts admitted so far
         self.next_end_timer: TimerId | None = None
 
     def set_fault(self, slowdown: float = 1.0, hung: bool = False) -> None:
@@ -217,7 +220,7 @@
         self.updated_us = self.clock.now
 
     def schedule_next_end(self) -> None:
-        """Schedule the end of the attempt that ends next at the current rate."""
+        """Schedule the end of the attempt that ends next, at the current rate; replaces the earlier timer."""
         if self.next_end_timer is not None:
             self.clock.cancel(self.next_end_timer)
             self.next_end_timer = None
@@ -226,7 +229,7 @@
             return
         delay_us = max(1, round(max(0.0, self.attempts[0][0] - self.work_done) / rate))
         warming_up = self.type.warm_up_us and self.speed_fraction() * self.slowdown < 1
-        if warming_up:  # the rate increases in the meantime
+        if warming_up:  # the rate increases until the end, so it is updated at intervals
             delay_us = min(delay_us, WARM_UP_UPDATE_INTERVAL_US)
         self.next_end_timer = self.clock.schedule_after(delay_us, self.finish_attempts)
 
@@ -235,7 +238,7 @@
         self.next_end_timer = None
         self.update_work_done()
         callbacks: list[OutcomeCallback] = []
-        # An attempt that ends within half a microsecond has ended: times are whole microseconds.
+        # Times are whole microseconds, so an attempt that would end within half a microsecond has ended.
         reached = self.work_done * (1 + 1e-9) + 0.5 * self.rate()
         while self.attempts and self.attempts[0][0] <= reached:
             callbacks.append(heappop(self.attempts)[2])
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -23,7 +23,7 @@
 
 __all__ = ["Shape", "World"]
 
-BEGIN_US = 1_000_000
+BEGIN_US = 1_000_000  # virtual time at the beginning of a run
 SERVER_HOST = "10.0.0.1"
 FIRST_PORT = 1024
 
@@ -40,7 +40,7 @@
     ):
         self.shape, self.seed, self.clock = shape, seed, VirtualClock(BEGIN_US)
         self.engine = Engine(settings, seed, BEGIN_US, director_factory)
-        self.engine_due_us = -1  # time of the next scheduled advance; not scheduled if it is in the past
+        self.engine_due_us = -1  # time of the next advance; if it is past, none is scheduled
         self.engine_timer: TimerId = 0
         self.zone_count = max(1, len(settings.zones))
         self.servers: dict[Key, Server] = {}
@@ -74,7 +74,7 @@
         )
 
     def begin(self) -> None:
-        """Pass the endpoint list to the engine, add all proxies, and start the load reports."""
+        """Pass the endpoint list to the engine, and start all proxies, their clients and load reports."""
         endpoints = tuple(self.endpoints.values())
         self.engine.update_endpoints(EndpointUpdate(UpdateKind.CACHED, endpoints, self.list_version))
         for number in range(self.shape.proxies):
@@ -83,7 +83,7 @@
         self.advance_engine()
 
     def run(self, seconds: float) -> None:
-        """Advance the virtual time."""
+        """Advance the virtual time by a number of seconds."""
         self.clock.run(self.clock.now + int(seconds * 1e6))
 
     def service_ratio(self) -> float:
@@ -93,7 +93,7 @@
     # The engine
 
     def advance_engine(self) -> None:
-        """Let the engine process its events, send its messages, and schedule its next advance."""
+        """Let the engine process events, send the resulting messages, and schedule the next advance."""
         for write in self.engine.advance(self.clock.now):
             self.clock.schedule_after(self.shape.same_zone_delay_us, self.deliver, write)
         due_us = self.engine.due_us()
@@ -111,7 +111,7 @@
         self.engine_timer = self.clock.schedule_at(due_us, self.advance_engine)
 
     def deliver(self, write: Write) -> None:
-        """Deliver a message to its proxy and acknowledge it to the engine."""
+        """Deliver a message to its proxy and confirm the delivery to the engine."""
         proxy = self.proxies.get(write.proxy)
         if proxy is not None:
             proxy.update(write.delta.lines)
--- a/rainpick/operator_settings.py
+++ b/rainpick/operator_settings.py
@@ -15,7 +15,8 @@
 JsonValue: TypeAlias = "dict[str, JsonValue] | list[JsonValue] | str | int | float | bool | None"
 SettingValue: TypeAlias = "str | int | float | bool | tuple[SettingValue, ...] | None"
 
-# Keys by the operators' key, which is a component of a path. All other keys are converted to snake case.
+# Keys of the decision modules, by the operators' key (a component of a path). An operators' key that is not
+# listed is converted to snake case.
 KEYS = {
     "grades": "routes",
     "sloUs": "slo_time_us",
@@ -83,7 +84,7 @@
 
 
 def translate_lines(text: str) -> dict[str, SettingValue]:
-    """Translate ``path=value`` lines. Unknown keys are kept; a line without ``=`` is skipped.
+    """Translate ``path=value`` lines. Unknown keys are translated, too; a line without ``=`` is skipped.
 
     >>> translate_lines("grades.0.hardLimitUs=2000\\nfailureDomains=x,y")
     {'routes.0.time_limit_us': 2000, 'zones': ('x', 'y')}
@@ -100,8 +101,8 @@
 def translate_nested(tree: JsonValue, path: str = "") -> dict[str, SettingValue]:
     """Translate nested JSON to the same map as the equivalent ``path=value`` lines.
 
-    ``path`` is the translated key of ``tree``, empty at the root. As in the lines, a list of one element is
-    converted to this element, and an empty list to an empty string.
+    ``path`` is the translated path of ``tree``, empty at the root. A list of one element is converted to this
+    element and an empty list to an empty string, as their lines would be.
 
     >>> translate_nested({"grades": [{"name": "a", "repeat": "safe"}], "failureDomains": ["x", "y"], "az": 1})
     {'routes.count': 1, 'routes.0.name': 'a', 'routes.0.effect': 'repeatable', 'zones': ('x', 'y'), 'zone': 1}
@@ -123,7 +124,10 @@
 
 
 def _keyed_by_index(elements: list[JsonValue]) -> dict[str, JsonValue]:
-    """Convert a list of objects to the form of the lines: its length, and its elements by index."""
+    """Convert a list to a map from ``count`` to its length and from each index to the element.
+
+    The lines have the same keys for a list of objects.
+    """
     members: dict[str, JsonValue] = {"count": len(elements)}
     members.update((str(index), element) for index, element in enumerate(elements))
     return members
--- a/rainpick/rules/audit.py
+++ b/rainpick/rules/audit.py
@@ -1,8 +1,8 @@
 """Audits a day against the five rules of ``docs/rules.md``, using the logs of the simulated peers.
 
 The audit uses no internal state of a director. A director counts as informed of a server's state when the
-server has received the reply, or has sent a message without waiting for one. A proxy holds the weights that
-it has read.
+server has received the reply to its registration, or has sent its drain or deregistration, for which it does
+not await a reply. A proxy holds the weights that it has read.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from rainpick.rules.timeline import build_timeline
 from rainpick.rules.verdict import Limits, RouteService, Verdict
 
-RETRY_COUNTERS = {"again": "sent by proxies", "repeat": "dropped by servers"}  # by kind of log event
+# Names of the retry counters in the verdict, by the kind of log event that they count.
+RETRY_COUNTERS = {"again": "sent by proxies", "repeat": "dropped by servers"}
 
 
 def audit(events: Iterable[LogEvent], limits: Limits) -> Verdict:
@@ -39,7 +40,7 @@
 
 
 def day_span(events: list[LogEvent]) -> tuple[int, int]:
-    """Return begin and end of the day from its ``mark`` events, else from its first and last event."""
+    """Return begin and end of the day: the times of its ``mark`` events, else of its first and last event."""
     if not events:
         return 0, 0
     marks: dict[str, int] = {event["what"]: event["t"] for event in events if event["k"] == "mark"}
--- a/rainpick/rules/cold_servers.py
+++ b/rainpick/rules/cold_servers.py
@@ -12,7 +12,7 @@
 
 
 def work_budget(run: LogEvent, age_us: int, limits: Limits) -> float:
-    """Return the microseconds of work that a server of an age withstands within ``limits.fall``."""
+    """Return the work in microseconds that a server withstands within ``limits.fall``, by its age."""
     age = age_us / limits.warm_after
     fraction = limits.start_capacity + (1 - limits.start_capacity) * age
     budget: float = limits.fall_multiple * fraction * run["capacity"] * limits.fall
@@ -20,7 +20,7 @@
 
 
 def check_cold_servers(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
-    """Check the rule over a day: the work sent by all proxies together, and servers that failed under it."""
+    """Check the rule over a day: the work that servers receive while warming up, and failures under load."""
     rule = Rule("no cold server pushed over")
     windows: dict[str, deque[tuple[int, float]]] = defaultdict(deque)  # time and work of attempts, by server
     for event in events:
--- a/rainpick/rules/drains.py
+++ b/rainpick/rules/drains.py
@@ -8,10 +8,10 @@
 
 
 def check_drains(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
-    """Check the rule over a day.
+    """Check the rule over a day, for the attempts of proxies that are joined to a director.
 
-    The grace begins when the proxy's director is informed of the drain, or at the proxy's join if that is
-    later.
+    The grace begins when this director is informed of the drain, or at the proxy's join if the join is later.
+    With ``limits.gone_binds`` the same holds for servers that are gone.
     """
     rule = Rule("drains kept")
     bound_states = ("draining", "gone") if limits.gone_binds else ("draining",)
--- a/rainpick/rules/duplicate_effects.py
+++ b/rainpick/rules/duplicate_effects.py
@@ -8,13 +8,14 @@
 from rainpick.rules.timeline import Timeline
 from rainpick.rules.verdict import Breach, Limits, Rule
 
-FORBIDDEN_RATIO = 2  # ratio of a retry that is never allowed; above 1 is a breach
+FORBIDDEN_RATIO = 2  # measured ratio of a retry that is never allowed; a ratio above 1 is a breach
 
 
 def measure_retry(rule: Rule, event: LogEvent, limits: Limits, pods: dict[str, int]) -> None:
-    """Measure a retry by the effect of its route.
+    """Measure a proxy's retry according to the effect of its route.
 
-    Mutating requests may not be retried; idempotent ones only in the same pod and within the route's window.
+    A ``mutating`` request may not be retried, a ``keyed`` one only in the same pod and within the route's
+    window, a ``repeatable`` one without limits.
     """
     route = limits.routes[event["r"]]
     request = f"{event['r']} {event['id']}"
@@ -30,7 +31,10 @@
 
 
 def check_duplicate_effects(events: list[LogEvent], limits: Limits, timeline: Timeline) -> Rule:
-    """Check the rule over a day. Repeated effects of a client's own retries are not breaches."""
+    """Check the rule over a day. A second effect is a breach only if a proxy retried the request.
+
+    Retries by a client itself may take effect again.
+    """
     rule = Rule("no effect twice")
     pods = {server: runs[-1]["pod"] for server, runs in timeline.runs.items()}
     retried: set[str] = set()
--- a/rainpick/rules/empty_tables.py
+++ b/rainpick/rules/empty_tables.py
@@ -9,7 +9,7 @@
 from rainpick.rules.timeline import KnownServers, Timeline
 from rainpick.rules.verdict import Limits, Rule
 
-EVENT_KINDS = frozenset({"weights", "standing", "left"})  # log events that change a table or end a session
+EVENT_KINDS = frozenset({"weights", "standing", "left"})  # events that change a table or end a session
 
 
 class Span(NamedTuple):
@@ -24,16 +24,16 @@
 
 
 def warm_span(run: LogEvent, known: list[KnownServers], warm_after_us: int, end: int) -> Span:
-    """Return the span in which the server of a run is warm and usable.
+    """Return the span of a run in which its server is warm and usable.
 
-    It ends with the run, or when the first director is informed that the server is draining or gone.
+    The span ends with the run, or when the first director is informed that the server is draining or gone.
     """
     unusable_from = [at for servers in known for at in servers.unusable_times(run["s"]) if at >= run["t"]]
     return Span(run["born"] + warm_after_us, min([run.get("end", end), *unusable_from]))
 
 
 class EmptyTableCheck:
-    """Tracks the table of each proxy through the day."""
+    """Tracks the table of each proxy through the day, and measures how long tables are empty."""
 
     def __init__(self, limits: Limits, timeline: Timeline, end: int):
         self.rule, self.limit_us, self.timeline = Rule("a line to pick"), limits.bare, timeline
@@ -42,11 +42,14 @@
         self.warm_spans = [
             warm_span(run, known, limits.warm_after, end) for runs in timeline.runs.values() for run in runs
         ]
-        self.tables: dict[str, dict[str, int]] = defaultdict(dict)  # weight above 0 by server, by proxy
-        self.empty_since: dict[str, int] = {}  # time by proxy, for proxies with an empty table
+        self.tables: dict[str, dict[str, int]] = defaultdict(dict)  # weights by proxy and server
+        self.empty_since: dict[str, int] = {}  # time at which its table became empty, by proxy
 
     def update(self, event: LogEvent) -> None:
-        """Handle an event of one of ``EVENT_KINDS``; events must arrive in order of time."""
+        """Handle an event of one of ``EVENT_KINDS``; events must arrive in order of time.
+
+        The end of a session ends the measurement of an empty table; another one begins at once.
+        """
         if event["k"] != "left":
             self.update_table(event["p"], event)
         elif event["p"] in self.empty_since:
@@ -68,7 +71,11 @@
             self.measure(proxy, event["t"])
 
     def measure(self, proxy: str, until: int) -> None:
-        """End the time of an empty table, and measure its longest overlap with a warm server's span."""
+        """End the time in which a proxy's table was empty, and measure it.
+
+        The measured value is the longest time within the session in which one server was warm. Nothing is
+        measured if the proxy was not joined to a director.
+        """
         since = self.empty_since.pop(proxy)
         session = self.timeline.session_at(proxy, until - 1)
         if session is None:
--- a/rainpick/rules/logs.py
+++ b/rainpick/rules/logs.py
@@ -6,7 +6,7 @@
 
 * a server: ``start`` and ``stop``, ``said`` (it sent its state to a director), ``lost`` (its stream to a
   director broke), ``call`` (it received an attempt), ``repeat`` (it dropped a duplicate request), ``effect``
-  (a request took effect);
+  (a request took effect at it);
 * a proxy: ``standing`` (entries ``m`` of its default table), ``weights`` (entries ``m`` that it has read),
   ``joined`` and ``left``, ``try`` and ``end`` (an attempt), ``again`` (a retry), ``report``;
 * a client: ``asked`` (a request has ended, including its retries; ``t`` is the time at which it was due);
@@ -24,7 +24,7 @@
 
 
 def read_logs(folder: Path) -> list[LogEvent]:
-    """Read the events of all logs in a folder, sorted by time.
+    """Read the events of all files ``*.jsonl`` in a folder, sorted by time.
 
     Lines that are not JSON are skipped: a process killed while writing leaves its last line incomplete.
     """
--- a/rainpick/rules/timeline.py
+++ b/rainpick/rules/timeline.py
@@ -11,15 +11,15 @@
 from rainpick.rules.logs import LogEvent
 from rainpick.rules.verdict import Limits
 
-EVENT_KINDS = frozenset({"said", "joined", "left", "start", "stop"})  # used for a timeline
+EVENT_KINDS = frozenset({"said", "joined", "left", "start", "stop"})  # kinds that ``Timeline.add`` handles
 STILL_OPEN = 1 << 62  # ``Session.end`` of a session that has not ended
 
 
 class KnownState(NamedTuple):
     """The state of a server that a director knew at a time.
 
-    ``since`` is when the director learnt that the server became usable or unusable; a change from draining to
-    gone does not affect it.
+    ``since`` is the time at which the director was informed that the server became usable (ready) or
+    unusable (draining or gone). A change from draining to gone does not change ``since``.
     """
 
     state: str
@@ -40,7 +40,7 @@
         self.states[server].insert(index, state)
 
     def state(self, server: str, at: int) -> KnownState:
-        """Return the state of a server as known at a time; ``unknown`` before the first one."""
+        """Return the state of a server as known at a time; ``unknown`` before the first received state."""
         index = bisect_right(self.times[server], at) - 1
         if index < 0:
             return KnownState("unknown", 0)
@@ -78,7 +78,7 @@
     known: dict[int, KnownServers] = field(default_factory=lambda: defaultdict(KnownServers))  # by director
     sessions: dict[str, list[Session]] = field(default_factory=lambda: defaultdict(list))  # by proxy
     runs: dict[str, list[LogEvent]] = field(default_factory=lambda: defaultdict(list))
-    """``start`` events by server; ``end`` is added to each run that a ``stop`` event ended."""
+    """``start`` events by server; a ``stop`` event adds its time to the latest of them, as ``end``."""
 
     def session_at(self, proxy: str, at: int) -> Session | None:
         """Return the latest session of a proxy that was open at a time; None if there is none."""
@@ -86,7 +86,7 @@
         return next((session for session in sessions if session.begin <= at < session.end), None)
 
     def run_at(self, server: str, at: int) -> LogEvent | None:
-        """Return the latest run of a server that began at a time or before; None if there is none."""
+        """Return the latest run of a server that began at or before a time; None if there is none."""
         return next((run for run in reversed(self.runs[server]) if run["t"] <= at), None)
 
     def add(self, event: LogEvent) -> None:
@@ -106,7 +106,10 @@
 
 
 def build_timeline(events: list[LogEvent], limits: Limits) -> Timeline:
-    """Build the timeline from log events sorted by time."""
+    """Build the timeline from log events sorted by time.
+
+    With ``limits.gone_binds``, servers also count as gone when their streams have been broken for too long.
+    """
     timeline = Timeline()
     for event in events:
         if event["k"] in EVENT_KINDS:
@@ -117,9 +120,10 @@
 
 
 def add_disconnections(timeline: Timeline, events: Iterable[LogEvent], grace_us: int) -> None:
-    """Add the state gone when the grace after a broken stream has passed without a new state of the server.
+    """Add the state ``gone`` at the end of the grace after a broken stream.
 
-    A director that is down does not detect broken streams.
+    Nothing is added if the director received a state of the server within the grace, or was down when the
+    stream broke.
     """
     down: set[int] = set()
     for event in events:
--- a/rainpick/settings/address_pattern.py
+++ b/rainpick/settings/address_pattern.py
@@ -41,6 +41,6 @@
 
 
 def _port_range(text: str) -> range:
-    """Return the ports of ``PORT`` or ``FIRST-LAST``, including the last one."""
+    """Return the range of ``PORT`` or ``FIRST-LAST``, including the last port; empty if reversed."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
--- a/rainpick/settings/decision_settings.py
+++ b/rainpick/settings/decision_settings.py
@@ -7,7 +7,7 @@
 
 from rainpick.settings.model import RoutePart, Settings
 
-# Admission modes whose name in the map differs from the name in the settings file.
+# Names of admission modes in the map, by their name in the settings file, where the two differ.
 ADMISSION_MODES = {"rate": "rps"}
 
 
@@ -53,7 +53,7 @@
 
 
 def _route_entries(index: int, route: RoutePart) -> dict[str, Any]:
-    """Return the entries of a route."""
+    """Return the entries of the map for the route at ``index``."""
     return {
         f"routes.{index}.name": route.name,
         f"routes.{index}.slo_time_us": route.slo_time,
--- a/rainpick/settings/load.py
+++ b/rainpick/settings/load.py
@@ -15,7 +15,7 @@
 
 
 class SettingsError(Exception):
-    """The file can't be used; the message has a line for each error."""
+    """A file is unreadable, malformed or invalid; the message has a line for each error."""
 
 
 @overload
@@ -25,7 +25,7 @@
 def load(path: str | Path, model: type[BaseModel] = Settings) -> BaseModel:
     """Read a file and validate it by ``model``.
 
-    ``SettingsError`` names the file and each error, also if the file can't be read or is not JSON5.
+    ``SettingsError`` is raised if the file can't be read, is not JSON5 or is invalid; it names the file.
     """
     try:
         data = Path(path).read_bytes()
@@ -77,7 +77,7 @@
 
 
 def _describe(error: ErrorDetails, where: str) -> str:
-    """Format an error as a line. The value is omitted if it is missing or the whole file."""
+    """Format an error as a line, without a value if the key is missing or the error is in the whole file."""
     path = ".".join(map(str, error["loc"])) or "(as a whole)"
     message = error["msg"].removeprefix("Value error, ")
     if error["type"] == "extra_forbidden":
@@ -88,6 +88,6 @@
 
 
 def _abbreviate(value: object) -> str:
-    """Format a value for an error message."""
+    """Format a value for an error message, in at most ``MAX_SHOWN_VALUE`` characters."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_VALUE else text[: MAX_SHOWN_VALUE - 3] + "..."
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -14,7 +14,8 @@
 from rainpick.settings.part import Part, text_field
 from rainpick.settings.units import Address, Duration
 
-Effect = Literal["repeatable", "keyed", "mutating"]  # of a request: whether it may be sent again, and how
+# Retries that a route allows: at any server, only within its repeat group and window, or none.
+Effect = Literal["repeatable", "keyed", "mutating"]
 
 
 class DirectorPart(Part):
@@ -137,10 +138,10 @@
     bare: Duration = text_field("2.8s", description="a joined proxy may be without a line for so long")
     drain_grace: Duration = text_field("2.7s", description="then nothing goes to a drained server any more")
     warm_after: Duration = text_field("12s", description="a started server is warm then")
-    start_capacity: float = Field(0.16, gt=0, le=1)  # capacity of a server at its start, as a fraction
-    fall_multiple: float = Field(3.0, gt=1)  # a server fails if it gets work of this many times its capacity
-    fall: Duration = text_field("1.5s")  # time window over which this work is counted
-    gone_does_not_bind: bool = False  # whether servers that left the list stay in their tables
+    start_capacity: float = Field(0.16, gt=0, le=1)  # capacity at a server's start, as a fraction
+    fall_multiple: float = Field(3.0, gt=1)  # a cold server fails at this multiple of its capacity
+    fall: Duration = text_field("1.5s")  # window over which the work for ``fall_multiple`` is summed
+    gone_does_not_bind: bool = False  # whether a server that left the list may still serve
 
 
 class SaspPart(Part):
--- a/rainpick/settings/part.py
+++ b/rainpick/settings/part.py
@@ -12,15 +12,16 @@
 
 
 def text_field(default: str, description: str | None = None) -> Any:
-    """Declare a field with a default in the notation of the file, such as ``"1.5s"``, which is validated.
+    """Declare a field whose default is text in the notation of the file, such as ``"1.5s"``.
 
-    The return type is ``Any``, as for pydantic's own ``Field``, because the loaded value has another type.
+    The default is parsed and validated like a value of the file. The return type is ``Any``, as for
+    pydantic's own ``Field``, because the loaded value has another type than the text.
     """
     return Field(default, description=description)
 
 
 def _replace_description(schema: dict[str, Any], part: type[Part]) -> None:
-    """Replace the docstring, which pydantic puts into the schema, with the description for users."""
+    """Replace the docstring, which pydantic puts into the schema, with ``schema_description``."""
     schema.pop("description", None)
     if part.schema_description:
         schema["description"] = part.schema_description
--- a/rainpick/settings/units.py
+++ b/rainpick/settings/units.py
@@ -48,7 +48,8 @@
     return SocketAddress(host, int(port))
 
 
-# Field types of the settings: strings in the file, loaded as microseconds or as a ``SocketAddress``.
+# Types of fields that are strings in the file: a ``Duration`` is loaded as microseconds, an ``Address`` as a
+# ``SocketAddress``.
 Duration = Annotated[
     int,
     BeforeValidator(parse_duration_us),
--- a/rainpick/simulated_peers/__main__.py
+++ b/rainpick/simulated_peers/__main__.py
@@ -1,7 +1,8 @@
 """Runs a group of peers in its own process: ``python -m rainpick.simulated_peers fleet|edge LOG``.
 
-The first line of standard input is a ``PeerStart``, each further line an action; the process ends at the end
-of the input. Once the peers run, it prints one line with the list of its servers, empty for proxies.
+The first line of standard input is a ``PeerStart``, each further line an action, all in JSON. Once the peers
+run, the process prints one line: the list of the group's servers, empty for a group of proxies. The process
+ends at the end of the input.
 """
 
 import os
@@ -19,7 +20,7 @@
 
 
 def main() -> None:
-    """Run the peers until the input ends."""
+    """Start the peers, and apply actions until the input ends."""
     threading.stack_size(THREAD_STACK_BYTES)
     role, log_path = sys.argv[1:3]
     start = msgspec.json.decode(sys.stdin.readline(), type=PeerStart)
@@ -28,7 +29,7 @@
     for line in sys.stdin:
         peers.apply(msgspec.json.decode(line, type=Action))
     peers.close()
-    os._exit(0)  # does not wait for threads that are blocked in requests
+    os._exit(0)  # without waiting for threads that are blocked in requests
 
 
 if __name__ == "__main__":
--- a/rainpick/simulated_peers/actions.py
+++ b/rainpick/simulated_peers/actions.py
@@ -10,40 +10,40 @@
 
 
 class SlowDown(msgspec.Struct, frozen=True, tag=True):
-    """Multiply the time that servers need for a request."""
+    """Multiply the processing time of servers by ``factor``; 1 is the normal speed."""
 
     servers: list[int]
     factor: float
 
 
 class FailRequests(msgspec.Struct, frozen=True, tag=True):
-    """Fail a share of the requests at servers, with status 500."""
+    """Make servers answer a share of their requests with status 500; share 0 ends the fault."""
 
     servers: list[int]
     share: float
 
 
 class Hang(msgspec.Struct, frozen=True, tag=True):
-    """Make servers accept requests without answering them, or answer again."""
+    """Make servers accept requests without answering them, or with ``enabled`` False answer again."""
 
     servers: list[int]
     enabled: bool
 
 
 class StopServers(msgspec.Struct, frozen=True, tag=True):
-    """Stop servers at once, without notice."""
+    """Stop servers at once, without a drain or a deregistration."""
 
     servers: list[int]
 
 
 class StartServers(msgspec.Struct, frozen=True, tag=True):
-    """Start stopped servers, which then warm up."""
+    """Start servers cold, so that they warm up. Servers that are running are not affected."""
 
     servers: list[int]
 
 
 class BreakMemberStreams(msgspec.Struct, frozen=True, tag=True):
-    """Break the servers' streams to the directors; they reconnect."""
+    """Close the streams of servers to the directors; the servers reconnect and register again."""
 
     servers: list[int]
 
@@ -55,7 +55,7 @@
 
 
 class ReplaceServers(msgspec.Struct, frozen=True, tag=True):
-    """Drain servers, stop them after the notice, and start them again after the downtime."""
+    """Drain servers, stop them ``notice_s`` later, and start them cold ``down_s`` after the stop."""
 
     servers: list[int]
     notice_s: float
@@ -63,20 +63,20 @@
 
 
 class BreakStreams(msgspec.Struct, frozen=True, tag=True):
-    """Break the proxies' streams to their directors; the proxies rejoin."""
+    """Close the streams of proxies to their directors; each proxy then joins the next director."""
 
     proxies: list[int]
 
 
 class PauseReading(msgspec.Struct, frozen=True, tag=True):
-    """Make proxies stop reading from their directors, or resume."""
+    """Make proxies stop reading from their directors, or with ``enabled`` False resume."""
 
     proxies: list[int]
     enabled: bool
 
 
 class SetReportMode(msgspec.Struct, frozen=True, tag=True):
-    """Make proxies send load reports as usual, twice, or late."""
+    """Make proxies send each load report once (``usual``), twice (``double``), or ``late``."""
 
     proxies: list[int]
     mode: ReportMode
--- a/rainpick/simulated_peers/blocking_socket.py
+++ b/rainpick/simulated_peers/blocking_socket.py
@@ -16,9 +16,10 @@
     decode: Callable[[bytes], list[Received]],
     malformed: type[Exception],
 ) -> list[Received]:
-    """Receive and decode data; return an empty list if none arrives within ``timeout_s``.
+    """Read from a socket once, and return the messages that the data completes.
 
-    ``OSError`` means that the director closed the connection, or sent data that ``decode`` rejects.
+    The list is also empty if no data arrives within ``timeout_s``; None waits without a limit. ``OSError`` is
+    raised if the connection is broken or closed, or if ``decode`` rejects the data by raising ``malformed``.
     """
     sock.settimeout(timeout_s)
     try:
@@ -34,7 +35,7 @@
 
 
 def close(sock: socket.socket) -> None:
-    """Close a socket, and wake up a thread that is blocked on it."""
+    """Close a socket; a thread that is blocked in reading from it wakes up."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
--- a/rainpick/simulated_peers/day.py
+++ b/rainpick/simulated_peers/day.py
@@ -37,30 +37,31 @@
 POLL_INTERVAL_S = 0.05
 MIN_SLEEP_S = 0.001
 
-Status: TypeAlias = dict[str, Any]  # a director's ``/status``
-# Arguments: seconds since the day began, text of an event (or empty), status of each director (or None).
+Status: TypeAlias = dict[str, Any]  # decoded JSON of a director's ``GET /status``
+# Arguments: seconds since the day began; text of a step, empty for a report of statuses; status of each
+# director, None if it is down or does not answer. The list is empty for a report of a step.
 ProgressCallback: TypeAlias = Callable[[float, str, list[Status | None]], None]
 
 
 class RunningDirector(Protocol):
-    """A director of a day. ``kill`` and ``start`` are needed only for scenarios that kill a director."""
+    """A running director of a day. Only scenarios that kill a director use ``kill`` and ``start``."""
 
     def kill(self) -> None:
         """Kill the director without a clean shutdown."""
 
     def start(self) -> None:
-        """Start the director again."""
+        """Start the director again after ``kill``."""
 
     def close(self) -> None:
-        """Shut down cleanly."""
+        """Shut the director down cleanly."""
 
 
 class Day:
     """A scripted day, with its directors and peers.
 
-    ``launch`` starts a director from its settings and the folder, ``start_peers`` starts a group of peers.
-    Tests pass a test double for ``launch``, and peers within the test's process. Logs that an earlier day
-    left in the folder are removed.
+    ``launch`` starts a director from its settings and the folder for its files; ``start_peers`` starts a
+    group of peers. Tests pass functions that run directors and peers within the test's process. JSON files
+    that an earlier day left in the folder, such as logs, are removed.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
             old.unlink()
         self.scenario, self.folder, self.launch, self.start_peers = scenario, folder, launch, start_peers
         self.directors: list[RunningDirector] = []
-        self.settings: list[Settings] = []  # by director
+        self.settings: list[Settings] = []  # of each director, by number
         self.down: set[int] = set()  # numbers of killed directors
         self.fleet: PeerGroup | None = None
         self.proxy_groups: list[PeerGroup] = []
@@ -84,7 +85,7 @@
     # Status of the directors
 
     def status(self, number: int) -> Status | None:
-        """Fetch a director's status; None if it does not answer."""
+        """Fetch a director's status; None if it does not answer with HTTP status 200."""
         host, port = self.settings[number].listen.status
         try:
             client = Client(host, port, timeout_s=STATUS_TIMEOUT_S)
@@ -96,7 +97,10 @@
         return status
 
     def poll_status(self) -> list[Status | None]:
-        """Fetch the status of all directors that are up, and log the fields that the auditor uses."""
+        """Fetch the status of each director, None if it is down or does not answer.
+
+        ``lines_most``, the field that the auditor uses, is logged for each status.
+        """
         numbers = range(self.scenario.directors)
         statuses = [None if number in self.down else self.status(number) for number in numbers]
         for number, status in enumerate(statuses):
@@ -106,14 +110,14 @@
         return statuses
 
     def bound_proxies(self) -> int:
-        """Count the proxies that are bound to a table of a director."""
+        """Count the proxies that are bound to a table, at all directors together."""
         statuses = [self.status(number) or {} for number in range(self.scenario.directors)]
         return sum(proxy["table"] is not None for status in statuses for proxy in status.get("proxies", ()))
 
     # Start
 
     def begin(self) -> None:
-        """Start directors and peers, and wait until every proxy is bound to a table."""
+        """Start directors and peers, wait until every proxy is bound, and write the auditor's limits."""
         self.start_directors()
         (self.folder / "limits.json").write_text(
             json.dumps(asdict(audit_limits(self.scenario, self.settings[0])))
@@ -151,12 +155,13 @@
     def wait_for_status(self, condition: str, holds: Callable[[Status], bool]) -> None:
         """Wait until ``holds`` is true for the status of each director; ``DayError`` on a timeout.
 
-        ``condition`` completes the error message "did not report ...".
+        ``START_TIMEOUT_S`` is the limit for all directors together. ``condition`` completes the error message
+        "did not report ...".
         """
-        until = time.monotonic() + START_TIMEOUT_S
+        deadline_s = time.monotonic() + START_TIMEOUT_S
         for number in range(self.scenario.directors):
             while (status := self.status(number)) is None or not holds(status):
-                if time.monotonic() > until:
+                if time.monotonic() > deadline_s:
                     raise DayError(
                         f"director {number} did not report {condition} within {START_TIMEOUT_S:.0f} s"
                     )
@@ -164,9 +169,9 @@
 
     def wait_for_proxies(self) -> None:
         """Wait until all proxies are bound to a table; ``DayError`` on a timeout."""
-        until = time.monotonic() + START_TIMEOUT_S
+        deadline_s = time.monotonic() + START_TIMEOUT_S
         while self.bound_proxies() < self.scenario.proxies:
-            if time.monotonic() > until:
+            if time.monotonic() > deadline_s:
                 raise DayError(
                     f"{self.bound_proxies()} of {self.scenario.proxies} proxies are bound to a table "
                     f"after {START_TIMEOUT_S:.0f} s"
@@ -176,17 +181,17 @@
     # Actions on peers and directors
 
     def apply_to_servers(self, action: actions.ServerAction) -> None:
-        """Apply an action to servers."""
-        assert self.fleet is not None  # since ``begin``
+        """Send an action to the group of servers."""
+        assert self.fleet is not None  # set by ``begin``
         self.fleet.apply(action)
 
     def apply_to_proxies(self, action: actions.ProxyAction) -> None:
-        """Apply an action to proxies, in whichever group they are."""
+        """Send an action to all groups of proxies; each group applies it to its own proxies."""
         for group in self.proxy_groups:
             group.apply(action)
 
     def kill_director(self, number: int) -> None:
-        """Kill a director."""
+        """Kill a director; its status is not polled until it is restarted."""
         self.down.add(number)
         self.log.write("killed", d=number)
         self.directors[number].kill()
@@ -200,11 +205,11 @@
     # Run
 
     def play(self, report: ProgressCallback = lambda *_: None) -> Verdict:
-        """Run the whole day and audit it."""
+        """Run the whole day, end all peers and directors, and return the auditor's verdict."""
         try:
             self.begin()
             self.run(build_schedule(self.scenario, self), report)
-            # Wait for requests in progress, which end within their time limit.
+            # Wait for requests in progress, which end within the time limit of their route.
             time.sleep(max(route.time_limit for route in self.scenario.routes) / 1e6)
             self.poll_status()
         finally:
@@ -212,7 +217,7 @@
         return audit(read_logs(self.folder), audit_limits(self.scenario, self.settings[0]))
 
     def run(self, schedule: list[Step], report: ProgressCallback) -> None:
-        """Run the schedule until the end of the day, and poll the directors' status at intervals."""
+        """Run each step when it is due until the end of the day, and poll the directors' status meanwhile."""
         heapify(schedule)
         begin_us = now_us()
         end_us = begin_us + self.scenario.length
@@ -229,7 +234,7 @@
         self.log.write("mark", what="end")
 
     def run_due_steps(self, schedule: list[Step], elapsed_us: int, report: ProgressCallback) -> None:
-        """Run and remove the steps that are due."""
+        """Run and remove the steps that are due; log and report those that have a text."""
         while schedule and schedule[0].at_us <= elapsed_us:
             step = heappop(schedule)
             step.run()
--- a/rainpick/simulated_peers/derived_settings.py
+++ b/rainpick/simulated_peers/derived_settings.py
@@ -15,7 +15,7 @@
 
 
 def director_settings(scenario: Scenario, number: int, ports: list[int], folder: Path) -> dict[str, Any]:
-    """Build the content of a director's settings file; the scenario's own settings take precedence.
+    """Build the content of a director's settings file; the scenario's ``settings`` take precedence.
 
     ``ports`` has a port for each of ``LISTENERS``, in the same order.
     """
@@ -45,7 +45,7 @@
 
 
 def route_settings(route: Route) -> dict[str, Any]:
-    """Build the settings of a route for a director."""
+    """Build the entry of a route in a director's settings file."""
     return {
         "name": route.name,
         "slo_time": f"{route.slo_time}us",
@@ -57,7 +57,7 @@
 
 
 def audit_limits(scenario: Scenario, settings: Settings) -> Limits:
-    """Build the auditor's limits from the settings of a director."""
+    """Build the auditor's limits from the settings of a director and the routes of the scenario."""
     rules, channel = settings.rules, settings.channel
     return Limits(
         bare=rules.bare,
@@ -120,7 +120,7 @@
 
 
 def route_load(route: Route) -> RouteLoad:
-    """Build the settings of a route for the peers."""
+    """Build the entry of a route in the settings of the peers."""
     return RouteLoad(
         name=route.name,
         share=route.share,
--- a/rainpick/simulated_peers/director_link.py
+++ b/rainpick/simulated_peers/director_link.py
@@ -16,12 +16,12 @@
 from rainpick.simulated_peers.proxy_table import ProxyTable
 from rainpick.simulated_peers.sasp_client import SaspClient
 
-HEARTBEAT_S = 1.0
+HEARTBEAT_S = 1.0  # interval of Set LB State requests, which show that the proxy still reads
 READ_TIMEOUT_S = 0.2
 
 
 class DirectorLink:
-    """Maintains a stream to one of the directors; when it breaks, connects to the next director."""
+    """Keeps a proxy joined to one of the directors; when the stream breaks, joins the next director."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.follower: TableFollower | None = None  # state of the MQTT table, kept across reconnections
 
     def run(self, ended: threading.Event) -> None:
-        """Stay joined to a director until the proxy ends."""
+        """Stay joined to a director until the proxy ends; wait a random delay before each rejoin."""
         settings = self.settings
         director = self.number % max(1, len(settings.sasp))
         protocol = settings.fronts[self.number % len(settings.fronts)]
@@ -54,7 +54,7 @@
                 ended.wait(self.random.uniform(*settings.reconnect_delay_s))
 
     def follow_sasp(self, director: int) -> None:
-        """Join a director over SASP and apply the weights that it pushes, until the stream breaks."""
+        """Join a director over SASP and apply pushed weights; ``OSError`` when the stream breaks."""
         self.stream = stream = SaspClient(self.settings.sasp[director])
         self.require_success(stream.request(SetLbState(self.uid)))
         members = tuple(Member.at(*server) for server in self.table.copy())
@@ -71,7 +71,7 @@
                 stream.send(SetLbState(self.uid))
 
     def follow_mqtt(self, director: int) -> None:
-        """Join a director over MQTT and apply the table that it publishes, until the connection breaks."""
+        """Join a director over MQTT and apply published tables; ``OSError`` when the connection breaks."""
         address = self.settings.mqtt[director]
         assert address is not None  # the directors of a day always listen for MQTT
         self.stream = stream = MqttProxy(address, self.uid)
@@ -84,7 +84,7 @@
             self.reading.wait()
 
     def replace_table(self, follower: TableFollower) -> None:
-        """Replace the proxy's table with the available servers of a verified table."""
+        """Replace the proxy's table with the available servers of the follower's, and log the changes."""
         weights: dict[SocketAddress, int] = {
             parse_address(server): weight for server, weight in follower.available_servers().items()
         }
@@ -92,7 +92,7 @@
 
     @staticmethod
     def require_success(reply: Reply) -> None:
-        """Raise ``ConnectionAbortedError`` if a director rejected a request."""
+        """Raise ``ConnectionAbortedError`` if the reply rejects the request."""
         if reply.code != ReturnCode.SUCCESS:
             raise ConnectionAbortedError(f"request rejected with return code {reply.code:#04x}")
 
--- a/rainpick/simulated_peers/errors.py
+++ b/rainpick/simulated_peers/errors.py
@@ -2,4 +2,4 @@
 
 
 class DayError(Exception):
-    """A scripted day could not be run."""
+    """A scripted day cannot begin, because directors or peers did not become ready."""
--- a/rainpick/simulated_peers/fleet.py
+++ b/rainpick/simulated_peers/fleet.py
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """Starts all servers as warm servers, and applies actions to them."""
+    """Starts all servers of a day, already warm, and applies actions to them."""
 
     def __init__(self, settings: PeerSettings, log: EventLog):
         self.servers: list[SimulatedServer] = []
@@ -28,7 +28,7 @@
         return [ListedServer(*server.address, server.pod_number) for server in self.servers]
 
     def apply(self, action: actions.ServerAction) -> None:
-        """Apply an action to each of its servers in turn."""
+        """Apply an action to each server that it names, one after the other."""
         for number in action.servers:
             self.apply_to(self.servers[number], action)
 
--- a/rainpick/simulated_peers/load_reporter.py
+++ b/rainpick/simulated_peers/load_reporter.py
@@ -15,28 +15,28 @@
 from rainpick.simulated_peers.peer_settings import SocketAddress
 
 REQUEST_TIMEOUT_S = 2.0
-LATE_REPORT_US = 10_000_000  # delay of a withheld report
+LATE_REPORT_US = 10_000_000  # time for which a report is withheld in the mode ``late``
 
 
 @dataclass(slots=True)
 class AttemptTotals:
-    """Number and total duration of the attempts at a server with one outcome."""
+    """Number and total duration of a proxy's attempts at one server that had the same outcome."""
 
     count: int = 0
     seconds: float = 0.0
 
 
 class WithheldReport(NamedTuple):
-    """A report that is held back and sent late."""
+    """An encoded report that is sent late, at ``due_us`` or after."""
 
     body: bytes
     due_us: int
 
 
 class LoadReporter:
-    """Counts a proxy's attempts and requests, and reports the counts at an interval.
+    """Counts a proxy's attempts and requests, and reports the counts every ``interval_s``.
 
-    ``lock`` is the proxy's and guards the counts: callers of the ``record_`` methods hold it.
+    ``lock`` is the proxy's lock, which guards the counts.
     """
 
     def __init__(
@@ -44,8 +44,9 @@
     ):
         self.proxy, self.interval_s, self.log, self.lock = proxy, interval_s, log, lock
         self.client = Client(*collector, timeout_s=REQUEST_TIMEOUT_S)
+        # Attempts by server and outcome, and requests by route and outcome, since the last report.
         self.attempts: dict[tuple[SocketAddress, str], AttemptTotals] = defaultdict(AttemptTotals)
-        self.requests: dict[tuple[str, str], int] = defaultdict(int)  # by route and outcome
+        self.requests: dict[tuple[str, str], int] = defaultdict(int)
         self.mode: ReportMode = "usual"
         self.withheld: WithheldReport | None = None
         self.interval_begin_ns = time.time_ns()
@@ -57,11 +58,14 @@
         totals.seconds += duration_us / 1e6
 
     def record_request(self, route: str, outcome: str) -> None:
-        """Count a request, with its outcome after all attempts. The caller holds the lock."""
+        """Count a request, with its outcome after the proxy's last attempt.
+
+        The caller should hold the lock. ``SimulatedProxy`` does not, so that a count may be lost.
+        """
         self.requests[route, outcome] += 1
 
     def run(self, ended: threading.Event) -> None:
-        """Send reports until the proxy ends."""
+        """Encode a report every ``interval_s`` and send the reports that are due, until the proxy ends."""
         while not ended.wait(self.interval_s):
             for body in self.due_reports(self.next_report()):
                 self.send(body)
@@ -84,9 +88,10 @@
         )
 
     def due_reports(self, body: bytes) -> list[bytes]:
-        """Return the reports to send now.
+        """Return the encoded reports to send now; ``body`` is the newest one.
 
-        In the mode ``late`` the first report is withheld and sent later; further ones are discarded.
+        The mode ``double`` sends the newest report twice. The mode ``late`` sends nothing: it withholds one
+        report and discards the others. The withheld report is sent once it is due and the mode has ended.
         """
         if self.mode == "late":
             self.withheld = self.withheld or WithheldReport(body, now_us() + LATE_REPORT_US)
--- a/rainpick/simulated_peers/membership.py
+++ b/rainpick/simulated_peers/membership.py
@@ -1,4 +1,4 @@
-"""A simulated server's membership: the streams on which it registers with the directors and drains."""
+"""A simulated server's membership: SASP streams for registration, drain and deregistration."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 
 
 class Membership:
-    """Keeps a server registered with each director, across all its runs.
+    """Keeps a server registered with each director. One instance serves all runs of the server.
 
-    ``is_current`` returns whether the run of a number still lasts. Each state sent to a director is logged,
-    because the auditor needs to know which states a director has received.
+    A run lasts from a start of the server to its stop; ``is_current`` returns whether the run with a given
+    number still lasts. Each state sent to a director is logged, because the auditor needs to know which
+    states a director has received.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
     ):
         self.directors, self.group, self.label, self.log = directors, group, label, log
         self.is_current = is_current
-        self.streams: dict[int, SaspClient] = {}  # by director
+        self.streams: dict[int, SaspClient] = {}  # newest stream to each director, by its number
         self.address: SocketAddress = ("127.0.0.1", 0)
         self.started_us, self.draining = 0, False
 
@@ -52,13 +53,13 @@
         return "%s:%d" % self.address
 
     def begin(self, run: int, address: SocketAddress, started_us: int) -> None:
-        """Register the server's new run with all directors, in one thread for each."""
+        """Register a new run of the server with all directors, in one thread for each director."""
         self.address, self.started_us = address, started_us
         for director in range(len(self.directors)):
             threading.Thread(target=self.keep_registered, args=(director, run), daemon=True).start()
 
     def keep_registered(self, director: int, run: int) -> None:
-        """Stay registered with a director while a run of the server lasts."""
+        """Stay registered with a director while a run lasts; reconnect after a broken stream."""
         while self.is_current(run):
             try:
                 stream = SaspClient(self.directors[director])
@@ -72,7 +73,7 @@
                     time.sleep(RECONNECT_DELAY_S)
 
     def register(self, director: int, stream: SaspClient, run: int) -> None:
-        """Register over a new stream, and send the drain again if the server is draining."""
+        """Register over a new stream, and announce the drain again if the server is draining."""
         age_s = (now_us() - self.started_us) / 1e6
         member = Member.at(*self.address, f"{self.label};boot={run};age={age_s:.3f}")
         reply = stream.request(Registration((MemberGroup(self.group, (member,)),)))
@@ -83,20 +84,20 @@
             self.send_drain(director, stream)
 
     def send_drain(self, director: int, stream: SaspClient) -> None:
-        """Inform a director that the server drains."""
+        """Announce the drain to a director by setting the quiesce state."""
         state = MemberState(Member.at(*self.address), 0, True)
         stream.send(SetMemberState((StateGroup(self.group, (state,)),)))
         self.log.write("said", s=self.name, d=director, what="draining")
 
     def drain(self) -> None:
-        """Inform all directors that the server drains."""
+        """Announce the drain to all directors; ``register`` repeats it after a reconnection."""
         self.draining = True
         for director, stream in list(self.streams.items()):
             with contextlib.suppress(OSError):
                 self.send_drain(director, stream)
 
     def deregister(self) -> None:
-        """Deregister the server from all directors."""
+        """Deregister the server from all directors, as a purposeful departure."""
         members = MemberGroup(self.group, (Member.at(*self.address),))
         for director, stream in list(self.streams.items()):
             with contextlib.suppress(OSError):
@@ -109,6 +110,6 @@
             stream.close()
 
     def end(self) -> None:
-        """Close the streams of a run that has ended."""
+        """Close the streams after the end of a run."""
         self.break_streams()
         self.streams.clear()
--- a/rainpick/simulated_peers/mqtt_client.py
+++ b/rainpick/simulated_peers/mqtt_client.py
@@ -16,8 +16,9 @@
 
 
 class MqttProxy:
-    """One connection to a director; its methods raise ``OSError`` if it is broken.
+    """One MQTT connection of a proxy to a director.
 
+    Its methods raise ``OSError`` if the connection is broken or a response takes longer than ``timeout_s``.
     If ``acknowledges`` is False, no PUBACK is sent for received messages. ``published`` has every PUBLISH
     packet that was received.
     """
@@ -28,7 +29,7 @@
         self.uid, self.connection, self.timeout_s = uid, ClientConnection(), timeout_s
         self.acknowledges = True
         self.published: list[codec.Publish] = []
-        self.codes: dict[int, int] = {}  # PUBACK reason code by packet identifier; removed by ``publish``
+        self.codes: dict[int, int] = {}  # PUBACK reason codes by packet identifier, for ``publish``
         self.follower = TableFollower()
         self.sock = socket.create_connection(address, timeout_s)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -42,7 +43,7 @@
         self.sock.sendall(b"".join(codec.encode_packet(packet) for packet in packets))
 
     def packets(self, timeout_s: float) -> list[codec.Packet]:
-        """Receive packets without handling them; return an empty list after ``timeout_s``."""
+        """Receive packets without handling them; return an empty list if none arrives in ``timeout_s``."""
         return blocking_socket.receive(self.sock, timeout_s, self.connection.receive, codec.MqttError)
 
     def wait_for(self, kind: type[AnyPacket]) -> AnyPacket:
@@ -57,14 +58,14 @@
                     return packet
 
     def subscribe(self, *filters: str, qos: int = 1) -> tuple[int, ...]:
-        """Subscribe to topic filters; return the reason codes."""
+        """Subscribe to topic filters; return the reason codes of the SUBACK."""
         self.write(
             codec.Subscribe(self.connection.next_packet_id(), tuple((topic, qos) for topic in filters))
         )
         return self.wait_for(codec.Suback).reason_codes
 
     def publish(self, name: str, payload: payloads.ProxyMessage | bytes) -> int:
-        """Publish to one of the proxy's topics; return the reason code of the PUBACK."""
+        """Publish to the proxy's topic ``name`` with QoS 1; return the reason code of the PUBACK."""
         number = self.connection.next_packet_id()
         data = payload if isinstance(payload, bytes) else payloads.encode(payload)
         self.write(codec.Publish(topics.proxy_topic(self.uid, name), data, 1, number))
@@ -76,7 +77,7 @@
         return self.codes.pop(number)
 
     def join(self, previous: TableFollower | None, weights: dict[str, int]) -> TableFollower:
-        """Join with the table of an earlier connection, or with the weights of a default table."""
+        """Subscribe and publish the presence, with the table ``previous`` or else with ``weights``."""
         self.follower = previous or TableFollower(weights)
         self.subscribe(topics.assignment_topic(self.uid), f"{topics.TOPIC_ROOT}/table/+")
         follower = self.follower
@@ -94,7 +95,7 @@
         return self.follower
 
     def handle(self, packets: list[codec.Packet]) -> bool:
-        """Handle packets; return whether one of them was a PUBLISH."""
+        """Apply and acknowledge received packets; return whether one of them was a PUBLISH."""
         published = False
         for packet in packets:
             if isinstance(packet, codec.Puback):
@@ -110,7 +111,7 @@
         return published
 
     def apply_payload(self, data: bytes) -> None:
-        """Apply a payload to the table; request a snapshot if it does not fit the table or is damaged."""
+        """Apply a payload to the table; if this is not possible, request a snapshot."""
         try:
             fault = self.follower.apply(payloads.decode_director_message(data))
         except payloads.PayloadError:
@@ -119,7 +120,7 @@
             self.request_snapshot(fault)
 
     def request_snapshot(self, fault: SyncFault) -> None:
-        """Request a snapshot of the table by publishing a fault."""
+        """Publish a fault, to which the director responds with a snapshot of the table."""
         topic = topics.proxy_topic(self.uid, "trouble")
         self.write(codec.Publish(topic, payloads.encode(fault), 0))
 
--- a/rainpick/simulated_peers/peer_groups.py
+++ b/rainpick/simulated_peers/peer_groups.py
@@ -14,22 +14,22 @@
 
 
 class PeerRole(StrEnum):
-    """The kind of a group of peers."""
+    """The kind of the peers in a group."""
 
     FLEET = "fleet"
     PROXIES = "edge"
 
 
 class PeerGroup(Protocol):
-    """A running group of peers, in this process or its own."""
+    """A running group of peers, in this process or in a process of its own."""
 
     servers: list[ListedServer]  # empty for proxies
 
     def apply(self, action: Action) -> None:
-        """Apply an action, which must be one for the group's role."""
+        """Apply an action: a ``ServerAction`` to the fleet, a ``ProxyAction`` to a group of proxies."""
 
     def close(self) -> None:
-        """End the group."""
+        """End all peers of the group."""
 
 
 class PeerGroupStarter(Protocol):
@@ -53,13 +53,13 @@
             self.group = ProxyGroup(start.settings, start.listed, start.proxies, self.log)
 
     def apply(self, action: Action) -> None:
-        """Apply an action."""
+        """Apply an action; see ``PeerGroup.apply``."""
         if isinstance(self.group, Fleet):
             self.group.apply(cast(ServerAction, action))
         else:
             self.group.apply(cast(ProxyAction, action))
 
     def close(self) -> None:
-        """End the group and close its log."""
+        """End all peers of the group and close its log."""
         self.group.close()
         self.log.close()
--- a/rainpick/simulated_peers/peer_settings.py
+++ b/rainpick/simulated_peers/peer_settings.py
@@ -10,12 +10,12 @@
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """The capacity and the listed weight of a type of servers."""
+    """The capacity of a type of servers, and the weight that they register."""
 
     name: str
     slots: int  # number of requests processed at once
     speed: float  # speed of a slot; 1 is the normal speed
-    weight: float  # listed weight
+    weight: float  # listed weight, sent in the label of a registration
 
 
 class RouteLoad(msgspec.Struct, frozen=True):
@@ -27,16 +27,16 @@
     slo_us: int
     time_limit_us: int
     effect: Literal["repeatable", "keyed", "mutating"]
-    retry_window_us: int  # time in which a pod drops a duplicate of an idempotent request
+    retry_window_us: int  # time in which a pod drops duplicates of a request with effect ``keyed``
 
 
 class SlowStart(msgspec.Struct, frozen=True):
     """The slow start of servers, and the load that a server withstands during it."""
 
     warm_up_us: int
-    start_capacity: float  # fraction of the capacity at the start
+    start_capacity: float  # capacity at the start, as a fraction of the full capacity
     overload_window_us: int
-    overload_multiple: float  # multiple of the capacity that may be requested within the window
+    overload_multiple: float  # multiple of its capacity that a server withstands in the window
 
 
 class ListedServer(msgspec.Struct, frozen=True, array_like=True):
@@ -63,24 +63,27 @@
     machines: tuple[MachineType, ...]
     routes: tuple[RouteLoad, ...]
     slow_start: SlowStart
-    sasp: tuple[SocketAddress, ...]  # addresses by director, as in the next two
-    mqtt: tuple[SocketAddress | None, ...]
-    otlp: tuple[SocketAddress, ...]
-    fronts: tuple[Literal["sasp", "mqtt"], ...]  # protocols, assigned to the proxies in turn
+    sasp: tuple[SocketAddress, ...]  # SASP address of each director, by its number
+    mqtt: tuple[SocketAddress | None, ...]  # MQTT address of each director; None if it has none
+    otlp: tuple[SocketAddress, ...]  # address of each director for load reports
+    fronts: tuple[Literal["sasp", "mqtt"], ...]  # protocols to the directors, assigned to the proxies in turn
     proxies: int
     calls_per_s: float  # request rate of all clients together
     pick: Literal["lottery", "wheel", "pair"]  # random, round robin, or best of two random; all weighted
     default_servers: int  # size of a proxy's default table
-    retry: Literal["never", "same_pod", "anywhere"]  # retries of proxies
+    retry: Literal["never", "same_pod", "anywhere"]  # servers at which proxies retry
     client_retries: int
     client_retry_delay_s: float
-    attempt_limit_share: float  # time limit of an attempt, as a share of the route's
+    attempt_limit_share: float  # time limit of an attempt, as a share of its route's time limit
     report_interval_s: float
-    reconnect_delay_s: tuple[float, float]  # minimum and maximum
+    reconnect_delay_s: tuple[float, float]  # minimum and maximum, drawn anew each time
 
 
 class PeerStart(msgspec.Struct, frozen=True):
-    """The start message of a group of peers; ``listed`` and ``proxies`` are for groups of proxies."""
+    """The start message of a group of peers.
+
+    Groups of proxies also get the servers (``listed``) and the numbers of their proxies (``proxies``).
+    """
 
     settings: PeerSettings
     listed: list[ListedServer] = []
--- a/rainpick/simulated_peers/ports.py
+++ b/rainpick/simulated_peers/ports.py
@@ -4,7 +4,7 @@
 import secrets
 import socket
 
-# Below the ephemeral ports: the system could assign those to any socket while a director restarts.
+# Below the ephemeral ports, which the system could assign to another socket while their director restarts.
 PORTS = range(20_000, 32_768)
 
 
--- a/rainpick/simulated_peers/processes.py
+++ b/rainpick/simulated_peers/processes.py
@@ -62,7 +62,7 @@
 
 
 class PeerProcess:
-    """A group of peers in a process that reads actions from its standard input."""
+    """A group of peers in its own process, which reads actions from its standard input."""
 
     def __init__(self, role: PeerRole, start: PeerStart, log_path: Path):
         command = [sys.executable, "-m", __package__, role.value, str(log_path)]
--- a/rainpick/simulated_peers/proxies.py
+++ b/rainpick/simulated_peers/proxies.py
@@ -12,8 +12,8 @@
 from rainpick.simulated_peers.peer_settings import PeerSettings, RouteLoad, SocketAddress
 from rainpick.simulated_peers.proxy_table import ProxyTable
 
-OUTCOMES = {200: "answered", 503: "throttled"}  # by HTTP status; any other counts as dropped
-MIN_ATTEMPT_LIMIT_S = 0.01
+OUTCOMES = {200: "answered", 503: "throttled"}  # outcome by HTTP status; any other status is ``dropped``
+MIN_ATTEMPT_LIMIT_S = 0.01  # shortest time limit of an attempt
 
 
 class SimulatedProxy:
@@ -38,11 +38,12 @@
             threading.Thread(target=run, args=(self.ended,), daemon=True).start()
 
     def forward_request(self, route: RouteLoad, request: str, deadline_us: int) -> str:
-        """Forward a request to a server, and retry a failure at another server if the settings allow it.
+        """Forward a request to a server; retry a failure once at another server if the settings allow it.
 
-        Return the outcome: ``answered``, ``dropped`` or ``throttled``; the last also if there is no server.
+        Return the outcome of the last attempt: ``answered``, ``dropped`` or ``throttled``. It is also
+        ``throttled`` if no attempt is made, because there is no server or the deadline has passed.
         """
-        excluded: list[SocketAddress] = []  # the attempted server, and servers that a retry may not use
+        excluded: list[SocketAddress] = []  # server of the first attempt, then others barred for the retry
         outcome, first_us = "throttled", now_us()
         while True:
             server = self.table.pick(excluded)
@@ -68,7 +69,7 @@
     def log_retry(
         self, route: RouteLoad, request: str, server: SocketAddress, first: SocketAddress, first_us: int
     ) -> None:
-        """Log a retry, with the server and the start time of the first attempt."""
+        """Log a retry, with server and start time of the first attempt (``first`` and ``first_us``)."""
         self.log.write(
             "again",
             p=self.uid,
@@ -80,7 +81,7 @@
         )
 
     def attempt(self, route: RouteLoad, request: str, server: SocketAddress, deadline_us: int) -> str:
-        """Send a request to a server; return the outcome."""
+        """Make an attempt at a server within its time limit; log it, count it and return the outcome."""
         begin, name = now_us(), "%s:%d" % server
         self.log.write("try", at=begin, p=self.uid, id=request, r=route.name, s=name)
         limit_us = min(deadline_us - begin, self.settings.attempt_limit_share * route.time_limit_us)
@@ -100,6 +101,6 @@
         return outcome
 
     def close(self) -> None:
-        """End the proxy."""
+        """End the proxy's threads and close its stream to the director."""
         self.ended.set()
         self.link.close()
--- a/rainpick/simulated_peers/proxy_group.py
+++ b/rainpick/simulated_peers/proxy_group.py
@@ -21,7 +21,8 @@
 
     def __init__(self, settings: PeerSettings, listed: list[ListedServer], numbers: list[int], log: EventLog):
         self.settings, self.log, self.ended = settings, log, threading.Event()
-        # Drawn for all proxies of the day, so that a proxy's values do not depend on the process it runs in.
+        # Default tables and request rates are drawn for all proxies of the day, including those of other
+        # groups, so that they do not depend on the division into groups.
         generator = random.Random(f"{settings.seed} standing")
         addresses = [server.address for server in listed]
         pods = {server.address: server.pod for server in listed}
@@ -37,7 +38,7 @@
             threading.Thread(target=self.run_clients, args=(proxy, calls_per_s), daemon=True).start()
 
     def run_clients(self, proxy: SimulatedProxy, calls_per_s: float) -> None:
-        """Send requests in an open loop: their times do not depend on responses."""
+        """Send requests to a proxy in an open loop: Poisson arrivals that do not depend on responses."""
         settings = self.settings
         generator = random.Random(f"{settings.seed} client {proxy.number}")
         pool = ThreadPoolExecutor(max_workers=MAX_CONCURRENT_REQUESTS)
@@ -50,11 +51,11 @@
             route = generator.choices(settings.routes, shares)[0]
             count += 1
             pool.submit(self.request, proxy, route, f"{proxy.uid}.{count}", due_us)
-        # Not in ``close``, which could shut down the pool just before this thread submits to it.
+        # Not in ``close``: it could shut down the pool just before this thread submits a request to the pool.
         pool.shutdown(wait=False, cancel_futures=True)
 
     def request(self, proxy: SimulatedProxy, route: RouteLoad, request: str, due_us: int) -> None:
-        """Send a client's request, with the client's own retries, until the time limit."""
+        """Send a request until it is answered, or the client's retries or the time limit are used up."""
         deadline_us, outcome = due_us + route.time_limit_us, "dropped"
         for attempt in range(1 + self.settings.client_retries):
             if now_us() >= deadline_us or self.ended.is_set():
@@ -70,7 +71,7 @@
     def log_request(
         self, proxy: SimulatedProxy, route: RouteLoad, request: str, due_us: int, outcome: str
     ) -> None:
-        """Log the outcome of a request, with the time at which it was due."""
+        """Log the outcome of a request, with the time at which the client was due to send it."""
         duration_us = now_us() - due_us
         good = outcome == "answered" and duration_us <= route.slo_us
         self.log.write(
@@ -85,7 +86,7 @@
         )
 
     def apply(self, action: actions.ProxyAction) -> None:
-        """Apply an action to each of its proxies that belongs to this group."""
+        """Apply an action to the proxies of this group that the action names."""
         for number in action.proxies:
             if number in self.proxies:
                 self.apply_to(self.proxies[number], action)
--- a/rainpick/simulated_peers/proxy_table.py
+++ b/rainpick/simulated_peers/proxy_table.py
@@ -12,15 +12,16 @@
 from rainpick.sasp.messages import SendWeights
 from rainpick.simulated_peers.peer_settings import SocketAddress
 
-MAX_IDLE_CONNECTIONS = 8  # to each server
+MAX_IDLE_CONNECTIONS = 8  # kept open to each server
 
-Entry = list[Any]  # server, weight and SASP flags, in the form of the log events
+Entry = list[Any]  # ``HOST:PORT`` of a server, its weight and SASP flags, as in log events
 
 
 class ProxyTable:
-    """Holds the weights that the proxy read last. Methods may be called from any thread.
+    """Holds the weights that the proxy read last, attempts in flight, and idle connections.
 
-    ``lock`` is the proxy's; it also guards the counts for the load reports.
+    Methods may be called from any thread. ``lock`` is the proxy's lock, which also guards the counts for the
+    load reports; methods acquire it unless they say that the caller holds it.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
             return dict(self.weights)
 
     def update(self, message: SendWeights) -> list[Entry]:
-        """Apply pushed weights; return their entries."""
+        """Apply pushed weights, in which weight 0 removes a server; return their entries."""
         entries = [entry for group in message.groups for entry in group.entries]
         with self.lock:
             for entry in entries:
@@ -55,7 +56,7 @@
         return [["%s:%d" % entry.member.key(), entry.weight, entry.flags] for entry in entries]
 
     def replace(self, weights: dict[SocketAddress, int]) -> list[Entry]:
-        """Replace the table with a verified one; return the entries that changed."""
+        """Replace all weights; return the changed entries, with weight 0 for removed servers."""
         with self.lock:
             changed = [
                 ["%s:%d" % server, weight, 0]
@@ -74,7 +75,10 @@
             client.close()
 
     def pick(self, excluded: Collection[SocketAddress]) -> SocketAddress | None:
-        """Pick a server by weight that is not excluded; None if there is none."""
+        """Pick a server that is not excluded, by policy and weights; None if there is none.
+
+        The policy ``pair`` draws two servers and picks the one with fewer attempts in flight.
+        """
         with self.lock:
             weights = {server: weight for server, weight in self.weights.items() if server not in excluded}
             if not weights:
@@ -86,7 +90,7 @@
             return min(drawn, key=lambda server: self.in_flight[server])
 
     def pick_round_robin(self, weights: dict[SocketAddress, int]) -> SocketAddress:
-        """Pick by smooth weighted round robin. The caller holds the lock."""
+        """Pick a server by smooth weighted round robin. The caller holds the lock."""
         for server, weight in weights.items():
             self.credits[server] = self.credits.get(server, 0) + weight
         best = max(weights, key=lambda server: self.credits[server])
@@ -94,14 +98,14 @@
         return best
 
     def acquire(self, server: SocketAddress) -> tuple[Client, list[Client]]:
-        """Get a connection for an attempt, and the list of idle ones to which ``release`` may return it."""
+        """Get a connection for an attempt, and the server's list of idle connections for ``release``."""
         idle = self.idle[server]
         with self.lock:
             self.in_flight[server] += 1
             return (idle.pop() if idle else Client(*server)), idle
 
     def release(self, server: SocketAddress, client: Client, idle: list[Client]) -> None:
-        """Release a connection after an attempt. The caller holds the lock."""
+        """End an attempt in flight and keep its connection if it may be reused. The caller holds the lock."""
         self.in_flight[server] -= 1
         if client.connected and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(client)
--- a/rainpick/simulated_peers/sasp_client.py
+++ b/rainpick/simulated_peers/sasp_client.py
@@ -25,9 +25,10 @@
 
 
 class SaspClient:
-    """One stream to a director; its methods raise ``OSError`` if it is broken.
+    """One SASP stream to a director.
 
-    ``receive_buffer_bytes`` is the size of the socket's receive buffer; None for the system's default.
+    Its methods raise ``OSError`` if the stream is broken or a reply takes longer than ``timeout_s``.
+    ``receive_buffer_bytes`` is the size of the socket's receive buffer; None is the system's default.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
     def request(self, message: StatusRequest) -> Reply: ...
 
     def request(self, message: Message) -> Any:
-        """Send a request and wait for its reply; weights pushed before it are stored."""
+        """Send a request and return its reply; weights that are pushed meanwhile are stored."""
         self.send(message)
         while True:
             received = self.receive(self.timeout_s)
@@ -71,14 +72,14 @@
         self.sock.sendall(self.session.encode_request(message))
 
     def receive_weights(self, timeout_s: float) -> list[SendWeights]:
-        """Return the stored pushes; if there are none, those that arrive within ``timeout_s``."""
+        """Return and clear the stored weights; if there are none, wait up to ``timeout_s`` for a push."""
         if not self.pushed:
             self.store_pushed(self.receive(timeout_s))
         weights, self.pushed = self.pushed, []
         return weights
 
     def store_pushed(self, received: list[ReceivedMessage]) -> None:
-        """Store the received messages that are not replies."""
+        """Store the pushed weights among received messages, and ignore replies."""
         for request, message in received:
             if request is None:
                 assert isinstance(message, SendWeights)  # the session accepts no other messages
--- a/rainpick/simulated_peers/scenario.py
+++ b/rainpick/simulated_peers/scenario.py
@@ -40,7 +40,7 @@
 
 
 class Every(Part):
-    """Selects every ``every``-th number, beginning with ``first``."""
+    """Selects the numbers ``first``, ``first + every`` and so on, of servers or proxies."""
 
     every: int = Field(ge=1)
     first: int = Field(0, ge=0)
@@ -50,7 +50,7 @@
 
 
 class Event(Part):
-    """An event at a time of the day; ``for`` is its duration, if it is one that can end."""
+    """An event that begins ``at`` a time of the day; ``for`` is its duration, if the event can end."""
 
     at: Duration
     do: Literal[
@@ -81,7 +81,7 @@
 
     @property
     def end(self) -> int | None:
-        """The end time of the event; None if it has no duration."""
+        """The time of the day at which the event ends, in microseconds; None if it has no duration."""
         return None if self.lasts is None else self.at + self.lasts
 
 
@@ -118,7 +118,7 @@
 
     @model_validator(mode="after")
     def check_events(self) -> Scenario:
-        """Check that the events fit the fleet."""
+        """Check that each event begins within the day and names existing zones and directors."""
         for index, event in enumerate(self.events):
             error = self.event_error(event)
             if error is not None:
@@ -126,7 +126,7 @@
         return self
 
     def event_error(self, event: Event) -> str | None:
-        """Return the reason why an event does not fit the fleet; None if it fits."""
+        """Return the reason why an event is invalid in this scenario; None if it is valid."""
         zone = event.servers.zone if isinstance(event.servers, Zone) else event.zone
         if zone is not None and zone not in self.zones:
             return f"zone {zone!r} is not one of {list(self.zones)}"
@@ -139,7 +139,7 @@
         return None
 
     def servers_of(self, event: Event) -> list[int]:
-        """List the servers that an event selects."""
+        """List the numbers of the servers that an event selects."""
         zone = event.zone if event.do == "lose_zone" else None
         if isinstance(event.servers, Zone):
             zone = event.servers.zone
@@ -149,15 +149,15 @@
         return select(self.servers, event.servers)
 
     def proxies_of(self, event: Event) -> list[int]:
-        """List the proxies that an event selects."""
+        """List the numbers of the proxies that an event selects."""
         return select(self.proxies, event.proxies)
 
 
 def select(count: int, selector: Selector) -> list[int]:
-    """List the selected numbers below ``count``."""
+    """List the selected numbers below ``count``; numbers that the scenario lists are not checked."""
     if isinstance(selector, Every):
         return list(range(count)[selector.first :: selector.every])
     if selector == "all":
         return list(range(count))
-    assert isinstance(selector, tuple)  # ``servers_of`` has resolved zones already
+    assert isinstance(selector, tuple)  # ``servers_of`` handles zones itself
     return list(selector)
--- a/rainpick/simulated_peers/schedule.py
+++ b/rainpick/simulated_peers/schedule.py
@@ -12,13 +12,13 @@
 
 
 class StepTarget(Protocol):
-    """Applies the steps of a schedule to the peers and directors."""
+    """Receives the actions of a schedule's steps, for peers and directors."""
 
     def apply_to_servers(self, action: actions.ServerAction) -> None:
-        """Apply an action to servers."""
+        """Apply an action to the servers that it names."""
 
     def apply_to_proxies(self, action: actions.ProxyAction) -> None:
-        """Apply an action to proxies."""
+        """Apply an action to the proxies that it names."""
 
     def kill_director(self, number: int) -> None:
         """Kill a director."""
@@ -30,7 +30,7 @@
 class Step(NamedTuple):
     """One step of a schedule; steps at the same time run in the order of ``order``."""
 
-    at_us: int  # from the beginning of the day
+    at_us: int  # time since the beginning of the day
     order: int
     text: str  # description for the log and the progress output; empty to print nothing
     run: Callable[[], None]
@@ -45,22 +45,22 @@
 
 
 class ScheduleBuilder:
-    """Collects the steps of events; an event with a duration has a second step, which ends it."""
+    """Builds the steps of events; a fault with a duration has a second step, which ends the fault."""
 
     def __init__(self, scenario: Scenario, target: StepTarget):
         self.scenario, self.target = scenario, target
         self.steps: list[Step] = []
 
     def add(self, at_us: int, text: str, run: Callable[[], None]) -> None:
-        """Add a step."""
+        """Add a step after those that were added before."""
         self.steps.append(Step(at_us, len(self.steps), text, run))
 
     def add_server_step(self, at_us: int, text: str, action: actions.ServerAction) -> None:
-        """Add an action on servers."""
+        """Add a step that applies an action to servers."""
         self.add(at_us, text, lambda: self.target.apply_to_servers(action))
 
     def add_proxy_step(self, at_us: int, text: str, action: actions.ProxyAction) -> None:
-        """Add an action on proxies."""
+        """Add a step that applies an action to proxies."""
         self.add(at_us, text, lambda: self.target.apply_to_proxies(action))
 
     def add_event(self, event: Event) -> None:
@@ -82,7 +82,7 @@
                 self.add_report_event(event)
 
     def add_fault(self, event: Event) -> None:
-        """Add the steps that make servers slow down, fail requests or hang."""
+        """Add the steps that make servers slow down, fail requests or hang, and that end the fault."""
         servers, end_us = self.scenario.servers_of(event), event.end
         begin: actions.ServerAction
         end: actions.ServerAction
@@ -97,7 +97,7 @@
             self.add_server_step(end_us, f"{event.do} is over", end)
 
     def add_outage(self, event: Event) -> None:
-        """Add the steps that stop servers, or all servers of a zone, without notice."""
+        """Add the steps that stop servers or a whole zone without a drain, and that start them again."""
         servers, end_us = self.scenario.servers_of(event), event.end
         cause = f"zone {event.zone} is lost" if event.zone else "sudden death"
         self.add_server_step(event.at, f"{cause}: {len(servers)} servers", actions.StopServers(servers))
@@ -112,7 +112,7 @@
         self.add_server_step(event.at, f"{event.do}: {len(servers)} servers", kind(servers))
 
     def add_deploy(self, event: Event) -> None:
-        """Add the steps that replace servers one after the other."""
+        """Add a step for each server that replaces it, at intervals of the event's ``stagger``."""
         servers = self.scenario.servers_of(event)
         for index, number in enumerate(servers):
             text = f"deploy: {len(servers)} servers" if index == 0 else ""
--- a/rainpick/simulated_peers/server_capacity.py
+++ b/rainpick/simulated_peers/server_capacity.py
@@ -8,19 +8,19 @@
 
 from rainpick.simulated_peers.peer_settings import MachineType, SlowStart
 
-MAX_QUEUE_US = 1_500_000  # a request that would wait longer is rejected
+MAX_QUEUE_US = 1_500_000  # a request that would wait longer for a slot is rejected
 SLACK_REQUESTS = 4  # requests of mean work that a server warming up withstands beyond its budget
 
 
 class ServerCapacity:
-    """The capacity of a server in its current run. Times are microseconds of the monotonic clock."""
+    """The capacity of a server in its current run, and its use. Times are monotonic microseconds."""
 
     def __init__(self, machine: MachineType, slow_start: SlowStart):
         self.slots, self.speed, self.slow_start = machine.slots, machine.speed, slow_start
         self.lock = threading.Lock()
         self.started_us = 0
-        self.slots_free_us = [0.0] * self.slots  # heap with the time at which each slot is free
-        self.arrivals: deque[tuple[int, int]] = deque()  # time and mean work, during the slow start
+        self.slots_free_us = [0.0] * self.slots  # heap of the times at which the slots become free
+        self.arrivals: deque[tuple[int, int]] = deque()  # time and mean work of requests in the slow start
 
     def reset(self, started_us: int) -> None:
         """Reset the state for a new run, with all slots free."""
@@ -33,13 +33,16 @@
         return self.slots * self.speed
 
     def rate(self, now: int) -> float:
-        """Return the microseconds of work per microsecond; lower while the server warms up."""
+        """Return the microseconds of work that the server does per microsecond, less during warm-up."""
         start = self.slow_start.start_capacity
         age = (now - self.started_us) / self.slow_start.warm_up_us
         return self.warm_rate * min(1.0, start + (1 - start) * age)
 
     def is_overloaded(self, now: int, work_us: int) -> bool:
-        """Count a request's mean work; return whether a server warming up fails under the load."""
+        """Count a request by its mean work; return whether a server warming up fails under the load.
+
+        A warm server never fails, so its requests are not counted.
+        """
         slow_start = self.slow_start
         if now - self.started_us >= slow_start.warm_up_us:
             return False
@@ -52,7 +55,10 @@
         return received_us > budget_us + SLACK_REQUESTS * work_us
 
     def reserve(self, now: int, duration_us: float) -> float | None:
-        """Reserve the slot that is free first; return the request's end, None if it would wait too long."""
+        """Reserve the slot that becomes free first, and return the time at which the request ends.
+
+        None means that the request would wait longer than ``MAX_QUEUE_US``.
+        """
         with self.lock:
             begin_us = max(now, self.slots_free_us[0])
             if begin_us - now > MAX_QUEUE_US:
--- a/rainpick/simulated_peers/servers.py
+++ b/rainpick/simulated_peers/servers.py
@@ -15,7 +15,7 @@
 from rainpick.simulated_peers.server_capacity import ServerCapacity
 
 MAX_CONNECTIONS = 512
-MAX_KNOWN_REQUESTS = 4096  # size at which a pod removes expired idempotency keys
+MAX_KNOWN_REQUESTS = 4096  # number of idempotency keys above which a pod removes expired ones
 HANG_CHECK_INTERVAL_S = 0.02  # interval at which a hanging request checks whether it may continue
 DEREGISTRATION_WAIT_S = 0.05  # time for the last messages to be sent before the streams are closed
 
@@ -25,10 +25,10 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.known_until_us: dict[str, int] = {}
+        self.known_until_us: dict[str, int] = {}  # expiry time by idempotency key
 
     def is_duplicate(self, request: str, window_us: int) -> bool:
-        """Return whether the request was received within the window before now; if not, store its key."""
+        """Return whether a request was received within the last ``window_us``; if not, store its key."""
         now = now_us()
         with self.lock:
             if len(self.known_until_us) > MAX_KNOWN_REQUESTS:
@@ -41,7 +41,7 @@
 
 
 def pod_number(server: int, zones: int) -> int:
-    """Return the pod of a server; a pod is a pair of consecutive servers of a zone."""
+    """Return the number of a server's pod; each pod has two consecutive servers of a zone."""
     return server // (zones * 2) * zones + server % zones
 
 
@@ -60,7 +60,7 @@
         label = f"weight={machine.weight};zone={zone};machine={machine.name};pod={self.pod_number}"
         group = Group(settings.uid, settings.group)
         self.membership = Membership(settings.sasp, group, label, log, self.is_current)
-        self.run = 0  # number of starts
+        self.run = 0  # number of starts so far, which identifies the current run
         self.running = threading.Event()
         self.address: SocketAddress = ("127.0.0.1", 0)  # later starts reuse the port of the first
         self.http_server: Server | None = None
@@ -72,15 +72,15 @@
         return "%s:%d" % self.address
 
     def is_current(self, run: int) -> bool:
-        """Return whether the run of a number still lasts."""
+        """Return whether the run with this number still lasts."""
         return self.running.is_set() and self.run == run
 
     # Requests
 
     def serve(self, http_request: Request) -> Response:
-        """Handle a request: its path is the route, and its header ``call`` identifies it.
+        """Handle a request. The path is its route; the header ``call`` identifies the request.
 
-        ``ConnectionResetError`` closes the connection without a response.
+        ``ConnectionResetError`` makes the HTTP server close the connection without a response.
         """
         now, request = now_us(), http_request.headers.get("call", "?")
         route = self.routes[http_request.path.strip("/")]
@@ -100,7 +100,11 @@
         return self.work(route, request, now)
 
     def work(self, route: RouteLoad, request: str, now: int) -> Response:
-        """Do the work of a request; it takes effect at the end."""
+        """Process a request in a slot; return status 503 if the queue is full.
+
+        The request takes effect at the end. Half of the mean work is constant, the other half is
+        exponentially distributed.
+        """
         work_us = self.random.expovariate(1 / route.work_us) / 2 + route.work_us / 2
         duration_us = work_us * self.capacity.slots / self.capacity.rate(now) * self.slowdown
         end_us = self.capacity.reserve(now, duration_us)
@@ -116,7 +120,7 @@
     # Lifecycle
 
     def start(self, cold: bool) -> None:
-        """Start a new run of the server; a cold server warms up."""
+        """Start a new run of the server. With ``cold`` it begins a slow start, otherwise it is warm."""
         self.run += 1
         started_us = now_us() - (0 if cold else self.warm_up_us)
         self.capacity.reset(started_us)
@@ -135,7 +139,7 @@
         self.membership.begin(self.run, self.address, started_us)
 
     def drain(self) -> None:
-        """Begin a graceful shutdown: announce the drain to the directors, and still serve requests."""
+        """Begin a graceful shutdown: announce the drain to the directors, but still serve requests."""
         self.membership.drain()
 
     def leave(self) -> None:
@@ -145,7 +149,7 @@
         self.stop("left")
 
     def stop(self, reason: str) -> None:
-        """Stop at once, without answering requests in progress. Does nothing on a stopped server."""
+        """Stop at once, without answering requests in progress. Does nothing if already stopped."""
         if self.running.is_set():
             self.running.clear()
             self.log.write("stop", s=self.name, how=reason)
