--- a/tests/compat/drawn_day.py
+++ b/tests/compat/drawn_day.py
@@ -1,7 +1,7 @@
-"""Days drawn from a seed for one director: settings, servers, proxies, faults and acknowledgements.
+"""Random days for one director: settings, servers, proxies, faults and acknowledgements, drawn from a seed.
 
-A day passes events to the decisions and digests the resulting commands. The digest covers neutral names and
-plain numbers, so that it does not depend on the names of types and fields.
+A day passes events to the decisions and computes a digest of the resulting commands. The digest covers
+neutral names and plain numbers, so that it does not depend on the names of types and fields.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class Digest:
-    """The digest of all commands of a director, and the number of commands of each kind."""
+    """The SHA-256 digest of all commands of a director, and the number of commands of each kind."""
 
     def __init__(self) -> None:
         self.hash = sha256()
@@ -59,7 +59,7 @@
             self.hash.update(f"{now} {fields!r}\n".encode())
 
     def result(self) -> dict:
-        """Return the digest in the form of the committed file."""
+        """Return the digest in the form of ``decisions/digests.json``."""
         return {"sha256": self.hash.hexdigest(), "commands": dict(sorted(self.counts.items()))}
 
 
@@ -112,11 +112,11 @@
         self.director, self.digest = Director(), Digest()
         self.servers: dict[str, model.Endpoint] = {}
         self.servers_created = 0
-        self.faults: dict[str, str] = {}
+        self.faults: dict[str, str] = {}  # by address of the server
         self.proxies: dict[int, int] = {}  # zone of each joined proxy
-        self.unresponsive: set[int] = set()
-        self.nonces: list[int] = []
-        self.scheduled: list[tuple[int, int, list]] = []
+        self.unresponsive: set[int] = set()  # proxies that do not acknowledge
+        self.nonces: list[int] = []  # the last five requested
+        self.scheduled: list[tuple[int, int, list]] = []  # heap of due time, number and events
         self.numbers = count()
         self.load_factor = 1.0
         self.partitioned_zone: int | None = None
@@ -136,7 +136,7 @@
         return model.Endpoint(*fields, model.EndpointState.READY)
 
     def play(self) -> dict:
-        """Play all rounds."""
+        """Start the director, play all rounds, and return the digest."""
         for _ in range(self.draw.choice((4, 15, 60))):
             endpoint = self.server(self.draw.choice((0, 0, 0, max(0, self.now - 1_000_000))))
             self.servers[endpoint.address] = endpoint
@@ -180,7 +180,7 @@
         return events
 
     def proxies_joining(self, count: int) -> list:
-        """Return joins of proxies, some of which rejoin unnoticed."""
+        """Return joins of random proxies; some of them are already joined and have not left."""
         events = []
         for _ in range(count):
             proxy = self.draw.randrange(200)
@@ -270,7 +270,7 @@
         return events
 
     def server_report(self, address: str, endpoint: model.Endpoint) -> model.ServerLoadReport | None:
-        """Return a load report on one server, which depends on its fault, the load and its zone."""
+        """Return a load report on a server by its fault, its zone and the load; None if nobody reports."""
         fault = self.faults.get(address)
         attempts = self.draw.randrange(1, 25)
         failure_ratio = 0.0 if self.load_factor < 2 else min(0.9, 0.12 * self.load_factor)
--- a/tests/compat/operations_otlp.py
+++ b/tests/compat/operations_otlp.py
@@ -27,7 +27,10 @@
 
 
 def handle_request(arguments):
-    """Return the response to a request if the director returns these verdicts; None: it is too busy."""
+    """Return the response to a request if the director returns these verdicts.
+
+    ``verdicts`` has the number of points by verdict; None means that the director is too busy.
+    """
     request, verdicts = arguments
     return metrics_handler(lambda _: verdicts)(request)
 
--- a/tests/compat/operations_platform.py
+++ b/tests/compat/operations_platform.py
@@ -31,7 +31,7 @@
 
 
 def read_stream(chunks):
-    """Return all messages of a stream to the director's address that is received in these chunks."""
+    """Return all messages of a stream that the director receives in these chunks."""
     reader = FrameReader(VOCABULARY)
     return [message for chunk in chunks for message in reader.receive(chunk)]
 
@@ -50,7 +50,7 @@
 
 
 def encode_call(arguments):
-    """Return the lines of the parts of a step's call, if the relay accepts each part as a whole."""
+    """Return a line for each part of a step's call, if the relay accepts all commands of each part."""
     commands, command_limit = arguments
     remaining, lines = commit_call(list(commands)), []
     while remaining is not None:
@@ -61,7 +61,7 @@
 
 
 def encode_remaining(arguments):
-    """Return the line of the rest of a call of which the relay accepted the first commands."""
+    """Return the line that sends the rest of a call, of which the relay has accepted some commands."""
     commands, accepted = arguments
     call = commit_call(list(commands))
     remaining = call.remaining(accepted, call)
@@ -83,7 +83,7 @@
 
 
 def read_configuration(text):
-    """Return the contents of a configuration file; of the settings only the values."""
+    """Return the contents of a configuration file and the cached list; of the settings only the values."""
     with TemporaryDirectory() as folder, contextlib.chdir(folder):
         Path("proxy.json").write_bytes(text)
         fields = configuration.read_configuration({"PROXY_CONFIG": "proxy.json"})
@@ -126,7 +126,7 @@
 
 
 def relay_stream(lines):
-    """Return the bytes of the subscription, and all notifications published until the relay closes."""
+    """Return the bytes of the subscription, and the notifications until the relay closes the stream."""
     peer, notifications = Peer([lines]), []
     subscription = RelaySubscription(("127.0.0.1", 9), VOCABULARY, notifications.extend)
     subscription.newest_stream = 1
@@ -147,7 +147,7 @@
 
 
 def discovery_requests(bodies):
-    """Return the requests to discovery, one after each response, and the published responses."""
+    """Poll discovery once for each body; return the requests and the published responses."""
     published, client = [], StubClient(bodies)
     watch = DiscoveryWatch(("127.0.0.1", 9), VOCABULARY, published.append)
     for _ in bodies:
--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -7,7 +7,7 @@
 from tests.loopback.harness import MemberClient, ProxyClient, running_director
 from tests.waiting import wait_until
 
-BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # maps whose keys, numbers or addresses, are not compared
+BY_NUMBER_OR_ADDRESS = {"tables", "lines"}  # fields with maps whose keys are not compared
 
 
 def json_structure(value, name=""):
@@ -29,7 +29,10 @@
 
 
 def with_director(query):
-    """Call ``query`` with a client of a recording director; a proxy has received its two servers."""
+    """Call ``query`` with an HTTP client of a director's status front.
+
+    The director records, and a proxy has received the weights of two servers.
+    """
     with (
         TemporaryDirectory() as folder,
         running_director(f'record: {{folder: "{folder}", sync: false}}', mqtt=True) as daemon,
@@ -71,7 +74,7 @@
 
 
 def action_keys(actions):
-    """Return the responses to consecutive actions on a table."""
+    """Return status code and structure of the responses to consecutive actions on a table."""
 
     def query(client):
         number = send_request(client, "GET", "/status")[1]["tables"][0]["table"]
--- a/tests/compat/test_decisions.py
+++ b/tests/compat/test_decisions.py
@@ -32,7 +32,7 @@
 
 
 def scenario_digest(name: str) -> dict:
-    """Return the digest of all commands of the directors in a scenario."""
+    """Return the digest of all commands that the directors give in a scenario."""
     digest = Digest()
 
     class Recorded(scenarios.Director):
@@ -50,7 +50,7 @@
 
 
 def takeover_digest(seed: int) -> dict:
-    """Return the digest of all commands of the directors in a takeover."""
+    """Return the digest of all commands that the directors give in a day with a takeover."""
     digest = Digest()
 
     class Recorded(Stepper):
--- a/tests/compat/test_stored_data.py
+++ b/tests/compat/test_stored_data.py
@@ -32,17 +32,17 @@
     "without-types": Path(__file__).parents[1] / "record" / "samples" / "without-types",
 }
 ALL_RECORDS = pytest.mark.parametrize("name", RECORDS)
-NAMES = re.compile(r"\b[A-Za-z_]\w*(?=[=(])")  # of types and fields in printed steps
+NAMES = re.compile(r"\b[A-Za-z_]\w*(?=[=(])")  # names of types and fields in printed steps
 NOW_US, WALL_US = 50_000_000, 1_790_000_000_000_000  # clock readings when the list cache was written
 
 
 def expected(name):
-    """Return the bytes of a committed file."""
+    """Return the bytes of a committed file in ``stored/expected``."""
     return (EXPECTED / name).read_bytes()
 
 
 def rainpick(*arguments, code=0):
-    """Run a command and return the bytes of its output."""
+    """Run a ``rainpick`` command, check its exit code, and return the bytes of its output."""
     environment = os.environ | {"COLUMNS": "160", "NO_COLOR": "1", "PYTHONUTF8": "1"}
     command = [sys.executable, "-m", "rainpick", *map(str, arguments)]
     completed = subprocess.run(command, capture_output=True, env=environment)
--- a/tests/compat/test_wire_bytes.py
+++ b/tests/compat/test_wire_bytes.py
@@ -38,7 +38,7 @@
 
 
 def outcome(protocol, case):
-    """Return the result of an operation in the neutral form; errors as neutral name, text and values."""
+    """Return the result of a case in the neutral form; an error as its neutral name, text and values."""
     module = PROTOCOLS[protocol]
     operation = module.OPERATIONS[case["operation"]]
     try:
--- a/tests/emulator/test_server.py
+++ b/tests/emulator/test_server.py
@@ -11,9 +11,9 @@
 
 
 def mean_time(server_type, load, seed, attempts=12_000, work=10_000.0):
-    """Return the mean time of attempts with Poisson arrivals in the system, in units of the mean work.
+    """Return the mean time that attempts spend in the system, in units of the mean work.
 
-    The first tenth of the attempts is not counted.
+    Arrivals are Poisson. The first tenth of the attempts is not counted.
     """
     clock = VirtualClock()
     server = create_server(clock, "a", server_type)
@@ -37,7 +37,10 @@
 
 
 def assert_mean_time(server_type, load, expected, seeds=10):
-    """Check that the closed form is in the 99% interval of the mean over seeds (Student, 9 degrees: 3.25)."""
+    """Check that ``expected`` is in the 99% confidence interval of the mean time over seeds.
+
+    3.25 is the quantile of Student's t distribution with 9 degrees of freedom, that is, for 10 seeds.
+    """
     means = [mean_time(server_type, load, seed) for seed in range(seeds)]
     half_width = 3.25 * stdev(means) / seeds**0.5
     assert abs(mean(means) - expected) < half_width, (mean(means), half_width, expected)
@@ -69,7 +72,10 @@
 
 
 def observed_server(server_type):
-    """Return a clock, a server, a function that sends work to it, and the list of outcomes with times."""
+    """Return a clock, a server, a function that sends an attempt with some work to the server, and a list.
+
+    The list gets the time and the outcome of each attempt.
+    """
     clock, outcomes = VirtualClock(), []
     server = create_server(clock, "a", server_type)
     return (
--- a/tests/emulator/test_world.py
+++ b/tests/emulator/test_world.py
@@ -71,7 +71,7 @@
 
 
 class NoWithdrawals(Director):
-    """A director that withdraws no servers, to show that the check of drains detects it."""
+    """A faulty director that withdraws no servers; shows that the test of drains can fail."""
 
     def step(self, now, events):
         return [
--- a/tests/loopback/harness.py
+++ b/tests/loopback/harness.py
@@ -1,4 +1,4 @@
-"""A director on loopback within the test's process, and SASP clients of it for servers and proxies."""
+"""A director on loopback within the test's process, and SASP clients that act as servers and proxies."""
 
 import contextlib
 import json
@@ -54,7 +54,7 @@
 
 
 def fetch_status(daemon):
-    """Fetch a director's status, with empty lists of servers and proxies before its decisions begin."""
+    """Fetch a director's status. Before the decisions begin, its lists of servers and proxies are empty."""
     client = Client(*daemon.status)
     code, _, body = client.call("GET", "/status")
     client.close()
@@ -63,12 +63,12 @@
 
 
 def members(*ports, label=""):
-    """Build the SASP members for servers at some ports."""
+    """Build the SASP members for servers at these ports on loopback."""
     return tuple(Member.at("127.0.0.1", port, label) for port in ports)
 
 
 class MemberClient(SaspClient):
-    """A SASP stream that registers the servers at some ports as members."""
+    """A SASP stream that registers servers as members. Its methods return the return code of the reply."""
 
     def __init__(self, daemon, *ports, label=""):
         super().__init__(daemon.sasp)
@@ -88,7 +88,7 @@
 
 
 class ProxyClient(SaspClient):
-    """A proxy's SASP stream, and the weights by port that it has received."""
+    """A proxy's SASP stream, and the weights that it has received (``weights``, by port of the server)."""
 
     def __init__(
         self,
@@ -112,12 +112,14 @@
         )
 
     def read(self, timeout_s=WAIT_S):
+        """Apply the pushed weights that arrive within ``timeout_s``; return all weights."""
         for message in self.receive_weights(timeout_s):
             self.messages.append(message)
             self.apply(message.groups)
         return self.weights
 
     def apply(self, groups):
+        """Apply the entries of a message; weight 0 removes a server."""
         for group in groups:
             assert group.group == self.group
             for entry in group.entries:
@@ -127,6 +129,7 @@
                     self.weights.pop(entry.member.port, None)
 
     def until(self, condition, description="expected weights"):
+        """Apply pushed weights until ``condition`` is true for the weights; fail after ``WAIT_S``."""
         end = time.monotonic() + WAIT_S
         while not condition(self.weights):
             assert time.monotonic() < end, (
@@ -136,6 +139,7 @@
         return self.weights
 
     def get_weights(self):
+        """Poll the director and apply the weights in the reply."""
         reply = self.request(GetWeights((self.group,)))
         self.apply(reply.groups)
         return reply
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -41,7 +41,7 @@
 from tests.loopback.harness import FLEET, MemberClient, ProxyClient, fetch_status, members, running_director
 from tests.waiting import wait_until
 
-FULL = 4096  # weight 1, scaled to 16 bits with a maximum weight of 16
+FULL = 4096  # weight 1 as a 16-bit weight, if the maximum weight is 16
 
 
 def test_a_drain_and_its_end_reach_every_proxy():
@@ -97,7 +97,10 @@
     ids=lambda value: type(value).__name__,
 )
 def test_requests_after_a_rejected_set_lb_state_are_rejected(request_, code):
-    """The session counts the Set LB State as sent though no proxy exists, which once ended the director."""
+    """Guards against the end of the director by a request of a proxy that was never accepted.
+
+    The session counts the rejected Set LB State as sent, although the director has no such proxy.
+    """
     with running_director() as daemon:
         client = SaspClient(daemon.sasp)
         assert client.request(SetLbState("edge-1", 0x7F, PUSH)).code == ReturnCode.NOT_ACCEPTED
@@ -129,9 +132,10 @@
 
 
 def test_a_proxy_keeps_its_weights_when_the_director_is_killed_within_a_push(tmp_path):
-    """SIGKILL ends the director after a part of a push was read, during a slow start.
+    """Guards against wrong weights after a restart of the director.
 
-    The next director must bring the proxy to the exact table.
+    SIGKILL ends the director during a slow start, when the proxy has read a part of a push. The restarted
+    director must bring the proxy to the exact table.
     """
     ports = free_ports(3)
     config = tmp_path / "one.json5"
@@ -164,6 +168,8 @@
         return process
 
     class Addresses:
+        """Replaces the daemon in the constructors of the clients."""
+
         sasp, status = ("127.0.0.1", ports[0]), ("127.0.0.1", ports[2])
 
     process = start()
@@ -186,7 +192,7 @@
         MemberClient(Addresses, 9001, 9003, label="age=101;boot=1")
         MemberClient(Addresses, 9004, label="age=1;boot=1")
         rejoined.read()
-        if time.monotonic() - restart_s < 2:  # a later director must not give the cold server more weight
+        if time.monotonic() - restart_s < 2:  # the cold server is still warming up
             assert rejoined.weights.get(9004, 0) < FULL * 0.9
         rejoined.until(lambda weights: 9002 not in weights, "the drain from the cached list")
         rejoined.until(lambda weights: weights == {9001: FULL, 9003: FULL, 9004: FULL}, "the warm server")
@@ -197,7 +203,10 @@
 
 
 def test_a_proxy_that_stops_reading_delays_no_other_proxy_and_is_disconnected():
-    """Its socket fills up with pushes of all members; the drains of other proxies must not wait for it."""
+    """Guards against a stalled proxy that delays drains to the others.
+
+    Every push to the stalled proxy has all members, so its socket fills up.
+    """
     sections = 'sasp: {write_stall: "400ms"}, channel: {lines_per_s: 1e6, pending_lines: 500000}'
     with running_director(sections) as daemon:
         fleet = MemberClient(daemon, *range(7000, 8500))
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -27,7 +27,7 @@
 
 
 class InProcessDirector:
-    """A director in the test's process, which can run a substitute for its decision module."""
+    """A director in the test's process. ``module`` is the decision module, or a substitute with a fault."""
 
     def __init__(self, module, settings, folder):
         self.settings, self.module = Settings.model_validate(settings), module
@@ -44,7 +44,7 @@
 
 
 def play(tmp_path, settings="", fields="", module=Director):
-    """Run a small day; return the verdict, up to two breaches of each broken rule, and the log events."""
+    """Run a small day; return the verdict, at most two breaches of each broken rule, and the log events."""
     scenario = parse(SMALL_DAY % (settings, fields), "day", Scenario)
     day = Day(
         scenario,
@@ -68,7 +68,7 @@
 DEPLOY = (
     'events: [{at: "1s", do: "deploy", servers: {every: 3}, stagger: "300ms", notice: "1.7s", down: "200ms"}]'
 )
-LATE_DRAIN = 'events: [{at: "1s", do: "drain", servers: [0]}]'
+DRAIN_ONE_SERVER = 'events: [{at: "1s", do: "drain", servers: [0]}]'
 
 
 def test_a_deploy_keeps_all_five_rules(tmp_path):
@@ -78,7 +78,7 @@
 
 
 class NoWithdrawals(Director):
-    """Sends no withdrawals and no weights of 0."""
+    """A faulty director that sends no withdrawals and no weights of 0."""
 
     def step(self, now, events):
         return [
@@ -91,11 +91,11 @@
 
 
 def test_a_director_without_withdrawals_breaks_the_rule_on_drains(tmp_path):
-    assert set(play(tmp_path, fields=LATE_DRAIN, module=NoWithdrawals)[1]) == {"drains kept"}
+    assert set(play(tmp_path, fields=DRAIN_ONE_SERVER, module=NoWithdrawals)[1]) == {"drains kept"}
 
 
 class WithdrawsAll(Director):
-    """Withdraws all servers in each step after its first two seconds."""
+    """A faulty director that withdraws all servers in each step later than two seconds after its first."""
 
     def step(self, now, events):
         commands = super().step(now, events)
@@ -113,7 +113,7 @@
 
 
 class SkipsSlowStart(Director):
-    """Treats every ready server as warm, and raises the weight of servers that are warming up."""
+    """A faulty director that treats every ready server as warm, and raises the weights of cold servers."""
 
     def start(self, now, event):
         commands = super().start(now, event)
@@ -137,7 +137,7 @@
 
 
 class Floods(Director):
-    """Sends 40 weight updates in each step."""
+    """A faulty director that sends 40 weight updates in each step."""
 
     def step(self, now, events):
         self.steps = getattr(self, "steps", 0) + 1
@@ -152,7 +152,7 @@
 
 
 def test_commits_retried_in_their_pod_take_effect_once(tmp_path):
-    """Slow servers make proxies retry in the same pod while the first attempt is still in progress."""
+    """Guards against duplicate effects: slow servers cause retries while the first attempt is in progress."""
     fields = (
         'repeat: "same_pod", client_repeats: 0, try_share: 0.25, '
         'events: [{at: "1s", do: "slow", servers: [0, 2], factor: 20, for: "3s"}]'
@@ -248,7 +248,10 @@
 
 
 def test_directors_never_get_the_same_port(tmp_path, monkeypatch):
-    """A port that a director has not bound yet looks free: two directors once got the same, and one ended."""
+    """Guards against directors with the same port, one of which then ends.
+
+    A port that a director has not bound yet looks free, so it was once drawn for two directors.
+    """
     draws = itertools.chain(range(20_100, 20_104), range(20_100, 20_104), itertools.count(20_104))
     monkeypatch.setattr(secrets, "choice", lambda ports: next(draws))
     launched = []
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -124,7 +124,7 @@
     proxy.close()
     wait_until(lambda: not fetch_status(daemon)["proxies"])
     fleet.quiesce(9001)
-    fleet.quiesce(9002)  # the proxy has missed two changes
+    fleet.quiesce(9002)  # the second change that the disconnected proxy misses
     rejoined = Proxy(daemon, "edge-1", previous=previous).until(lambda weights: len(weights) == 8)
     assert all(
         not isinstance(getattr(message, "table_update", message), TableSnapshot)
@@ -399,7 +399,7 @@
     )
     assert code == 0
     for client in (proxy, sasp):
-        # Without 9001, which has drained since that version.
+        # Server 9001 has drained since that version, so the rollback does not restore it.
         client.until(lambda weights: set(weights) == {9002, 9003, 9004, 9005, 9006})
     fleet.quiesce(9002)  # drains while the table is pinned
     for client in (proxy, sasp):
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -28,7 +28,8 @@
 def encode_body(end_s=0.0, uid=None, port=9001):
     """Encode a report of four attempts, one of them dropped, and three requests.
 
-    Without ``uid`` it is from the next proxy in turn, so that the reports' periods do not overlap.
+    The report ends ``end_s`` seconds from now. Without ``uid`` it is from the next proxy in turn, so that the
+    periods of a proxy's reports do not overlap.
     """
     end = time.time_ns() + int(end_s * SECOND_NS)
     servers = [
@@ -57,7 +58,7 @@
 
 
 def partial_success(data):
-    """Return the number of rejected points and the error message of a response."""
+    """Return the number of rejected points and the error message that a response contains."""
     response = ExportMetricsServiceResponse()
     response.ParseFromString(data)
     return response.partial_success.rejected_data_points, response.partial_success.error_message
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("work, expected", [(50_000, False), (200_000, True)])
 def test_work_beyond_the_budget_of_a_server_warming_up_is_a_breach(work, expected):
-    """At its start the server does 0.4 s of work per second; the limit is three times that, 1.2 s."""
+    """At its start the server does 0.4 s of work per second; the limit is 1.2 s, three times as much."""
     breaches = audit_with(start_event("c", 20, 20), *received_attempts("c", 20.01, 21, 0.05, work))[0]
     assert bool(breaches) == expected
 
