--- a/benchmarks/record.py
+++ b/benchmarks/record.py
@@ -217,7 +217,7 @@
     target_bytes = min(4 << 30, shutil.disk_usage(large_folder).free // 4)
     written_bytes = 0
     while written_bytes < target_bytes:
-        log.waiting = list(records)
+        log.unwritten = list(records)
         log.flush()
         written_bytes += 2_000_000
     log.file.write(b"RPBK half of a block")
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -49,8 +49,8 @@
     """One director; ``start`` opens its frontends.
 
     After that, ``sasp``, ``otlp``, ``status`` and ``mqtt`` are the addresses on which the frontends listen.
-    ``mqtt`` is None if the settings have no MQTT frontend. ``module`` creates the ``Director``; tests
-    replace it.
+    ``mqtt`` is None if the settings have no MQTT frontend. ``director_factory`` creates the ``Director``;
+    tests replace it.
     """
 
     sasp: Address
@@ -58,14 +58,14 @@
     status: Address
     mqtt: Address | None
 
-    def __init__(self, settings: Settings, module: Callable[[], Director] = Director):
+    def __init__(self, settings: Settings, director_factory: Callable[[], Director] = Director):
         self.settings = settings
         seed = settings.director.seed or secrets.randbits(63)
         threading.stack_size(THREAD_STACK_BYTES)
         sys.setswitchinterval(SWITCH_INTERVAL_S)
-        self.core = EventLoop(settings, seed, module)
+        self.event_loop = EventLoop(settings, seed, director_factory)
         self.ended = threading.Event()
-        self.core.on_failure = self.ended.set
+        self.event_loop.on_failure = self.ended.set
         self.list_file_mtime_ns: int | None = None  # modification time of the list file when last read
         self.stream_numbers = count(1)
 
@@ -85,7 +85,7 @@
         self.status, self.otlp = self.status_front.address, self.otlp_front.address
         self.sasp = self.sasp_front.address
         self.mqtt = self.mqtt_front.address if self.mqtt_front is not None else None
-        self.core.thread.start()
+        self.event_loop.thread.start()
         self.sasp_front.thread.start()
         if self.mqtt_front is not None:
             self.mqtt_front.thread.start()
@@ -96,14 +96,14 @@
 
     def listen_status(self) -> Server:
         """Open the HTTP frontend for ``/status`` and the table actions."""
-        handler = status_handler(self.core.inbox)
+        handler = status_handler(self.event_loop.inbox)
         address = self.settings.listen.status
         return Server("status", address, handler, max_connections=MAX_STATUS_CONNECTIONS)
 
     def listen_otlp(self) -> Server:
         """Open the HTTP frontend for load reports."""
         otlp = self.settings.otlp
-        handler = metrics_handler(self.core.receive_report)
+        handler = metrics_handler(self.event_loop.receive_report)
         address = self.settings.listen.otlp
         return Server("otlp", address, handler, otlp.body_most, otlp.connections_most, otlp.idle / 1e6)
 
@@ -129,7 +129,7 @@
         self, make_parser: Callable[[], DirectorSession | PacketReader]
     ) -> Callable[[socket.socket, str], None]:
         """Return a callback that passes an accepted socket to the event loop as a stream."""
-        inbox = self.core.inbox
+        inbox = self.event_loop.inbox
 
         def on_event(stream: Stream, event: object) -> None:
             # The two parsers return no other events than ``StreamEvent``.
@@ -147,9 +147,9 @@
         path = self.settings.director.list_cache
         if not path:
             return
-        entries = read_cache(path, self.settings, self.core.clock(), wall_us())
+        entries = read_cache(path, self.settings, self.event_loop.clock(), wall_us())
         if entries:
-            self.core.inbox.post(CachedListRead(entries))
+            self.event_loop.inbox.post(CachedListRead(entries))
 
     def read_list_file(self, at_start: bool = False) -> None:
         """Read the list file and pass its entries to the event loop.
@@ -162,8 +162,8 @@
             return
         try:
             self.list_file_mtime_ns = os.stat(path).st_mtime_ns if os.path.exists(path) else None
-            entries = read_list(path, self.settings, self.core.clock())
-            self.core.inbox.post(ListFileRead(entries))
+            entries = read_list(path, self.settings, self.event_loop.clock())
+            self.event_loop.inbox.post(ListFileRead(entries))
         except SettingsError as error:
             if at_start:
                 raise
@@ -193,7 +193,7 @@
                 reload.clear()
                 self.read_list_file()
         self.stop()
-        return 1 if self.core.failure else 0
+        return 1 if self.event_loop.failure else 0
 
     def stop(self) -> None:
         """Close all frontends and end the event loop; proxies keep their tables."""
@@ -202,7 +202,7 @@
             self.mqtt_front.close()
         self.otlp_front.close()
         self.status_front.close()
-        if self.core.thread.is_alive():
-            self.core.inbox.post(StopRequested())
-            self.core.thread.join(JOIN_TIMEOUT_S)
+        if self.event_loop.thread.is_alive():
+            self.event_loop.inbox.post(StopRequested())
+            self.event_loop.thread.join(JOIN_TIMEOUT_S)
         log.info("stopped")
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -93,11 +93,16 @@
 
 
 class Engine:
-    """Turns events into messages to proxies. ``module`` creates the ``Director``; tests replace it."""
+    """Turns events into messages to proxies.
 
-    def __init__(self, settings: Settings, seed: int, now: int, module: Callable[[], Director] = Director):
+    ``director_factory`` creates the ``Director``; tests replace it.
+    """
+
+    def __init__(
+        self, settings: Settings, seed: int, now: int, director_factory: Callable[[], Director] = Director
+    ):
         self.settings = settings
-        self.stepper = Stepper(seed, decision_settings(settings), module)
+        self.stepper = Stepper(seed, decision_settings(settings), director_factory)
         channel = settings.channel
         self.channel = Channel(
             channel.lines_per_s, channel.head_lines, channel.messages_most, channel.messages_over
--- a/rainpick/director/event_loop.py
+++ b/rainpick/director/event_loop.py
@@ -60,14 +60,14 @@
 class EventLoop:
     """Creates the parts of a director, connects them and runs them in one thread.
 
-    ``module`` creates the ``Director``; tests replace it.
+    ``director_factory`` creates the ``Director``; tests replace it.
     """
 
     def __init__(
         self,
         settings: Settings,
         seed: int,
-        module: Callable[[], Director] = Director,
+        director_factory: Callable[[], Director] = Director,
         clock: Callable[[], int] = monotonic_us,
     ):
         self.clock = clock
@@ -82,7 +82,7 @@
         self.intake = ReportIntake(context, self.sessions, proxies, self.aggregator)
         self.sasp = SaspFrontend(context, self.sessions, self.delivery, self.membership)
         self.mqtt = MqttFrontend(context, self.sessions, self.delivery, self.intake)
-        self.follower = ListFollower(context, self.membership, self.sessions, seed, module)
+        self.follower = ListFollower(context, self.membership, self.sessions, seed, director_factory)
         self.status = StatusReader(
             context, self.inbox, self.sessions, self.intake, self.mqtt, self.follower, started_us
         )
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -30,7 +30,8 @@
 class ListFollower:
     """Creates the engine with the list from ``Membership``, and passes later changes of the list to it.
 
-    Also creates the pins and the recorder, which exist from then on. ``module`` creates the ``Director``.
+    Creates the pins and, if recording is configured, the recorder together with the engine.
+    ``director_factory`` creates the ``Director``.
     """
 
     def __init__(
@@ -39,14 +40,14 @@
         membership: Membership,
         sessions: Sessions,
         seed: int,
-        module: Callable[[], Director],
+        director_factory: Callable[[], Director],
     ):
         self.context = context
         self.settings = context.settings
         self.membership = membership
         self.sessions = sessions
         self.seed = seed
-        self.module = module
+        self.director_factory = director_factory
         path = self.settings.director.list_cache
         self.cache = ListCache(path, self.settings) if path else None
         self.pins: TablePins | None = None
@@ -98,7 +99,7 @@
 
     def start(self, now: int) -> None:
         """Start ``Director`` with the current list, and join the registered proxies."""
-        engine = self.context.engine = Engine(self.settings, self.seed, now, self.module)
+        engine = self.context.engine = Engine(self.settings, self.seed, now, self.director_factory)
         if self.settings.record.folder is not None:
             self.recorder = self.start_recorder(self.settings.record.folder, now)
             engine.stepper.on_step = self.recorder.step
--- a/rainpick/director/stepper.py
+++ b/rainpick/director/stepper.py
@@ -51,11 +51,14 @@
 class Stepper:
     """Passes ``pending_events`` to ``Director`` in one step, and manages the timers that it sets.
 
-    ``module`` creates the ``Director``; tests replace it. ``settings`` are its settings as a flat map.
+    ``director_factory`` creates the ``Director``; tests replace it. ``settings`` are the settings of the
+    ``Director`` as a flat map.
     """
 
-    def __init__(self, seed: int, settings: dict[str, Any], module: Callable[[], Director] = Director):
-        self.director = module()
+    def __init__(
+        self, seed: int, settings: dict[str, Any], director_factory: Callable[[], Director] = Director
+    ):
+        self.director = director_factory()
         self.pending_events: list[Event] = [model.Started(seed, settings)]
         self.timers: list[Timer] = []  # a heap
         self.step_count = 0
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -10,8 +10,7 @@
 
 from rainpick.decisions.director import Director
 from rainpick.director.addresses import Key
-from rainpick.director.engine import Engine
-from rainpick.director.engine import OutgoingMessage as Write
+from rainpick.director.engine import Engine, OutgoingMessage
 from rainpick.emulator.clients import Clients
 from rainpick.emulator.clock import TimerId, VirtualClock
 from rainpick.emulator.load_reports import LoadReport, LoadReporter
@@ -95,8 +94,8 @@
 
     def advance_engine(self) -> None:
         """Let the engine process events, send the resulting messages, and schedule the next advance."""
-        for write in self.engine.advance(self.clock.now):
-            self.clock.schedule_after(self.shape.same_zone_delay_us, self.deliver, write)
+        for message in self.engine.advance(self.clock.now):
+            self.clock.schedule_after(self.shape.same_zone_delay_us, self.deliver, message)
         due_us = self.engine.due_us()
         if due_us is not None:
             self.schedule_engine(max(due_us, self.clock.now + 1))
@@ -111,12 +110,12 @@
         self.engine_due_us = due_us
         self.engine_timer = self.clock.schedule_at(due_us, self.advance_engine)
 
-    def deliver(self, write: Write) -> None:
+    def deliver(self, message: OutgoingMessage) -> None:
         """Deliver a message to its proxy and confirm the delivery to the engine."""
-        proxy = self.proxies.get(write.proxy)
+        proxy = self.proxies.get(message.proxy)
         if proxy is not None:
-            proxy.update(write.delta.lines)
-            self.engine.confirm_delivery(write.proxy, write.number)
+            proxy.update(message.delta.lines)
+            self.engine.confirm_delivery(message.proxy, message.number)
             self.advance_engine()
 
     def receive_reports(self, reports: list[LoadReport]) -> None:
--- a/tests/director/engine_driver.py
+++ b/tests/director/engine_driver.py
@@ -45,10 +45,6 @@
     def update_endpoints(self, *servers):
         self.engine.update_endpoints(model.EndpointUpdate(model.UpdateKind.DELTA, servers, 2))
 
-    # The former names of two methods. A derandomized test calls them, and its text determines its cases.
-    left = leave
-    listed = update_endpoints
-
     def run_engine(self):
         for message in self.engine.advance(self.now):
             self.messages.append((self.now, message))
--- a/tests/director/test_engine.py
+++ b/tests/director/test_engine.py
@@ -81,7 +81,7 @@
             self.step_count = getattr(self, "step_count", 0) + 1
             return [*commands, model.SetWeight(0, ("127.0.0.1", 9000), 1 + self.step_count % 3)]
 
-    drive = Drive('channel: {messages_most: 4, messages_over: "10s"}', module=ChangingDirector)
+    drive = Drive('channel: {messages_most: 4, messages_over: "10s"}', director_factory=ChangingDirector)
     drive.join(1)
     for _ in range(400):
         drive.run(0.1)
@@ -153,12 +153,12 @@
             state = {"drain": model.EndpointState.DRAINING, "gone": model.EndpointState.GONE}.get(
                 action, model.EndpointState.READY
             )
-            drive.listed(server(target, state, started_us=drive.now if action == "new" else 0))
+            drive.update_endpoints(server(target, state, started_us=drive.now if action == "new" else 0))
         elif action == "join":
             drive.join(target, standing=[("127.0.0.1", 9000 + random_source.randrange(6))])
             blocked.discard(target)
         elif joined and action == "left":
-            drive.left(target)
+            drive.leave(target)
             blocked.discard(target)
         elif joined and action in ("block", "unblock"):
             drive.engine.set_blocked(target, action == "block")
@@ -199,7 +199,9 @@
 
     Table 1 is given many lines. Then a server of table 0 drains, whose proxies have no pending messages.
     """
-    drive = Drive("channel: {lines_per_s: 100, head_lines: 6, pending_lines: 5000}", module=ScriptedDirector)
+    drive = Drive(
+        "channel: {lines_per_s: 100, head_lines: 6, pending_lines: 5000}", director_factory=ScriptedDirector
+    )
     director = drive.engine.stepper.director
     for number in range(8):
         drive.join(number)
@@ -221,7 +223,7 @@
 
 def test_nonce_without_new_lines_is_acknowledged_with_the_earlier_message():
     """Guards against acknowledging a nonce before the earlier message with the same lines is delivered."""
-    drive = Drive(module=ScriptedDirector)
+    drive = Drive(director_factory=ScriptedDirector)
     director, address = drive.engine.stepper.director, ("127.0.0.1", 9000)
     drive.join(1)
     drive.confirms_delivery[1] = False
--- a/tests/loopback/harness.py
+++ b/tests/loopback/harness.py
@@ -50,7 +50,7 @@
         daemon.stop()
         while KEPT_STREAMS:
             KEPT_STREAMS.pop().close()
-    assert daemon.core.failure is None, daemon.core.failure
+    assert daemon.event_loop.failure is None, daemon.event_loop.failure
 
 
 def fetch_status(daemon):
--- a/tests/loopback/test_daemon.py
+++ b/tests/loopback/test_daemon.py
@@ -423,7 +423,7 @@
 
     with (
         pytest.raises(AssertionError, match="the decision module failed"),
-        running_director(module=Raising) as daemon,
+        running_director(director_factory=Raising) as daemon,
     ):
         MemberClient(daemon, 9001)
         assert daemon.ended.wait(10)
--- a/tests/loopback/test_days.py
+++ b/tests/loopback/test_days.py
@@ -27,29 +27,32 @@
 
 
 class InProcessDirector:
-    """A director in the test's process. ``module`` is the decision module, or a substitute with a fault."""
+    """A director in the test's process.
 
-    def __init__(self, module, settings, folder):
-        self.settings, self.module = Settings.model_validate(settings), module
+    ``director_factory`` creates the ``Director`` of the decision modules, or a substitute with a fault.
+    """
+
+    def __init__(self, director_factory, settings, folder):
+        self.settings, self.director_factory = Settings.model_validate(settings), director_factory
         self.start()
 
     def start(self):
-        self.daemon = Daemon(self.settings, module=self.module)
+        self.daemon = Daemon(self.settings, director_factory=self.director_factory)
         self.daemon.start()
 
     def close(self):
         with contextlib.suppress(OSError):
             self.daemon.stop()
-        assert self.daemon.core.failure is None
+        assert self.daemon.event_loop.failure is None
 
 
-def play(tmp_path, settings="", fields="", module=Director):
+def play(tmp_path, settings="", fields="", director_factory=Director):
     """Run a small day; return the verdict, at most two breaches of each broken rule, and the log events."""
     scenario = parse(SMALL_DAY % (settings, fields), "day", Scenario)
     day = Day(
         scenario,
         tmp_path / "day",
-        lambda settings, folder: InProcessDirector(module, settings, folder),
+        lambda settings, folder: InProcessDirector(director_factory, settings, folder),
         LocalPeers,
     )
     verdict = day.play()
@@ -91,7 +94,7 @@
 
 
 def test_a_director_without_withdrawals_breaks_the_rule_on_drains(tmp_path):
-    assert set(play(tmp_path, fields=DRAIN_ONE_SERVER, module=NoWithdrawals)[1]) == {"drains kept"}
+    assert set(play(tmp_path, fields=DRAIN_ONE_SERVER, director_factory=NoWithdrawals)[1]) == {"drains kept"}
 
 
 class WithdrawsAll(Director):
@@ -109,7 +112,7 @@
 
 
 def test_a_director_that_withdraws_all_servers_breaks_the_rule_on_empty_tables(tmp_path):
-    assert "a line to pick" in play(tmp_path, module=WithdrawsAll)[1]
+    assert "a line to pick" in play(tmp_path, director_factory=WithdrawsAll)[1]
 
 
 class SkipsSlowStart(Director):
@@ -148,7 +151,7 @@
 
 def test_a_director_that_floods_its_proxies_breaks_the_rule_on_backlogs(tmp_path):
     settings = 'channel: {lines_per_s: 100, pending_lines: 250, messages_most: 6, messages_over: "10s"}'
-    assert set(play(tmp_path, settings, module=Floods)[1]) == {"a short queue"}
+    assert set(play(tmp_path, settings, director_factory=Floods)[1]) == {"a short queue"}
 
 
 def test_commits_retried_in_their_pod_take_effect_once(tmp_path):
--- a/tests/loopback/test_mqtt.py
+++ b/tests/loopback/test_mqtt.py
@@ -94,7 +94,7 @@
     assert proxy.published[-1].topic == topics.table_topic(0)
     wait_for_exact_tables(daemon, proxy)
     wait_until(
-        lambda: daemon.core.engine.stepper.director.publisher.queue.waiting == 0, "all acknowledgements"
+        lambda: daemon.event_loop.engine.stepper.director.publisher.queue.waiting == 0, "all acknowledgements"
     )
 
 
--- a/tests/loopback/test_otlp.py
+++ b/tests/loopback/test_otlp.py
@@ -198,9 +198,9 @@
 def test_a_director_with_a_full_inbox_answers_429_with_retry_after():
     with running_director(director=", inbox: 100") as daemon:
         released = threading.Event()
-        daemon.core.handlers[BlockEventLoop] = lambda message: released.wait(10)
-        daemon.core.inbox.post(BlockEventLoop())
-        while daemon.core.inbox.post(BlockEventLoop(), wait=False):
+        daemon.event_loop.handlers[BlockEventLoop] = lambda message: released.wait(10)
+        daemon.event_loop.inbox.post(BlockEventLoop())
+        while daemon.event_loop.inbox.post(BlockEventLoop(), wait=False):
             pass
         try:
             code, headers, _ = post(daemon, encode_body())
--- a/tests/publish/test_table_updates.py
+++ b/tests/publish/test_table_updates.py
@@ -27,15 +27,6 @@
     return "127.0.0.1", 9000 + number
 
 
-class DistributedTables(Tables):
-    """Tables that keep the former name of ``apply``.
-
-    A derandomized test calls it, and the text of that test determines its cases.
-    """
-
-    carry_out = Tables.apply
-
-
 class TableDistribution:
     """A table at the director and a proxy that follows it.
 
@@ -44,7 +35,7 @@
     """
 
     def __init__(self, servers=12):
-        self.tables = DistributedTables(Scale(16.0), lambda _: 1.0)
+        self.tables = Tables(Scale(16.0), lambda _: 1.0)
         self.encoder = TableUpdateEncoder("e1")
         self.follower = TableFollower()
         for number in range(servers):
@@ -193,7 +184,7 @@
         elif action == "remove":
             distribution.set_weight(number, 0.0)
         elif action in ("withdraw", "return"):
-            distribution.tables.carry_out(model.SetWithdrawn(server_key(number), action == "withdraw"))
+            distribution.tables.apply(model.SetWithdrawn(server_key(number), action == "withdraw"))
         elif action == "send":
             in_flight.append(distribution.next_update())
             if rng.random() < 0.7:
