--- a/rainpick/cli/record_output.py
+++ b/rainpick/cli/record_output.py
@@ -1,4 +1,4 @@
-"""Output of records: their incarnations, their steps, and load reports by the begin of their interval."""
+"""Prints the contents of records: incarnations, steps, and load reports by the start of their interval."""
 
 from __future__ import annotations
 
--- a/rainpick/cli/status_front.py
+++ b/rainpick/cli/status_front.py
@@ -1,4 +1,4 @@
-"""Client of a director's status front, and the types of its JSON responses."""
+"""Client of a director's status frontend, and the types of its JSON responses."""
 
 from __future__ import annotations
 
--- a/rainpick/decisions/concentration.py
+++ b/rainpick/decisions/concentration.py
@@ -1,4 +1,4 @@
-"""Protects servers that warm up from the tables of a few busy proxies.
+"""Lowers the weight of a server that warms up if it is in tables that a few very busy proxies use.
 
 Each director knows only its own proxies, and some of them are far busier than the others. The proxies of one
 table could send a server that has just started several times its fair share of all requests.
--- a/rainpick/decisions/outlier_detection.py
+++ b/rainpick/decisions/outlier_detection.py
@@ -28,7 +28,7 @@
 EJECTED_FRACTION_MAX = 0.34  # maximum fraction of the listed weight of warm servers that may be ejected
 UNREACHABLE_EJECTED_FRACTION_MAX = 0.6  # this maximum for the ejection of a server that answers no attempts
 PARTITIONED_SERVERS_MIN = 3  # a zone with fewer failing servers is not considered partitioned
-PROBATION_ATTEMPTS = 3  # minimum number of attempts by which a recovering or missing server is evaluated
+PROBATION_ATTEMPTS = 3  # attempts needed before a recovering or missing server is evaluated by itself
 # The first ejection lasts one tick; each further one in a row lasts twice as long, up to this many doublings.
 BACKOFF_DOUBLINGS_MAX = 3
 # A missing server is one that was dropped by an endpoint list that may be wrong. It is treated as gone if it
--- a/rainpick/decisions/settings.py
+++ b/rainpick/decisions/settings.py
@@ -50,7 +50,7 @@
     key_range_single_owner: bool
     drain_grace_us: float
     fall_multiple: float  # the latency ratio of severe congestion is proportional to it
-    gone_is_not_final: bool  # a server that the list dropped may continue to serve
+    gone_is_not_final: bool  # whether a server that the list dropped is possibly still serving
     start_capacity: float  # fraction of its capacity that a server is guaranteed to have at its start
     warm_after_us: int  # age from which a server has its full capacity
 
--- a/rainpick/decisions/slow_start.py
+++ b/rainpick/decisions/slow_start.py
@@ -78,7 +78,7 @@
 
 
 def severe_congestion_factor(conditions: Conditions, fall_multiple: float) -> float:
-    """Return the factor by which severe congestion reduces servers that warm up; 1.0 without congestion."""
+    """Return the factor by which severe congestion reduces percentages of warming servers; 1.0 without it."""
     latency_limit = fall_multiple / DEFAULT_FALL_MULTIPLE
     return min(
         1.0,
--- a/rainpick/decisions/table_assignment.py
+++ b/rainpick/decisions/table_assignment.py
@@ -84,8 +84,8 @@
     def update(self) -> None:
         """Assign new servers to tables, and add servers to tables that have lost much of their weight.
 
-        Also marks the tables of unbound proxies as used, and ends the assignment of gone servers that proxies
-        no longer use.
+        Also marks the home tables of unbound proxies as used, and ends the assignment of gone servers that
+        are withdrawn and published in no table.
         """
         for proxy in self.fleet.unbound_proxies():
             self.home_table(proxy).used = True
--- a/rainpick/decisions/withdrawals.py
+++ b/rainpick/decisions/withdrawals.py
@@ -64,9 +64,10 @@
     def withdraw_terminating(self, terminating: list[ServerState]) -> None:
         """Withdraw terminating servers, or defer their withdrawals.
 
-        During a takeover, a withdrawal is deferred for ``DEFERRED_GRACE_FRACTION`` of the drain grace. The
-        withdrawal of a server that is published in tables is also deferred while any other such withdrawal
-        is, so that each table can remove these servers in one message.
+        During a takeover each withdrawal is deferred until ``DEFERRED_GRACE_FRACTION`` of the server's drain
+        grace has passed. At any time, a withdrawal for which the send queue has no capacity is deferred.
+        While the withdrawal of one server is deferred, so are those of all other servers that are published
+        in tables, so that each table can remove these servers in one message.
         """
         now, grace_us = self.fleet.clock.now, self.fleet.settings.drain_grace_us
         earlier_deferred = any(
@@ -88,9 +89,9 @@
     def withdraw(self, server: ServerState, quota: Quota) -> bool:
         """Withdraw a server from all proxies that may use it; returns False if there is no capacity.
 
-        No command is published if the withdrawal was deferred and no proxy that has joined may use the server
-        any more. The command would cost a message to each proxy whose join is not known to the director yet,
-        and such proxies are bound without the server.
+        If the withdrawal was deferred and no joined proxy may use the server any more, the server is marked
+        as withdrawn without a command. A command would cost a message to each proxy whose join has not
+        reached the director yet, and the director binds such a proxy without the server anyway.
         """
         address, gone = server.endpoint.address, server.status == GONE
         tables = [table for table in server.tables if table.number in server.published_weights]
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -183,7 +183,7 @@
         """Return the number of the reply to a proxy's poll, and the lines that the reply must contain.
 
         These are the lines that changed since the last message to the proxy. The reply replaces the proxy's
-        pending message, whose nonces are acknowledged with it.
+        pending message: once the reply is delivered, the nonces of that message are acknowledged.
         """
         delta = self.tables.advance(proxy)
         number = self.sent[proxy].add(self.channel.remove(proxy), self.now)
--- a/rainpick/director/list_follower.py
+++ b/rainpick/director/list_follower.py
@@ -30,7 +30,7 @@
 class ListFollower:
     """Creates the engine with the list from ``Membership``, and passes later changes of the list to it.
 
-    Creates the pins and, if recording is configured, the recorder together with the engine.
+    Together with the engine it creates the pins, and the recorder if the settings name a record folder.
     ``director_factory`` creates the ``Director``.
     """
 
--- a/rainpick/director/load_aggregator.py
+++ b/rainpick/director/load_aggregator.py
@@ -107,7 +107,7 @@
         self.reports_per_s = reports_per_s
         self.sums: OrderedDict[ServerKey | RouteKey, PointSum] = OrderedDict()  # oldest first
         self.due: deque[ServerKey | RouteKey] = deque()  # keys of the sums to forward, oldest first
-        self.next_period_us: int | None = None  # None until the first ``collect``
+        self.next_period_us: int | None = None  # time when all sums become due; None until ``collect`` runs
         # The number of reports that may be forwarded, and the time at which it was computed.
         self.credit, self.credit_us = 0.0, 0
         self.verdicts: dict[Verdict, int] = dict.fromkeys(Verdict, 0)  # number of points by verdict
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -190,7 +190,10 @@
             self.changed.add(key)
 
     def apply_cached_list(self, entries: list[FileEntry], now: int) -> None:
-        """Add the servers of the cached list; those that do not register in a grace period are removed."""
+        """Add the servers of the cached list.
+
+        ``expire`` removes those that do not register within the member grace plus the settle time.
+        """
         self.from_cache = bool(entries)
         grace_us = self.settings.fleet.member_grace + self.settings.director.settle
         for entry in entries:
--- a/rainpick/mqtt/wire.py
+++ b/rainpick/mqtt/wire.py
@@ -1,4 +1,4 @@
-"""Data representations of section 1.5: integers, variable byte integers, strings and binary data.
+"""Data representations (MQTT 5, section 1.5): integers, variable byte integers, strings, binary data.
 
 All integers are big-endian. ``ByteReader`` checks every length against the end of the packet.
 """
--- a/rainpick/node/endpoint_list.py
+++ b/rainpick/node/endpoint_list.py
@@ -15,8 +15,8 @@
 class StartTime(NamedTuple):
     """The start time of an endpoint in microseconds; 0 means long ago."""
 
-    stamped_us: int  # Unix time, as received from discovery
-    started_us: int  # the same moment on the director's clock
+    stamped_us: int  # start time as Unix time, as received from discovery
+    started_us: int  # start time on the director's clock
 
 
 class EndpointList:
--- a/rainpick/node/proxy_membership.py
+++ b/rainpick/node/proxy_membership.py
@@ -52,11 +52,11 @@
         self.joined: dict[int, model.ProxyJoined] = {}
         self.newest_stream = 0  # highest stream number opened so far
         self.current_stream: int | None = None  # number of the newest stream; None once it has closed
-        self.former_stream: int | None = None  # number of the previous stream; None once alive or closed
+        self.former_stream: int | None = None  # previous stream; None once it proved alive or closed
         self.superseded: set[int] = set()  # streams that opened after a newer stream
         self.gapless = False  # whether the current stream opened while the former one was still open
-        self.unconfirmed: set[int] = set()  # listed, and reported only if ``former_stream`` was dead
-        self.listed: set[int] | None = None  # listed so far on the current stream; None after its listing
+        self.unconfirmed: set[int] = set()  # listed proxies, reported only if ``former_stream`` was dead
+        self.listed: set[int] | None = None  # proxies listed on the current stream; None after its listing
         self.merged_nonces: dict[int, tuple[int, ...]] = {}  # earlier nonces that a nonce also acknowledges
 
     def handle(self, notification: StreamOpened | StreamEvent | StreamClosed) -> list[ProxyEvent]:
--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -51,9 +51,9 @@
 
 
 class Comparison:
-    """Compares the commands of a day step by step, in memory that does not grow with its length.
+    """Compares the commands of a day step by step. Memory use does not grow with the length of the day.
 
-    ``recorded`` and ``replayed`` are the decision settings of the two sides.
+    ``recorded`` and ``replayed`` are the decision settings of the recorded director and of its replay.
     """
 
     def __init__(self, begin_us: int, recorded: dict[str, Any], replayed: dict[str, Any]):
@@ -65,7 +65,7 @@
         self.sample_count = 0
         self.diverted_sum = 0.0
         self.diverted_series = TimeSeries(begin_us)
-        self.latest_diverted: list[float] = []  # samples of the last DIVERTED_WINDOW_S
+        self.latest_diverted: list[float] = []  # diverted fractions in the last DIVERTED_WINDOW_S samples
         self.share_series: dict[Any, tuple[TimeSeries, TimeSeries]] = {}  # both sides, by server
         # Sums of the sampled shares for both sides, by server.
         self.share_sums: tuple[dict[Any, float], dict[Any, float]] = defaultdict(float), defaultdict(float)
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -241,7 +241,7 @@
         self.limits.observe_queue(now, self.unacknowledged_lines)
 
     def check_warming(self, now: int) -> None:
-        """Observe the largest published weight of each server in slow start; forget warm servers."""
+        """Pass the largest published weight of each warming server to ``limits``; stop tracking warm ones."""
         for address in tuple(self.warming):
             server = self.servers[address]
             entry = server.entry
--- a/rainpick/simhost/commands.py
+++ b/rainpick/simhost/commands.py
@@ -1,6 +1,7 @@
 """Encodes a director's commands as the records of a reply.
 
-A record consists of its code, the number of the instance that issued the command, and the code's fields.
+A record consists of its code, the number of the simulated director that issued the command
+(the instance), and the code's fields.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from rainpick import model
 
-CommandEncoder: TypeAlias = Callable[[int, Any], bytes]  # instance, command
+CommandEncoder: TypeAlias = Callable[[int, Any], bytes]  # simulated director's number, command -> record
 
 MAX_TEXT_BYTES = 65_535
 MAX_TIMER_DELAY_US = 0xFFFFFFFF
