--- a/rainpick/cli/options.py
+++ b/rainpick/cli/options.py
@@ -8,7 +8,7 @@
 FOLDER = click.Path(file_okay=False)
 EXISTING_FOLDER = click.Path(file_okay=False, exists=True)
 
-# The default listen addresses of a director's fronts in the settings.
+# The default listen addresses of a director's frontends in the settings.
 DEFAULT_STATUS_ADDRESS = "127.0.0.1:8780"
 DEFAULT_SASP_ADDRESS = "127.0.0.1:3860"
 
--- a/rainpick/cli/status_front.py
+++ b/rainpick/cli/status_front.py
@@ -119,7 +119,7 @@
 
 
 def fetch_status(address: str) -> DirectorStatus:
-    """Return the state of the director whose status front is at ``HOST:PORT``."""
+    """Return the state of the director whose status frontend is at ``HOST:PORT``."""
     code, body = _request(address, "GET", "/status")
     if code != 200:
         raise CommandError(f"{address} answers {code}: {body.decode(errors='replace')}")
--- a/rainpick/cli/verdict_output.py
+++ b/rainpick/cli/verdict_output.py
@@ -16,7 +16,7 @@
 BARS = " ▁▂▃▄▅▆▇█"
 CHART_SERVERS = 6
 CHART_COLUMNS = 48
-SHOWN_BREACHES = 5  # per rule
+SHOWN_BREACHES = 5  # number of breaches shown for each rule
 
 
 class WeightSample(NamedTuple):
--- a/rainpick/decisions/admission.py
+++ b/rainpick/decisions/admission.py
@@ -21,8 +21,8 @@
 LIMIT_MIN = 0.6  # minimum of the limit, as a fraction of the initial limit
 LIMIT_DECREASE = 0.9  # factor applied to the limit under overload
 LIMIT_INCREASE = 1.1  # factor applied to the limit without overload
-LIMIT_INCREASE_FAST = LIMIT_INCREASE**3  # while the latency ratio is at most half of the overload ratio
-LIMIT_INCREASE_SLOW = 1.02  # at or above the limit of the last overload
+LIMIT_INCREASE_FAST = LIMIT_INCREASE**3  # factor while latency is at most half of the overload ratio
+LIMIT_INCREASE_SLOW = 1.02  # factor at or above the limit of the last overload
 # Admission modes of proxies: without admission control, or by a fraction of requests. In any other mode the
 # admission rate is a number of requests per second at each proxy.
 SILENT, RATIO = "silent", "ratio"
--- a/rainpick/decisions/outlier_detection.py
+++ b/rainpick/decisions/outlier_detection.py
@@ -26,7 +26,7 @@
 UNRESPONSIVE_ATTEMPTS_MIN = 8
 UNRESPONSIVE_REPORT_ROUNDS = 2
 EJECTED_FRACTION_MAX = 0.34  # maximum fraction of the listed weight of warm servers that may be ejected
-UNREACHABLE_EJECTED_FRACTION_MAX = 0.6  # this maximum for the ejection of a server that answers no attempts
+UNREACHABLE_EJECTED_FRACTION_MAX = 0.6  # maximum fraction if the server to eject answers no attempts
 PARTITIONED_SERVERS_MIN = 3  # a zone with fewer failing servers is not considered partitioned
 PROBATION_ATTEMPTS = 3  # attempts needed before a recovering or missing server is evaluated by itself
 # The first ejection lasts one tick; each further one in a row lasts twice as long, up to this many doublings.
--- a/rainpick/decisions/overload.py
+++ b/rainpick/decisions/overload.py
@@ -34,7 +34,7 @@
 CAPACITY_FACTOR_MIN = 0.3  # minimum capacity factor after all reductions
 SETTLE_TICKS = 2  # minimum number of ticks before a reduced server or machine type is evaluated again
 RECOVERY_TICKS = 8  # ticks after a reduction has settled before the weight of the server is raised again
-RECOVERY_STEP = 0.125  # added to the capacity factor when it is raised
+RECOVERY_STEP = 0.125  # amount by which a capacity factor is raised
 
 
 def reduced(factor: float, ratio: float) -> float:
--- a/rainpick/decisions/servers.py
+++ b/rainpick/decisions/servers.py
@@ -44,11 +44,11 @@
         self.percentage = 0.0
         self.is_warm = True
         self.withdrawn = False
-        self.published_weights: dict[int, float] = {}  # by table number
-        self.gone_ticks = 0  # number of ticks since it has been gone and in no table
-        self.drain_started_us = 0  # time at which the list first reported it as draining or gone
+        self.published_weights: dict[int, float] = {}  # published weight by table number
+        self.gone_ticks = 0  # number of ticks for which the server has been gone and in no table
+        self.drain_started_us = 0  # time at which the list first reported the server as draining or gone
         self.presumed_gone = False  # gone because it failed while it was missing; never reported as draining
-        self.withdrawal_deferred = False  # whether its withdrawal was not published at once
+        self.withdrawal_deferred = False  # whether the server's withdrawal was not published at once
         self.reset()
 
     def reset(self) -> None:
--- a/rainpick/decisions/settings.py
+++ b/rainpick/decisions/settings.py
@@ -12,7 +12,7 @@
 TICK_US = 2_000_000  # the tick of the design: weights change by at most one step a tick
 UPDATE_INTERVAL_US = TICK_US // 8  # interval at which deferred updates are retried
 INITIAL_FRACTION = 0.25  # the first percentage of a server that recovers from a drain or an ejection
-DEFAULT_FALL_MULTIPLE = 2.7  # with it, latency above the objective is severe congestion, see slow_start
+DEFAULT_FALL_MULTIPLE = 2.7  # at this value, latency above the objective is severe congestion, see slow_start
 UNLIMITED = 1e9
 
 
@@ -27,7 +27,7 @@
     """All settings that a decision depends on."""
 
     directors: int
-    zone: int  # of this director
+    zone: int  # zone of this director
     subscribe_on_request: bool  # the endpoint list is sent only after Subscribe
     routes: tuple[Route, ...]
     latency_objective_us: int  # the strictest objective of all routes
@@ -49,7 +49,7 @@
     uses_key_ranges: bool
     key_range_single_owner: bool
     drain_grace_us: float
-    fall_multiple: float  # the latency ratio of severe congestion is proportional to it
+    fall_multiple: float  # severe congestion begins at a latency ratio proportional to this value
     gone_is_not_final: bool  # whether a server that the list dropped is possibly still serving
     start_capacity: float  # fraction of its capacity that a server is guaranteed to have at its start
     warm_after_us: int  # age from which a server has its full capacity
--- a/rainpick/decisions/table_assignment.py
+++ b/rainpick/decisions/table_assignment.py
@@ -33,7 +33,7 @@
     """The total weights of the servers that are assigned to tables."""
 
     def __init__(self) -> None:
-        self.usable: dict[Table, float] = defaultdict(float)  # total target weight
+        self.usable: dict[Table, float] = defaultdict(float)  # total target weight by table
         # Total listed weight by table, machine type, and whether the servers are in other zones.
         self.listed: dict[tuple[Table, int, bool], float] = defaultdict(float)
 
--- a/rainpick/decisions/tables.py
+++ b/rainpick/decisions/tables.py
@@ -13,8 +13,8 @@
         self.number = number
         self.zone = zone
         self.used = False  # whether any proxy has been bound to the table or is to be bound to it
-        self.published_admission: dict[int, float] = {}  # by route
-        self.warm_weight = 0.0  # total listed weight of its warm servers in use
+        self.published_admission: dict[int, float] = {}  # published admission rate by route
+        self.warm_weight = 0.0  # total listed weight of the table's warm servers in use
         self.peak_warm_weight = 1e-9  # maximum of warm_weight so far
         self.warming_fraction = 1.0  # factor for the percentage of servers that warm up
         # Proxies that will be bound to the table. They joined from another director, and may still use the
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -44,7 +44,7 @@
         self.batch_due = True
 
     def fill_empty_tables(self, populated: Collection[int], quota: Quota) -> None:
-        """Publish servers to used tables without servers; ``populated`` are the numbers of the others."""
+        """Publish servers to used tables without servers; ``populated``: numbers of tables that have some."""
         for server in self.fleet.servers.values():
             empty = [table for table in server.tables if table.used and table.number not in populated]
             if empty:
--- a/rainpick/director/daemon.py
+++ b/rainpick/director/daemon.py
@@ -36,8 +36,8 @@
 
 Address = tuple[str, int]
 
-THREAD_STACK_BYTES = 256 * 1024  # each stream has a reading thread
-SWITCH_INTERVAL_S = 0.001  # longer would delay the reading of a drain request while the loop is busy
+THREAD_STACK_BYTES = 256 * 1024  # small, since each stream has a reading thread
+SWITCH_INTERVAL_S = 0.001  # a longer one would delay the reading of a drain request while the loop is busy
 LIST_FILE_POLL_S = 1.0
 JOIN_TIMEOUT_S = 5.0
 MAX_BACKLOG = 4096  # largest number of connections waiting to be accepted
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -35,8 +35,8 @@
     number: int
     delta: Delta  # the lines of the message
     before: Snapshot  # the lines that the proxy holds before this message
-    after: Snapshot  # the lines that the proxy holds after it
-    commands: ProxyCommands | None = None  # None if unchanged, or if the proxy takes no commands
+    after: Snapshot  # the lines that the proxy holds after this message
+    commands: ProxyCommands | None = None  # None if the commands are unchanged or the proxy takes none
 
 
 class SentMessage(NamedTuple):
@@ -68,7 +68,7 @@
 
     def __init__(self) -> None:
         self.messages = 0  # messages sent to proxies
-        self.lines = 0  # lines in these messages, head lines excluded
+        self.lines = 0  # lines in messages sent to proxies, head lines excluded
         self.notes = 0  # log messages of ``Director``
         self.withdrawn = 0  # withdrawals of servers
         self.readmitted = 0  # readmissions of servers
@@ -86,7 +86,7 @@
 
 
 def is_withdrawal(command: Command) -> bool:
-    """Return whether a command stops proxies from using a server, which makes messages with it urgent."""
+    """Return whether a command stops proxies from using a server, so that its message is urgent."""
     if isinstance(command, model.SetWeight):
         return command.weight <= 0
     return isinstance(command, model.SetWithdrawn) and command.withdrawn
@@ -110,8 +110,8 @@
         self.listed: dict[Key, model.Endpoint] = {}  # endpoint list; removed servers stay in it as GONE
         self.tables = Tables(Scale(settings.fleet.weight_most), self.listed_weight)
         self.acknowledgements: list[model.Acknowledged] = []  # passed to ``Director`` in the next step
-        self.acknowledgements_since_us = now  # when the oldest of them was queued
-        self.sent: dict[int, SentMessages] = {}  # by joined proxy
+        self.acknowledgements_since_us = now  # when the oldest of ``acknowledgements`` was queued
+        self.sent: dict[int, SentMessages] = {}  # messages sent, by joined proxy
         self.counts = Counts()
         self.notes: deque[str] = deque(maxlen=MAX_LOG_MESSAGES)
         self.now = now
@@ -196,7 +196,7 @@
             self.channel.enqueue(proxy, lines, True, None, self.now)
 
     def invalidate_snapshot(self, proxy: int) -> None:
-        """Enqueue the whole table for a proxy that can't apply the updates of it."""
+        """Enqueue the whole table of a proxy that can't apply an update of the table."""
         self.channel.enqueue(proxy, self.tables.invalidate_snapshot(proxy), False, None, self.now)
 
     def table_changed(self, table: int) -> None:
@@ -288,7 +288,10 @@
         return OutgoingMessage(pending.proxy, number, delta, before, proxy.snapshot, commands)
 
     def new_commands(self, number: int) -> ProxyCommands | None:
-        """Return the commands for a proxy and record them as sent; None if unchanged or if it takes none."""
+        """Return the commands for a proxy and record them as sent.
+
+        Returns None if the commands are unchanged or the proxy takes none.
+        """
         proxy = self.tables.proxies[number]
         if proxy.commands is None:
             return None
--- a/rainpick/director/event_loop.py
+++ b/rainpick/director/event_loop.py
@@ -43,7 +43,7 @@
 from rainpick.sasp.session import AcceptedRequest, RejectedRequest
 from rainpick.settings import Settings
 
-CHECK_INTERVAL_US = 250_000  # between checks for unresponsive peers
+CHECK_INTERVAL_US = 250_000  # interval between checks for unresponsive peers
 MAX_IDLE_US = 1_000_000  # longest wait for a message in the inbox
 SASP_REQUESTS = (AcceptedRequest, RejectedRequest)
 SASP_EVENTS = (AcceptedRequest, RejectedRequest, StreamEnded)
--- a/rainpick/director/load_aggregator.py
+++ b/rainpick/director/load_aggregator.py
@@ -76,7 +76,7 @@
     """The requests a second of each reporter, as a moving average over its reports."""
 
     def __init__(self) -> None:
-        self.per_s: dict[str, float] = {}  # by LB UID
+        self.per_s: dict[str, float] = {}  # requests a second by LB UID
 
     def add(self, points: Iterable[Point]) -> None:
         """Update the rates with the fresh points of one report; only points of routes count requests."""
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -40,12 +40,12 @@
 
     def __init__(self, key: Key):
         self.key = key
-        self.description: Description | None = None  # from its registration or the cached list
+        self.description: Description | None = None  # attributes from the registration or the cached list
         self.started_us = 0
         self.quiesced = False
-        self.owner: int | None = None  # number of the stream that registered it, until that stream ends
+        self.owner: int | None = None  # number of the open stream that registered the server
         self.file_entry: FileEntry | None = None
-        self.published: model.Endpoint | None = None  # its entry as last sent to ``Director``
+        self.published: model.Endpoint | None = None  # the server's entry as last sent to ``Director``
         self.state = 0  # opaque state that the member has set
 
 
@@ -60,7 +60,7 @@
         self.servers: dict[Key, Server] = {}
         self.changed: set[Key] = set()  # servers that changed since the last update
         self.grace_ends_us: dict[Key, int] = {}  # end of the grace period of servers whose stream has ended
-        self.version = 0  # of the last update
+        self.version = 0  # version of the last update
         # Members that register without an age before this time count as started long ago. Otherwise all
         # servers would go through slow start again after each restart of a director.
         self.settled_us = started_us + max(fleet.member_grace, settings.director.settle)
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -64,7 +64,7 @@
         self.sessions = sessions
         self.delivery = delivery
         self.intake = intake
-        self.connections: dict[int, MqttConnection] = {}  # by stream number
+        self.connections: dict[int, MqttConnection] = {}  # connections by stream number
         self.sender = MqttSender(context, sessions, delivery, self.connections)
         self.counts = ReceiveCounts()
         self.log = structlog.get_logger(front="mqtt")
@@ -208,7 +208,7 @@
         return codec.ReasonCode.SUCCESS
 
     def resynchronise(self, session: ProxySession, fault: SyncFault) -> None:
-        """Enqueue the whole table for a proxy that could not apply an update of it."""
+        """Enqueue the whole table for a proxy that could not apply an update of the table."""
         self.counts.resynchronisations += 1
         self.log.warning("proxy can't follow", proxy=session.uid, why=fault.cause, table=fault.table)
         if self.context.engine is not None and session.joined:
--- a/rainpick/director/proxies.py
+++ b/rainpick/director/proxies.py
@@ -31,7 +31,7 @@
     def __init__(self, settings: Settings):
         self.settings = settings
         self.numbers: dict[str, int] = {}
-        self.uids: dict[int, str] = {}  # by number
+        self.uids: dict[int, str] = {}  # LB UIDs by proxy number
 
     def number(self, uid: str) -> int:
         """Return the number of a proxy; it is assigned at the first call."""
--- a/rainpick/director/sessions.py
+++ b/rainpick/director/sessions.py
@@ -45,7 +45,7 @@
     request_times_us: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_REQUEST_TIMES))
     # Time of the first push that the proxy has not proved to have read.
     unconfirmed_since_us: int | None = None
-    replied_since_push: bool = False  # whether a reply was sent after that push
+    replied_since_push: bool = False  # whether a reply was sent after the last push
     # Since when the socket accepts no data or the MQTT send quota is used up.
     blocked_since_us: int | None = None
 
@@ -75,9 +75,9 @@
         self.membership = membership
         self.proxies = proxies
         self.aggregator = aggregator
-        self.streams: dict[int, Stream] = {}  # by stream number
+        self.streams: dict[int, Stream] = {}  # open streams by stream number
         self.unidentified: dict[int, int] = {}  # close times of unidentified streams, by stream number
-        self.by_stream: dict[int, ProxySession] = {}  # by stream number
+        self.by_stream: dict[int, ProxySession] = {}  # sessions by stream number
         self.by_uid: dict[str, ProxySession] = {}  # by LB UID
         self.by_number: dict[int, ProxySession] = {}  # by proxy number
         self.counts = StreamCounts()
--- a/rainpick/emulator/proxy.py
+++ b/rainpick/emulator/proxy.py
@@ -26,7 +26,7 @@
 
     attempts: int = 0
     failures: int = 0
-    latency_us: int = 0  # sum over the answered attempts
+    latency_us: int = 0  # total latency of the answered attempts
 
     def add(self, other: Observations) -> None:
         """Add another proxy's observations of the same server."""
@@ -51,7 +51,7 @@
         self.choices: Choices | None = None  # cache of ``all_choices``; None after the weights changed
         self.in_flight: Counter[Key] = Counter()
         self.credits: dict[Key, float] = {}  # state of the smooth weighted round robin
-        self.observations: dict[Key, Observations] = {}  # by server, since the last report
+        self.observations: dict[Key, Observations] = {}  # observations since the last report, by server
         self.attempts = 0  # number of attempts to all servers since the last report
 
     def update(self, entries: Iterable[Line]) -> None:
--- a/rainpick/emulator/shape.py
+++ b/rainpick/emulator/shape.py
@@ -13,15 +13,15 @@
 
     servers: int = 12
     proxies: int = 8
-    server_types: tuple[ServerType, ...] = (ServerType(),)  # of server n: the type at n modulo their number
-    listed_weights: tuple[float, ...] = (1.0,)  # of server n: the weight at n modulo their number
-    requests_per_s: float = 400.0  # of the clients of all proxies in total
+    server_types: tuple[ServerType, ...] = (ServerType(),)  # server n has type n modulo the number of types
+    listed_weights: tuple[float, ...] = (1.0,)  # server n has weight n modulo the number of weights
+    requests_per_s: float = 400.0  # total rate of the clients of all proxies
     mean_work_us: float = 20_000.0
     pick: PickPolicy = "lottery"
     default_servers: int = 3  # number of servers in the default table of a proxy
     same_zone_delay_us: int = 300  # network delay in one direction within a zone
     cross_zone_delay_us: int = 2_000  # network delay in one direction between zones
-    list_delay_us: int = 300_000  # from a change of the endpoint list until the engine receives it
-    report_delay_us: int = 50_000  # from the sending of load reports until the engine receives them
+    list_delay_us: int = 300_000  # time from a change of the endpoint list until the engine receives it
+    report_delay_us: int = 50_000  # time from the sending of load reports until the engine receives them
     client_retries: int = 1  # maximum number of retries of a request
-    retry_delay_us: int = 50_000  # before the first retry; doubled for each further retry, with jitter
+    retry_delay_us: int = 50_000  # delay before the first retry; doubled for each further retry, with jitter
--- a/rainpick/mqtt/server.py
+++ b/rainpick/mqtt/server.py
@@ -41,7 +41,7 @@
 from rainpick.mqtt.topics import SHARED_PREFIX, is_valid_filter, matches_filter
 from rainpick.mqtt.wire import MAX_VARIABLE_BYTE_INTEGER
 
-DEFAULT_RECEIVE_MAXIMUM = 65_535  # of a client whose CONNECT does not set it (section 3.1.2.11.3)
+DEFAULT_RECEIVE_MAXIMUM = 65_535  # value for a client whose CONNECT does not set it (section 3.1.2.11.3)
 MAX_FILTERS = 64  # maximum topic filters of one connection
 MAX_REASON_LENGTH = 200  # characters of a reason string in DISCONNECT
 MAX_GRANTED_QOS = 1
--- a/rainpick/node/__init__.py
+++ b/rainpick/node/__init__.py
@@ -1,4 +1,4 @@
-"""The live director: a front end that connects the decisions to the operators' platform.
+"""The live director: a frontend that connects the decisions to the operators' platform.
 
 ``process`` starts all threads. The input threads (``collector_listener``, ``discovery_watch``,
 ``relay_subscription``) post load reports and notifications to the ``mailbox``. The ``event_loop`` passes them
--- a/rainpick/node/collector_listener.py
+++ b/rainpick/node/collector_listener.py
@@ -49,8 +49,8 @@
         self.lock = threading.Lock()  # guards ``pending`` and ``collectors``
         self.pending_limit = max(1, min(PENDING_LIMIT, sockets // 4))
         self.stream_numbers = count(1)
-        self.pending: OrderedDict[Stream, float] = OrderedDict()  # oldest first, with the deadline to join
-        self.collectors: dict[Stream, int] = {}  # oldest first, with the zone of each
+        self.pending: OrderedDict[Stream, float] = OrderedDict()  # join deadline of each peer, oldest first
+        self.collectors: dict[Stream, int] = {}  # zone of each collector, oldest first
         # The keys appear in the log's ``status`` lines. "let_go" counts peers that the listener disconnected.
         names = "accepted", "heartbeats", "rejected", "let_go", "malformed", "reports"
         self.counts = dict.fromkeys(names, 0)
--- a/rainpick/node/configuration.py
+++ b/rainpick/node/configuration.py
@@ -33,7 +33,7 @@
     zones: dict[str, int]
     routes: dict[str, int]
     machine_types: dict[str, int]
-    load_metrics: tuple[str, ...]  # their names in load reports, in the order of the settings
+    load_metrics: tuple[str, ...]  # names of the metrics in load reports, in the order of the settings
     proxies: int  # number of proxies, which are numbered from 0
     attempt_limit_ms: float  # upper limit for the duration of an answered attempt
 
--- a/rainpick/node/frame_codec.py
+++ b/rainpick/node/frame_codec.py
@@ -68,7 +68,7 @@
     def __init__(self, vocabulary: Vocabulary):
         self.vocabulary = vocabulary
         self.buffer = bytearray()
-        self.zone: int | None = None  # zone of the collector; None before the peer joins as one
+        self.zone: int | None = None  # zone of the collector; None before the peer has joined
         self.ended = False
 
     def receive(self, data: bytes) -> list[PeerMessage]:
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -101,7 +101,7 @@
     """
 
     received_us: int
-    began_us: int  # assumes that the interval ended on receipt, although it may have ended earlier
+    began_us: int  # begin of the interval if it ended on receipt; it may have ended earlier
     event: Any
 
 
--- a/rainpick/record/compare.py
+++ b/rainpick/record/compare.py
@@ -18,7 +18,7 @@
 from rainpick.record.view import FleetView
 
 MAX_DIVERTED_FRACTION = 0.2  # a replay is valid until the mean diverted fraction exceeds this
-DIVERTED_WINDOW_S = 10  # window of this mean, with one sample per second
+DIVERTED_WINDOW_S = 10  # window of the mean diverted fraction, with one sample per second
 SAMPLE_INTERVAL_US = 1_000_000  # short enough: weights are sent to proxies only a few times per tick
 MAX_SHARE_CHANGES = 12  # maximum number of servers in a result
 
@@ -66,7 +66,7 @@
         self.diverted_sum = 0.0
         self.diverted_series = TimeSeries(begin_us)
         self.latest_diverted: list[float] = []  # diverted fractions in the last DIVERTED_WINDOW_S samples
-        self.share_series: dict[Any, tuple[TimeSeries, TimeSeries]] = {}  # both sides, by server
+        self.share_series: dict[Any, tuple[TimeSeries, TimeSeries]] = {}  # shares on both sides, by server
         # Sums of the sampled shares for both sides, by server.
         self.share_sums: tuple[dict[Any, float], dict[Any, float]] = defaultdict(float), defaultdict(float)
         self.valid_until_us: int | None = None
--- a/rainpick/record/replay.py
+++ b/rainpick/record/replay.py
@@ -18,8 +18,8 @@
 class Difference(NamedTuple):
     """The first step of an incarnation in which the replayed commands differ from the recorded ones."""
 
-    step: int  # its number in the incarnation, from 1
-    now: int  # microseconds of the director's clock
+    step: int  # number of the step in the incarnation, from 1
+    now: int  # time of the step, in microseconds of the director's clock
     events_before: list[Any]  # events of the previous step
     events: list[Any]
     recorded: list[Any]  # commands that are only in the record
--- a/rainpick/rules/empty_tables.py
+++ b/rainpick/rules/empty_tables.py
@@ -43,7 +43,7 @@
             warm_span(run, known, limits.warm_after, end) for runs in timeline.runs.values() for run in runs
         ]
         self.tables: dict[str, dict[str, int]] = defaultdict(dict)  # weights by proxy and server
-        self.empty_since: dict[str, int] = {}  # time at which its table became empty, by proxy
+        self.empty_since: dict[str, int] = {}  # time at which a proxy's table became empty, by proxy
 
     def update(self, event: LogEvent) -> None:
         """Handle an event of one of ``EVENT_KINDS``; events must arrive in order of time.
--- a/rainpick/rules/verdict.py
+++ b/rainpick/rules/verdict.py
@@ -74,7 +74,7 @@
     """The verdict on a day."""
 
     rules: list[Rule]
-    service: dict[str, RouteService]  # by route
+    service: dict[str, RouteService]  # service by route
     retries: dict[str, int]  # number of retries, by the names in ``audit.RETRY_COUNTERS``
     span: tuple[int, int]  # begin and end of the day in microseconds
 
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -49,7 +49,7 @@
 class DirectorSession:
     """The state of one stream on the director's side."""
 
-    MAX_MALFORMED_MESSAGES = 8  # number since the last accepted request at which the stream ends
+    MAX_MALFORMED_MESSAGES = 8  # malformed messages since the last accepted request that end the stream
 
     def __init__(self, max_message_bytes: int):
         self._reader = FrameReader(max_message_bytes)
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -141,7 +141,7 @@
     start_capacity: float = Field(0.16, gt=0, le=1)  # capacity at a server's start, as a fraction
     fall_multiple: float = Field(3.0, gt=1)  # a cold server fails at this multiple of its capacity
     fall: Duration = text_field("1.5s")  # window over which the work for ``fall_multiple`` is summed
-    gone_does_not_bind: bool = False  # whether a server that left the list may still serve
+    gone_does_not_bind: bool = False  # whether a server that left the list is possibly still serving
 
 
 class SaspPart(Part):
--- a/rainpick/simhost/host.py
+++ b/rainpick/simhost/host.py
@@ -32,7 +32,7 @@
         """Group a batch's events by instance and remove the directors of killed instances."""
         events_by_instance: EventsByInstance = {}
         for instance, event in events:
-            if event is None:  # killed: its state and its earlier events in the batch are discarded
+            if event is None:  # killed instance: its state and its events so far in the batch are discarded
                 self.directors.pop(instance, None)
                 events_by_instance.pop(instance, None)
             elif type(event) is Started:
--- a/rainpick/simulated_peers/day.py
+++ b/rainpick/simulated_peers/day.py
@@ -76,7 +76,7 @@
             old.unlink()
         self.scenario, self.folder, self.launch, self.start_peers = scenario, folder, launch, start_peers
         self.directors: list[RunningDirector] = []
-        self.settings: list[Settings] = []  # of each director, by number
+        self.settings: list[Settings] = []  # settings of each director, by number
         self.down: set[int] = set()  # numbers of killed directors
         self.fleet: PeerGroup | None = None
         self.proxy_groups: list[PeerGroup] = []
--- a/rainpick/simulated_peers/membership.py
+++ b/rainpick/simulated_peers/membership.py
@@ -43,7 +43,7 @@
     ):
         self.directors, self.group, self.label, self.log = directors, group, label, log
         self.is_current = is_current
-        self.streams: dict[int, SaspClient] = {}  # newest stream to each director, by its number
+        self.streams: dict[int, SaspClient] = {}  # newest stream to each director, by director number
         self.address: SocketAddress = ("127.0.0.1", 0)
         self.started_us, self.draining = 0, False
 
--- a/rainpick/simulated_peers/peer_settings.py
+++ b/rainpick/simulated_peers/peer_settings.py
@@ -63,7 +63,7 @@
     machines: tuple[MachineType, ...]
     routes: tuple[RouteLoad, ...]
     slow_start: SlowStart
-    sasp: tuple[SocketAddress, ...]  # SASP address of each director, by its number
+    sasp: tuple[SocketAddress, ...]  # SASP address of each director, by director number
     mqtt: tuple[SocketAddress | None, ...]  # MQTT address of each director; None if it has none
     otlp: tuple[SocketAddress, ...]  # address of each director for load reports
     fronts: tuple[Literal["sasp", "mqtt"], ...]  # protocols to the directors, assigned to the proxies in turn
@@ -76,7 +76,7 @@
     client_retry_delay_s: float
     attempt_limit_share: float  # time limit of an attempt, as a share of its route's time limit
     report_interval_s: float
-    reconnect_delay_s: tuple[float, float]  # minimum and maximum, drawn anew each time
+    reconnect_delay_s: tuple[float, float]  # minimum and maximum of the delay, drawn anew each time
 
 
 class PeerStart(msgspec.Struct, frozen=True):
--- a/rainpick/simulated_peers/proxy_group.py
+++ b/rainpick/simulated_peers/proxy_group.py
@@ -12,7 +12,7 @@
 from rainpick.simulated_peers.peer_settings import ListedServer, PeerSettings, RouteLoad
 from rainpick.simulated_peers.proxies import SimulatedProxy
 
-MAX_CONCURRENT_REQUESTS = 64  # of all clients of one proxy
+MAX_CONCURRENT_REQUESTS = 64  # limit for all clients of one proxy
 RATE_SHAPE = 2.5  # shape of the Pareto distribution of the proxies' request rates
 
 
--- a/rainpick/simulated_peers/proxy_table.py
+++ b/rainpick/simulated_peers/proxy_table.py
@@ -12,7 +12,7 @@
 from rainpick.sasp.messages import SendWeights
 from rainpick.simulated_peers.peer_settings import SocketAddress
 
-MAX_IDLE_CONNECTIONS = 8  # kept open to each server
+MAX_IDLE_CONNECTIONS = 8  # idle connections kept open to each server
 
 Entry = list[Any]  # ``HOST:PORT`` of a server, its weight and SASP flags, as in log events
 
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -56,7 +56,7 @@
         entries = read_segment(self.folder, self.segment_number)
         self.torn = next((entry for entry in entries if isinstance(entry, Torn)), None)
         if self.torn is not None and self.torn.at < SEGMENT_HEADER.size:
-            path.unlink()  # its header is incomplete
+            path.unlink()  # the segment's header is incomplete
             self.segment_number -= 1
             self.create_segment()
             return
--- a/tests/compat/operations_command.py
+++ b/tests/compat/operations_command.py
@@ -70,7 +70,7 @@
 
 @contextlib.contextmanager
 def status_front(responses):
-    """Run a status front that sends fixed responses and records the requests."""
+    """Run a status frontend that sends fixed responses and records the requests."""
     requests = []
 
     def handle(request):
@@ -85,7 +85,7 @@
 
 
 def run_on_status_front(case):
-    """Run a command against a status front with fixed responses; return its output and its requests.
+    """Run a command against a status frontend with fixed responses; return its output and its requests.
 
     A response is given by path, status code and body.
     """
--- a/tests/compat/operations_status.py
+++ b/tests/compat/operations_status.py
@@ -1,4 +1,4 @@
-"""The operations that the cases in ``wire/status.jsonl`` name: responses of a director's status front."""
+"""The operations that the cases in ``wire/status.jsonl`` name: responses of a director's status frontend."""
 
 import json
 from tempfile import TemporaryDirectory
@@ -29,7 +29,7 @@
 
 
 def with_director(query):
-    """Call ``query`` with an HTTP client of a director's status front.
+    """Call ``query`` with an HTTP client of a director's status frontend.
 
     The director records, and a proxy has received the weights of two servers.
     """
