--- a/rainpick/emulator/server.py
+++ b/rainpick/emulator/server.py
@@ -16,8 +16,8 @@
 
 from rainpick.emulator.clock import TimerId, VirtualClock
 
-HUNG_CHECK_INTERVAL_US = 10_000  # between checks whether the server of a finished attempt still hangs
-WARM_UP_UPDATE_INTERVAL_US = 20_000  # between updates of the speed of shared cores during a slow start
+HUNG_CHECK_INTERVAL_US = 10_000  # interval of checks whether a hanging server answers again
+WARM_UP_UPDATE_INTERVAL_US = 20_000  # interval of speed updates of shared cores in a slow start
 
 
 class Outcome(StrEnum):
@@ -111,7 +111,7 @@
 
     def __init__(self, work: float, done: OutcomeCallback):
         self.work, self.done = work, done
-        self.timer: TimerId = 0  # timer of the end of the attempt, set when it starts
+        self.timer: TimerId = 0  # timer of the end of the attempt, set when the attempt starts
 
 
 class SlotServer(Server):
@@ -229,7 +229,7 @@
             return
         delay_us = max(1, round(max(0.0, self.attempts[0][0] - self.work_done) / rate))
         warming_up = self.type.warm_up_us and self.speed_fraction() * self.slowdown < 1
-        if warming_up:  # the rate increases until the end, so it is updated at intervals
+        if warming_up:  # the rate increases during the slow start, so it is updated at intervals
             delay_us = min(delay_us, WARM_UP_UPDATE_INTERVAL_US)
         self.next_end_timer = self.clock.schedule_after(delay_us, self.finish_attempts)
 
--- a/rainpick/emulator/world.py
+++ b/rainpick/emulator/world.py
@@ -40,7 +40,7 @@
     ):
         self.shape, self.seed, self.clock = shape, seed, VirtualClock(BEGIN_US)
         self.engine = Engine(settings, seed, BEGIN_US, director_factory)
-        self.engine_due_us = -1  # time of the next advance; if it is past, none is scheduled
+        self.engine_due_us = -1  # time of the scheduled advance; in the past if none is scheduled
         self.engine_timer: TimerId = 0
         self.zone_count = max(1, len(settings.zones))
         self.servers: dict[Key, Server] = {}
--- a/rainpick/http1/server.py
+++ b/rainpick/http1/server.py
@@ -97,7 +97,7 @@
             response, close_after = Response(status, str(error).encode(), "text/plain"), True
         except BodyError as error:
             response = Response(error.status, str(error).encode(), "text/plain")
-            close_after = error.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE  # the body's rest is not read
+            close_after = error.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE  # rest of the body unread
         except OSError:
             raise
         except Exception:  # a handler error must not end the thread without a response
--- a/rainpick/rules/cold_servers.py
+++ b/rainpick/rules/cold_servers.py
@@ -8,7 +8,8 @@
 from rainpick.rules.timeline import Timeline
 from rainpick.rules.verdict import Breach, Limits, Rule
 
-SLACK_ATTEMPTS = 4  # attempts of mean work that a server withstands beyond its budget
+# A server withstands this multiple of the work of the newest attempt, in addition to its ``work_budget``.
+SLACK_ATTEMPTS = 4
 
 
 def work_budget(run: LogEvent, age_us: int, limits: Limits) -> float:
--- a/rainpick/rules/timeline.py
+++ b/rainpick/rules/timeline.py
@@ -78,7 +78,7 @@
     known: dict[int, KnownServers] = field(default_factory=lambda: defaultdict(KnownServers))  # by director
     sessions: dict[str, list[Session]] = field(default_factory=lambda: defaultdict(list))  # by proxy
     runs: dict[str, list[LogEvent]] = field(default_factory=lambda: defaultdict(list))
-    """``start`` events by server; a ``stop`` event adds its time to the latest of them, as ``end``."""
+    """``start`` events by server. A ``stop`` event sets ``end`` in the latest of its server."""
 
     def session_at(self, proxy: str, at: int) -> Session | None:
         """Return the latest session of a proxy that was open at a time; None if there is none."""
--- a/rainpick/sasp/messages.py
+++ b/rainpick/sasp/messages.py
@@ -82,7 +82,7 @@
 
 
 class Registration(NamedTuple):
-    """Request to register members; from a load balancer, a list of the members that it knows."""
+    """Request to register members; a load balancer sends it for the members that it knows."""
 
     groups: tuple[MemberGroup, ...]
     from_lb: bool = False
--- a/rainpick/sasp/session.py
+++ b/rainpick/sasp/session.py
@@ -49,7 +49,8 @@
 class DirectorSession:
     """The state of one stream on the director's side."""
 
-    MAX_MALFORMED_MESSAGES = 8  # malformed messages since the last accepted request that end the stream
+    # The stream is ended after this number of malformed messages without an accepted request in between.
+    MAX_MALFORMED_MESSAGES = 8
 
     def __init__(self, max_message_bytes: int):
         self._reader = FrameReader(max_message_bytes)
--- a/rainpick/sasp/transitions.py
+++ b/rainpick/sasp/transitions.py
@@ -23,7 +23,7 @@
 
 
 class SessionState(IntEnum):
-    """The owner of a stream; set by the first accepted request and never changed after it."""
+    """The kind of client at the other end of a stream, which the first accepted request determines."""
 
     UNIDENTIFIED = auto()
     MEMBER = auto()
@@ -76,7 +76,7 @@
     reason: str
 
     def rejection(self, message: Request) -> Rejection:
-        """Return the rejection of one message."""
+        """Build the rejection of a message from the code and the reason."""
         return Rejection(self.code, self.reason.replace("{request}", type(message).__name__))
 
 
--- a/rainpick/simhost/events.py
+++ b/rainpick/simhost/events.py
@@ -46,7 +46,7 @@
 SERVER_LOAD = Struct(">IB6sIIII")  # zone, server, failures, latency, interval, attempts; load values follow
 ENDPOINT_UPDATE = Struct(">IBIQ")  # kind, list number, version
 ENDPOINT_LIST = Struct(">II")  # list number, number of entries
-ENDPOINT = Struct(">fBQHH6sB")  # the fields of ``model.Endpoint``, in its order
+ENDPOINT = Struct(">fBQHH6sB")  # the fields of ``model.Endpoint``, in the order of that class
 
 ENDPOINT_STATES = (model.EndpointState.GONE, model.EndpointState.READY, model.EndpointState.DRAINING)
 
@@ -128,7 +128,7 @@
 
 
 def decode_endpoint_update(batch: Batch, endpoint_lists: EndpointLists) -> InstanceEvent:
-    """Decode an endpoint update, which refers to a list by its number; a failed update refers to none."""
+    """Decode an endpoint update, which refers to a list by its number; a failed update has no list."""
     instance, kind, list_number, version = batch.unpack(ENDPOINT_UPDATE)
     if kind == model.UpdateKind.FAILED:
         return instance, model.EndpointUpdate(kind, (), version)
--- a/rainpick/simulated_peers/director_link.py
+++ b/rainpick/simulated_peers/director_link.py
@@ -1,4 +1,4 @@
-"""A simulated proxy's connection to a director, over SASP or MQTT, which keeps its table up to date."""
+"""A simulated proxy's connection to a director, over SASP or MQTT, which updates the proxy's table."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
             self.reading.wait()
 
     def replace_table(self, follower: TableFollower) -> None:
-        """Replace the proxy's table with the available servers of the follower's, and log the changes."""
+        """Replace the proxy's table with the available servers of ``follower``, and log the changes."""
         weights: dict[SocketAddress, int] = {
             parse_address(server): weight for server, weight in follower.available_servers().items()
         }
--- a/rainpick/simulated_peers/peer_settings.py
+++ b/rainpick/simulated_peers/peer_settings.py
@@ -36,7 +36,7 @@
     warm_up_us: int
     start_capacity: float  # capacity at the start, as a fraction of the full capacity
     overload_window_us: int
-    overload_multiple: float  # multiple of its capacity that a server withstands in the window
+    overload_multiple: float  # load that a server withstands in the window, as a multiple of its capacity
 
 
 class ListedServer(msgspec.Struct, frozen=True, array_like=True):
@@ -64,7 +64,7 @@
     routes: tuple[RouteLoad, ...]
     slow_start: SlowStart
     sasp: tuple[SocketAddress, ...]  # SASP address of each director, by director number
-    mqtt: tuple[SocketAddress | None, ...]  # MQTT address of each director; None if it has none
+    mqtt: tuple[SocketAddress | None, ...]  # MQTT address of each director; None without MQTT
     otlp: tuple[SocketAddress, ...]  # address of each director for load reports
     fronts: tuple[Literal["sasp", "mqtt"], ...]  # protocols to the directors, assigned to the proxies in turn
     proxies: int
@@ -76,7 +76,7 @@
     client_retry_delay_s: float
     attempt_limit_share: float  # time limit of an attempt, as a share of its route's time limit
     report_interval_s: float
-    reconnect_delay_s: tuple[float, float]  # minimum and maximum of the delay, drawn anew each time
+    reconnect_delay_s: tuple[float, float]  # limits of the random delay before each reconnection
 
 
 class PeerStart(msgspec.Struct, frozen=True):
--- a/rainpick/simulated_peers/schedule.py
+++ b/rainpick/simulated_peers/schedule.py
@@ -52,7 +52,7 @@
         self.steps: list[Step] = []
 
     def add(self, at_us: int, text: str, run: Callable[[], None]) -> None:
-        """Add a step after those that were added before."""
+        """Add a step; of the steps at the same time, the one added first runs first."""
         self.steps.append(Step(at_us, len(self.steps), text, run))
 
     def add_server_step(self, at_us: int, text: str, action: actions.ServerAction) -> None:
@@ -112,7 +112,7 @@
         self.add_server_step(event.at, f"{event.do}: {len(servers)} servers", kind(servers))
 
     def add_deploy(self, event: Event) -> None:
-        """Add a step for each server that replaces it, at intervals of the event's ``stagger``."""
+        """Add one ``ReplaceServers`` step for each server of the event, ``stagger`` apart."""
         servers = self.scenario.servers_of(event)
         for index, number in enumerate(servers):
             text = f"deploy: {len(servers)} servers" if index == 0 else ""
--- a/rainpick/simulated_peers/server_capacity.py
+++ b/rainpick/simulated_peers/server_capacity.py
@@ -9,7 +9,9 @@
 from rainpick.simulated_peers.peer_settings import MachineType, SlowStart
 
 MAX_QUEUE_US = 1_500_000  # a request that would wait longer for a slot is rejected
-SLACK_REQUESTS = 4  # requests of mean work that a server warming up withstands beyond its budget
+# A server warming up fails if the work received in the overload window exceeds ``overload_multiple`` times
+# its capacity in that window by more than this multiple of the mean work of the newest request.
+SLACK_REQUESTS = 4
 
 
 class ServerCapacity:
--- a/rainpick/store/errors.py
+++ b/rainpick/store/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of the store."""
+"""Exceptions for an unusable store, a failed write and malformed blocks."""
 
 from __future__ import annotations
 
--- a/rainpick/store/log.py
+++ b/rainpick/store/log.py
@@ -60,7 +60,7 @@
             self.segment_number -= 1
             self.create_segment()
             return
-        self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
+        self.file = open(path, "r+b")  # noqa: SIM115 - the file stays open until the segment ends
         self.file.seek(0, os.SEEK_END)
         if self.torn is not None:
             self.file.truncate(self.torn.at)
@@ -71,7 +71,7 @@
         """Create a new segment and delete old ones."""
         self.segment_number += 1
         path = segment_path(self.folder, self.segment_number)
-        self.file = open(path, "w+b")  # noqa: SIM115 - it stays open until the segment ends
+        self.file = open(path, "w+b")  # noqa: SIM115 - the file stays open until the segment ends
         self.file.write(encode_segment_header(self.segment_number))
         self.flush_file()
         self.delete_old_segments()
@@ -126,7 +126,7 @@
             self.create_segment()
 
     def write(self, data: bytes) -> None:
-        """Write a block; tests replace this to simulate a full disk."""
+        """Write a block to the segment file. Tests replace this method to simulate a full disk."""
         self.file.write(data)
 
     def roll_back(self, start: int) -> None:
@@ -135,7 +135,7 @@
             # Flushes the rest of the block, which may fail again. The file is truncated in either case.
             self.file.close()
         path = segment_path(self.folder, self.segment_number)
-        self.file = open(path, "r+b")  # noqa: SIM115 - it stays open until the segment ends
+        self.file = open(path, "r+b")  # noqa: SIM115 - the file stays open until the segment ends
         self.file.truncate(start)
         self.file.seek(start)
 
