--- a/rainpick/decisions/director.py
+++ b/rainpick/decisions/director.py
@@ -153,7 +153,7 @@
         self.update_due = True
 
     def retransmitted(self, event: model.Retransmitted) -> None:
-        """Count the lines and messages of a reply that is sent again, since no answer to it arrived."""
+        """Count the lines and messages of a reply that is sent again because it was not acknowledged."""
         self.publisher.retransmitted(event.nonce)
 
     def server_reported(self, event: model.ServerLoadReport) -> None:
--- a/rainpick/decisions/fleet_load.py
+++ b/rainpick/decisions/fleet_load.py
@@ -32,9 +32,9 @@
 class FleetLoad:
     """Aggregated load reports of all servers.
 
-    ``latency_ratio`` is the mean latency of the median server divided by the latency objective.
-    ``success_ratio`` is the fraction of all recent attempts that were answered, ``typical_success_ratio`` the
-    same fraction at the median server.
+    ``latency_ratio`` is the median of the servers' mean latencies, divided by the latency objective in the
+    settings. ``success_ratio`` is the fraction of all recent attempts that were answered,
+    ``typical_success_ratio`` the median of this fraction over the servers.
     """
 
     def __init__(self, fleet: Fleet):
@@ -73,7 +73,7 @@
         self.mean_report_interval_us = interval_us / max(1, reports)
 
     def update_medians(self, recent: Mapping[ServerState, Observations]) -> None:
-        """Update the latency and the success ratio of the median server from recent observations."""
+        """Update ``latency_ratio`` and ``typical_success_ratio`` from the recent observations of servers."""
         latencies = [row.latency_us / row.answered for row in recent.values() if row.answered > 0]
         failed = [row.failures / row.attempts for row in recent.values() if row.attempts]
         self.latency_ratio = median(latencies or [0]) / self.fleet.settings.latency_objective_us
--- a/rainpick/decisions/key_ranges.py
+++ b/rainpick/decisions/key_ranges.py
@@ -15,7 +15,11 @@
 
 
 class KeyRanges:
-    """The key ranges assigned to this director, each with the weights that the store holds for it."""
+    """The key ranges assigned to this director, each with its weights by server.
+
+    A store outside the director keeps the weights; ``KeyRangeWeight`` events report those of a newly assigned
+    key range.
+    """
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
@@ -28,7 +32,7 @@
             self.weights[event.key_range] = {}
 
     def stored(self, event: KeyRangeWeight) -> None:
-        """Record a weight that the store holds for a key range; ignored if the key range is not assigned."""
+        """Record a stored weight of a key range, unless the key range is not assigned to this director."""
         if event.key_range in self.weights:
             self.weights[event.key_range][event.server] = event.weight
 
--- a/rainpick/decisions/outlier_detection.py
+++ b/rainpick/decisions/outlier_detection.py
@@ -217,7 +217,7 @@
         self.failing_servers = sum(row.failures > EXCESS_FRACTION * row.attempts for row in rows)
 
     def is_partitioned(self, other_attempts: int, other_failures: int) -> bool:
-        """Return whether most servers of the zone fail while those of other zones answer."""
+        """Return whether most servers of the zone fail while servers of other zones answer."""
         baseline_ratio = other_failures / max(1, other_attempts)
         excess = self.failures - baseline_ratio * self.attempts
         return (
--- a/rainpick/decisions/overload.py
+++ b/rainpick/decisions/overload.py
@@ -64,10 +64,14 @@
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
         self.machine_type_factors: dict[int, float] = {}
-        self.settled_us = 0  # time from which reports are used again after a machine type was adjusted
+        self.settled_us = 0  # time from which reports are used after a change of a machine type's factor
 
     def update(self) -> None:
-        """Adjust a machine type if the costs of types differ too much, else servers; called once a tick."""
+        """Adjust capacity factors; called once a tick.
+
+        If the costs of the machine types differ too much, the factor of a machine type is changed; otherwise
+        factors of single servers may be changed.
+        """
         eligible = [
             server
             for server in self.fleet.servers.values()
@@ -111,9 +115,10 @@
         }
 
     def adjust_machine_types(self, costs: dict[int, float]) -> bool:
-        """Adjust a machine type if the best and the worst type differ too much; return whether they do.
+        """Change one machine type's factor if the costs of the types differ too much; return whether they do.
 
-        The best type is raised if it was reduced earlier; otherwise the worst type is reduced.
+        The factor of the cheapest type is raised if it was reduced earlier; otherwise that of the costliest
+        type is reduced.
         """
         if not costs:
             return False
@@ -134,7 +139,10 @@
         return True
 
     def adjust_servers(self, costs: dict[ServerState, ServerCost]) -> None:
-        """Reduce the most overloaded servers, and raise reduced ones whose cost is below the median again."""
+        """Lower the capacity factors of the most overloaded servers, and raise lowered factors again.
+
+        A lowered factor is raised in steps while the cost of its server is below the median.
+        """
         now, objective_us = self.fleet.clock.now, self.fleet.settings.latency_objective_us
         median_us = median([cost.cost_us for cost in costs.values()] or [0])
         max_reduced = max(1, int(REDUCED_SERVERS_FRACTION_MAX * len(costs)))
--- a/rainpick/decisions/publisher.py
+++ b/rainpick/decisions/publisher.py
@@ -84,9 +84,10 @@
             self.queue.acknowledge(message.nonce, message.lines)
 
     def retransmitted(self, nonce: int) -> None:
-        """Count a reply that is sent again.
+        """Count the lines and messages of a reply (all commands of one step) that is sent again.
 
-        Its lines may be in the channel twice, and each proxy that it reached is sent a further message.
+        The lines may then be in the channel twice. Each proxy that has not acknowledged its message of the
+        reply is sent another one.
         """
         for proxy in self.fleet.proxies.values():
             lines = next((sent.lines for sent in proxy.unacknowledged if sent.nonce == nonce), 0)
--- a/rainpick/decisions/send_queue.py
+++ b/rainpick/decisions/send_queue.py
@@ -21,7 +21,7 @@
 class Quota(NamedTuple):
     """The part of the send queue that a kind of command may fill; a higher priority allows a fuller queue."""
 
-    messages: int  # number of messages that the limit of each receiving proxy must still allow
+    messages: int  # each receiving proxy must still be allowed this many messages by its message limit
     reserve: float  # number of lines, out of the send queue's limit, that are left to other commands
     window_fraction: float | None  # fraction of the send window that may be filled; None: not limited by it
 
@@ -118,7 +118,7 @@
             del self.replies[next(iter(self.replies))]
 
     def retransmit(self, lines: int) -> None:
-        """Count the lines of a message again that may have been written twice."""
+        """Count the lines of a message a second time, since a retransmission may have written them twice."""
         self.total += lines
         self.waiting += lines
 
--- a/rainpick/decisions/servers.py
+++ b/rainpick/decisions/servers.py
@@ -70,9 +70,9 @@
 
     @property
     def is_terminating(self) -> bool:
-        """Whether the list no longer has the server as ready, unless the server is only presumed gone.
+        """Whether the endpoint list no longer has the server as ready; False if the server is presumed gone.
 
-        Such a server has to be withdrawn within the drain grace.
+        A terminating server has to be withdrawn within the drain grace.
         """
         return self.status != READY and not self.presumed_gone
 
--- a/rainpick/decisions/weight_updates.py
+++ b/rainpick/decisions/weight_updates.py
@@ -34,7 +34,7 @@
         self.assignment = assignment
         self.publisher = publisher
         self.pending_readmissions: list[ServerState] = []
-        # Tables whose new weights are not published yet, those that have waited longest first.
+        # Tables whose new weights are not published yet, in the order in which they became pending.
         self.pending_tables: list[Table] = []
         self.batch_due = False  # whether all tables are to be added to pending_tables
 
--- a/rainpick/director/admission_rates.py
+++ b/rainpick/director/admission_rates.py
@@ -23,7 +23,7 @@
 
 
 class AdmissionRates:
-    """The admissions of single tables and those of all tables, which have the key ``ALL_TABLES``."""
+    """The admissions set for single tables, and those set for all tables at once (key ``ALL_TABLES``)."""
 
     def __init__(self) -> None:
         self.by_table: dict[int, dict[int, Admission]] = {}  # by table, then by route index
--- a/rainpick/director/delivery.py
+++ b/rainpick/director/delivery.py
@@ -34,7 +34,7 @@
         self.stalled.discard(stream.number)
 
     def poll_interval_us(self) -> int | None:
-        """Return the time until ``poll`` is due, in microseconds; None if no stream needs it."""
+        """Return the time until ``poll`` is due, in microseconds; None if no stream has to be polled."""
         return POLL_US if self.undelivered or self.stalled else None
 
     def send(self, session: ProxySession, data: bytes, message_number: int) -> None:
--- a/rainpick/director/engine.py
+++ b/rainpick/director/engine.py
@@ -275,7 +275,8 @@
         commands = self.new_commands(pending.proxy)
         lines = len(delta.withdrawn) + len(delta.others) + (commands is not None)
         if not lines:
-            # The nonces are acknowledged with the last undelivered message, or at once if there is none.
+            # No message is needed: acknowledge the nonces when the last message sent is delivered, or now if
+            # all messages are delivered.
             if sent.undelivered:
                 sent.undelivered[-1].nonces.extend(pending.nonces)
             else:
--- a/rainpick/director/list_files.py
+++ b/rainpick/director/list_files.py
@@ -156,7 +156,7 @@
         self.thread.start()
 
     def enqueue(self, servers: tuple[model.Endpoint, ...], now: int, wall_us: int) -> None:
-        """Queue a list to be written; it is skipped if a newer list is queued before that."""
+        """Queue a list to be written; it is skipped if a newer list is queued before it is written."""
         self.queue.put(CachedList(servers, now, wall_us))
 
     def run(self) -> None:
--- a/rainpick/director/membership.py
+++ b/rainpick/director/membership.py
@@ -278,7 +278,7 @@
         return model.EndpointUpdate(model.UpdateKind.DELTA, tuple(endpoints), self.version)
 
     def published(self) -> tuple[model.Endpoint, ...]:
-        """Return the entries last sent to ``Director``, without those of servers that are gone."""
+        """Return the entries last sent to ``Director``, without the entries of servers that are gone."""
         servers = [server for _, server in sorted(self.servers.items())]
         return tuple([server.published for server in servers if server.published is not None])
 
--- a/rainpick/director/messages.py
+++ b/rainpick/director/messages.py
@@ -42,7 +42,7 @@
 
 
 class CachedListRead(NamedTuple):
-    """The endpoint list that an earlier incarnation of this director has cached."""
+    """The cached endpoint list of an earlier incarnation was read; ``entries`` are its servers."""
 
     entries: list[FileEntry]
 
--- a/rainpick/director/mqtt_frontend.py
+++ b/rainpick/director/mqtt_frontend.py
@@ -83,7 +83,7 @@
         self.connections.pop(stream.number, None)
 
     def receive(self, stream: Stream, event: Packet | MqttError | StreamEnded) -> None:
-        """Handle an event of a stream's reader."""
+        """Pass a packet or an error to the connection's protocol; close the stream if it has ended."""
         connection = self.connections[stream.number]
         connection.received_us = self.context.clock()
         if isinstance(event, StreamEnded):
@@ -217,7 +217,7 @@
     def handle_presence(
         self, connection: MqttConnection, session: ProxySession | None, presence: Presence
     ) -> int:
-        """Handle the announcement of a proxy's start or end; return the reason code."""
+        """Open or end the session of a proxy that announces its start or end; return the reason code."""
         if presence.state == "gone":
             if session is not None:
                 self.sessions.end_session(session)
--- a/rainpick/director/report_intake.py
+++ b/rainpick/director/report_intake.py
@@ -25,14 +25,14 @@
         self.reports = 0  # number of received reports
 
     def receive_otlp(self, query: LoadReportReceived) -> None:
-        """Handle an OTLP export, which may contain points of several reporters."""
+        """Add the points of an OTLP export, which may have several reporters; reply with their verdicts."""
         points = query.batch.points
         sessions = (self.sessions.by_uid.get(point.reporter) for point in points)
         reporters = {session.uid: self.reporter(session) for session in sessions if session}
         query.reply(self.add(points, query.wall_ns, reporters))
 
     def receive_mqtt(self, session: ProxySession, points: list[Point]) -> None:
-        """Handle a report that a proxy published on its own topic."""
+        """Add the points of a report that a proxy published on its own topic."""
         self.add(points, time.time_ns(), {session.uid: self.reporter(session)})
 
     def reporter(self, session: ProxySession) -> Reporter:
--- a/rainpick/director/sasp_frontend.py
+++ b/rainpick/director/sasp_frontend.py
@@ -60,7 +60,7 @@
     # Requests
 
     def receive(self, stream: Stream, event: AcceptedRequest | RejectedRequest | StreamEnded) -> None:
-        """Handle an event of a stream's reader."""
+        """Reply to an accepted or rejected request; close the stream if it has ended."""
         if isinstance(event, AcceptedRequest):
             self.sessions.mark_identified(stream)
             self.handle_request(stream, event)
--- a/rainpick/director/status_frontend.py
+++ b/rainpick/director/status_frontend.py
@@ -24,7 +24,7 @@
 
 
 def answer_table_request(inbox: Inbox, action: str, request: Request) -> Response:
-    """Handle POST /tables/ACTION, with the parameters as a JSON object."""
+    """Answer POST /tables/ACTION, whose body has the parameters as a JSON object."""
     if not is_table_action(action):
         return error_answer(404, "show, pin, rollback and release can be done")
     if request.method != "POST":
@@ -42,7 +42,7 @@
 
 
 def answer_status_request(inbox: Inbox, request: Request) -> Response:
-    """Handle GET /status."""
+    """Answer GET /status with the status document."""
     if request.method != "GET":
         return error_answer(405, "GET is wanted")
     document = inbox.query(StatusQuery())
--- a/rainpick/node/collector_listener.py
+++ b/rainpick/node/collector_listener.py
@@ -127,7 +127,7 @@
         """Make a pending peer the newest collector of a zone; close the oldest beyond ``COLLECTOR_LIMIT``."""
         with self.lock:
             if self.pending.pop(stream, None) is None:
-                return  # another thread is closing the peer
+                return  # another thread has removed the peer from ``pending`` and is closing it
             self.collectors[stream] = zone
             same_zone = [collector for collector, other_zone in self.collectors.items() if other_zone == zone]
         for oldest in same_zone[:-COLLECTOR_LIMIT]:
--- a/rainpick/node/discovery_watch.py
+++ b/rainpick/node/discovery_watch.py
@@ -14,7 +14,7 @@
 PATH = "/catalog/members"
 HOLD_MS = 1_000  # how long discovery holds a poll open while nothing changes
 # A poll times out this long after the end of the hold. The platform counts the changes that a timed-out poll
-# missed as delivered 2 s after the poll.
+# missed as delivered 2 s after that poll, so the margin is short to leave time for the next poll before that.
 POLL_TIMEOUT_MARGIN_S = 0.4
 LIST_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.2  # discovery runs on the same machine as the director
--- a/rainpick/publish/follower.py
+++ b/rainpick/publish/follower.py
@@ -54,7 +54,7 @@
         return self._apply_delta(message)
 
     def report_fault(self, cause: FaultCause) -> SyncFault | None:
-        """Stop applying whole deltas until the next snapshot.
+        """Until the next snapshot, apply only the withdrawals and removals in deltas.
 
         Returns the fault to report to the director; None if one was reported since the last snapshot.
         """
--- a/rainpick/publish/payloads.py
+++ b/rainpick/publish/payloads.py
@@ -92,7 +92,7 @@
 
 
 class SyncFault(Struct, tag="trouble", tag_field="kind", frozen=True):
-    """A proxy needs a snapshot of its table: it missed a version, or the digest or the epoch differs."""
+    """A proxy needs a snapshot: it missed a version, or its digest or epoch is not that of the director."""
 
     cause: FaultCause = field(name="why")
     epoch: str = ""
--- a/rainpick/record/clock.py
+++ b/rainpick/record/clock.py
@@ -101,7 +101,7 @@
     """
 
     received_us: int
-    began_us: int  # begin of the interval if it ended on receipt; it may have ended earlier
+    began_us: int  # ``received_us`` minus the length of the interval, as if it had ended on receipt
     event: Any
 
 
--- a/rainpick/record/exchange.py
+++ b/rainpick/record/exchange.py
@@ -67,7 +67,8 @@
 def incarnation_fields(incarnation: Incarnation) -> dict[str, Any]:
     """Return the fields of an incarnation by their keys in exports.
 
-    ``types`` is empty, since each row of an export starts with the stored name of its type.
+    ``types`` declares the types behind the numeric codes in stored steps. It is empty here, since a row of an
+    export starts with the stored name of its type in place of a code.
     """
     return {
         "director": incarnation.director,
--- a/rainpick/record/incarnations.py
+++ b/rainpick/record/incarnations.py
@@ -52,7 +52,7 @@
     The steps of an incarnation must be exhausted before the next incarnation is requested.
     """
     cursor = _Cursor(entries)
-    # Skip the steps of an incarnation whose first record was deleted with an old segment.
+    # Skip leading steps whose ``INCARNATION`` record, needed to decode them, was deleted with an old segment.
     deque(cursor.steps(StepDecoder()), maxlen=0)
     while cursor.next_incarnation is not None:
         incarnation = decode_incarnation(cursor.next_incarnation.payload)
--- a/rainpick/record/limits.py
+++ b/rainpick/record/limits.py
@@ -38,12 +38,18 @@
             self.approaches[limit] = LimitApproach(fraction, now, subject)
 
     def observe_drain(self, now: int, address: Any, ended_us: int) -> None:
-        """Observe the time from ``ended_us``, when a server was draining or gone, to its withdrawal."""
+        """Compare the drain time of a server, which is no longer published, with the drain grace.
+
+        ``ended_us`` is the time at which the server was listed as draining or gone.
+        """
         if self.drain_grace_us:
             self.observe("drain", (now - ended_us) / self.drain_grace_us, now, format_address(address))
 
     def observe_message(self, now: int, proxy: int, sent_us: deque[int]) -> None:
-        """Observe a message to a proxy and add it to ``sent_us``, the times of the recent messages to it."""
+        """Add a message to ``sent_us``, the times of the recent messages to a proxy.
+
+        Their number is compared with the limit on messages to one proxy.
+        """
         while sent_us and sent_us[0] <= now - self.message_window_us:
             sent_us.popleft()
         sent_us.append(now)
@@ -51,12 +57,12 @@
             self.observe("messages", len(sent_us) / self.max_messages, now, f"proxy {proxy}")
 
     def observe_queue(self, now: int, lines: int) -> None:
-        """Observe the number of lines that proxies have not acknowledged."""
+        """Compare the number of unacknowledged lines with its limit."""
         if self.max_pending_lines:
             self.observe("queue", lines / self.max_pending_lines, now, f"{lines} lines")
 
     def observe_warming(self, now: int, entry: model.Endpoint, weight: float) -> None:
-        """Observe the published weight of a server in slow start, relative to its capacity at its age."""
+        """Compare the published weight of a server in slow start with its capacity at its age."""
         age_us = now - entry.started_us
         capacity = self.start_capacity + (1 - self.start_capacity) * age_us / self.warm_after_us
         self.observe("cold", weight / max(entry.weight * capacity, 1e-9), now, format_address(entry.address))
--- a/rainpick/record/view.py
+++ b/rainpick/record/view.py
@@ -181,7 +181,7 @@
         self.changed_tables.add(command.table)
 
     def complete_drain(self, now: int, address: Any, ended_us: int) -> None:
-        """Count a draining or gone server that is no longer published, and observe its drain time."""
+        """Count a draining or gone server that is no longer published; check its drain time."""
         self.counts["drains and losses told"] += 1
         self.limits.observe_drain(now, address, ended_us)
 
--- a/rainpick/settings/decision_settings.py
+++ b/rainpick/settings/decision_settings.py
@@ -53,7 +53,7 @@
 
 
 def _route_entries(index: int, route: RoutePart) -> dict[str, Any]:
-    """Return the entries of the map for the route at ``index``."""
+    """Return the entries of the decision settings for the route at ``index``."""
     return {
         f"routes.{index}.name": route.name,
         f"routes.{index}.slo_time_us": route.slo_time,
--- a/rainpick/settings/model.py
+++ b/rainpick/settings/model.py
@@ -140,7 +140,8 @@
     warm_after: Duration = text_field("12s", description="a started server is warm then")
     start_capacity: float = Field(0.16, gt=0, le=1)  # capacity at a server's start, as a fraction
     fall_multiple: float = Field(3.0, gt=1)  # a cold server fails at this multiple of its capacity
-    fall: Duration = text_field("1.5s")  # window over which the work for ``fall_multiple`` is summed
+    # Window over which the work of a cold server is summed to check whether ``fall_multiple`` is exceeded.
+    fall: Duration = text_field("1.5s")
     gone_does_not_bind: bool = False  # whether a server that left the list is possibly still serving
 
 
